--- a/bench/data_path.py
+++ b/bench/data_path.py
@@ -24,8 +24,8 @@
 from radishwind.entry import EntryPipeline
 from radishwind.entry.classifier import InventoryClassifier
 from radishwind.entry.runner import AttemptRunner
-from radishwind.hedging import HedgeAfterQuantile
 from radishwind.hedging import HedgePolicy
+from radishwind.hedging import QuantileHedgePolicy
 from radishwind.http import Address
 from radishwind.http import make_sender
 from radishwind.http import make_server
@@ -40,10 +40,10 @@
 from radishwind.peers import PeerListener
 from radishwind.peers import PeerSigner
 from radishwind.peers import PeerVerifier
-from radishwind.probing import HealthModel
+from radishwind.probing import HealthEstimator
 from radishwind.quarantine import Quarantine
 from radishwind.quarantine.runner import CarefulRunner
-from radishwind.retries import RetryBudget
+from radishwind.retries import BudgetedRetryPolicy
 from radishwind.routing import make_chooser
 from radishwind.routing import RoutingPolicy
 from radishwind.routing.placement import Anywhere
@@ -143,7 +143,7 @@
             index=lambda: index,
             own_load=target.load,
         ),
-        retries=RetryBudget(),
+        retries=BudgetedRetryPolicy(),
         hedges=hedges,
         runner=CarefulRunner(runner or forward),
         claims=NoClaims(),
@@ -174,7 +174,7 @@
         admission=FairAdmission(AdmissionLimits(SLOTS, SLOTS)),
         sender=sender,
         server=server,
-        watch=ServerWatch(clock, HealthModel(), quarantine),
+        watch=ServerWatch(clock, HealthEstimator(), quarantine),
     )
 
 
@@ -186,7 +186,7 @@
         server,
         make_sender(HttpLibrary.AIOHTTP, 250),
         signed=False,
-        hedges=HedgeAfterQuantile(),
+        hedges=QuantileHedgePolicy(),
     )
     await make_server(HttpLibrary.AIOHTTP).start(path.callers.handle, listen)
     await path.entry.run_hedges()
--- a/bench/pipeline.py
+++ b/bench/pipeline.py
@@ -29,9 +29,9 @@
 from radishwind.entry.call import Call
 from radishwind.entry.runner import AttemptResult
 from radishwind.entry.runner import AttemptRunner
-from radishwind.hedging import HedgeAfterQuantile
 from radishwind.hedging import HedgePolicy
-from radishwind.hedging import NoHedges
+from radishwind.hedging import NoHedging
+from radishwind.hedging import QuantileHedgePolicy
 from radishwind.http import Address
 from radishwind.http import Request
 from radishwind.http import Response
@@ -131,7 +131,7 @@
 
 
 def _policy(kind: str) -> HedgePolicy:
-    return HedgeAfterQuantile() if kind == _HEDGED else NoHedges()
+    return QuantileHedgePolicy() if kind == _HEDGED else NoHedging()
 
 
 _KINDS = ("POST", "GET, hedges off", _HEDGED)
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -27,10 +27,10 @@
 from bench.queues import TARGETS
 from bench.report import keep
 from bench.report import table
-from radishwind.hedging import HedgeAfterQuantile
-from radishwind.hedging import NoHedges
-from radishwind.retries import RetryBudget
-from radishwind.retries import RetryNotRun
+from radishwind.hedging import NoHedging
+from radishwind.hedging import QuantileHedgePolicy
+from radishwind.retries import BudgetedRetryPolicy
+from radishwind.retries import CappedRetryPolicy
 from radishwind.routing import make_chooser
 from radishwind.routing import RoutingPolicy
 
@@ -166,8 +166,8 @@
             failure_domain=domain,
             index=lambda: index,
         )
-        retries = RetryBudget() if budget else RetryNotRun()
-        hedges = HedgeAfterQuantile() if hedged else NoHedges()
+        retries = BudgetedRetryPolicy() if budget else CappedRetryPolicy()
+        hedges = QuantileHedgePolicy() if hedged else NoHedging()
         entries.append(Entry(own, domain, chooser, retries, hedges))
     simulation = Simulation(entries, members, queues, seed, FAULT_S)
     rate_per_s = scenario.load * _CAPACITY_PER_S
--- a/bench/queues.py
+++ b/bench/queues.py
@@ -221,7 +221,7 @@
             caller="rider",
         )
         opened = OpenCall(call, entry, self._now)
-        entry.retries.first(call, self._now)
+        entry.retries.record_first_attempt(call, self._now)
         delay_s = entry.hedges.delay_s(call, self._now)
         self._attempt(opened)
         if delay_s is not None and not opened.answered:
@@ -230,7 +230,7 @@
     def _hedge(self, opened: OpenCall, delay_s: float) -> None:
         if opened.answered or opened.attempts != 1:
             return
-        if opened.entry.hedges.spend(opened.call, self._now):
+        if opened.entry.hedges.try_spend(opened.call, self._now):
             self._attempt(opened)
         else:
             self._at(delay_s, lambda: self._hedge(opened, delay_s))
@@ -300,7 +300,9 @@
             self._close(opened, outcome)
         elif not opened.open:
             retries = opened.entry.retries
-            if retries.again(opened.call, outcome, opened.attempts, self._now):
+            if retries.should_retry(
+                opened.call, outcome, opened.attempts, self._now
+            ):
                 self._attempt(opened)
             else:
                 self._close(opened, outcome)
--- a/src/radishwind/claims/tests/test_at_most_once.py
+++ b/src/radishwind/claims/tests/test_at_most_once.py
@@ -18,7 +18,7 @@
 from radishwind.outcomes import NotRun
 from radishwind.outcomes import Outcome
 from radishwind.outcomes import Unknown
-from radishwind.retries import RetryNotRun
+from radishwind.retries import CappedRetryPolicy
 from radishwind.store import Compare
 from radishwind.store import Put
 from radishwind.store import StoreError
@@ -141,10 +141,10 @@
         return outcome
 
 
-class RetryUnknown(RetryNotRun):
+class RetryUnknown(CappedRetryPolicy):
     """Weak: tries again after an unknown outcome."""
 
-    def again(self, call, outcome, attempts, now) -> bool:
+    def should_retry(self, call, outcome, attempts, now) -> bool:
         return attempts < 3 and isinstance(outcome, Unknown)
 
 
--- a/src/radishwind/entry/call.py
+++ b/src/radishwind/entry/call.py
@@ -69,16 +69,16 @@
       suspect: whether an attempt before broke off, so that it runs alone.
       aim: monotonic time (s) by which an answer earns its full worth.
       priority: its rank among others that wait; 0 is the highest.
-      most_reached: servers that its attempts may reach at most.
+      max_server_attempts: servers that its attempts may reach at most.
       route: the route that took it; empty where services have none.
       regions: where it may run; empty for anywhere.
       work_s: its run time at the usual pace (s); 0 where not known.
-      lot: drawn with those that it belongs to, -0.5 to 0.5; the lower go
+      group_rank: drawn with those that it belongs to, -0.5 to 0.5; the lower go
         first where not all can be served. 0 where it belongs to no others.
       account: the client account that asks; empty for none.
-      is_callers: whether a caller surely sent it, and no server that runs
+      is_external: whether a caller surely sent it, and no server that runs
         something.
-      repeated: whether an attempt before came to a server, or may still.
+      is_retry: whether an attempt before came to a server, or may still.
       steps: what was tried and what came of it, for the log; grows.
     """
 
@@ -95,14 +95,14 @@
     suspect: bool = False
     aim: float = math.inf
     priority: int = 0
-    most_reached: int = NO_LIMIT
+    max_server_attempts: int = NO_LIMIT
     route: str = ""
     regions: frozenset[str] = frozenset()
     work_s: float = 0.0
-    lot: float = 0.0
+    group_rank: float = 0.0
     account: str = ""
-    is_callers: bool = True
-    repeated: bool = False
+    is_external: bool = True
+    is_retry: bool = False
     steps: list[str] = dataclasses.field(default_factory=list, compare=False)
 
 
@@ -145,7 +145,7 @@
     )
 
 
-def nested_request(call: Call, now: float) -> Request:
+def server_request(call: Call, now: float) -> Request:
     """Returns the request as the server gets it.
 
     It tells the time left and the depth of the calls that the server makes
--- a/src/radishwind/entry/attempts.py
+++ b/src/radishwind/entry/call_executor.py
@@ -7,9 +7,9 @@
 from radishwind.core.clock import Clock
 from radishwind.core.codes import ResultCode
 from radishwind.entry.call import Call
-from radishwind.entry.foresight import Foresight
-from radishwind.entry.foresight import NoForesight
 from radishwind.entry.hedge_timer import HedgeTimer
+from radishwind.entry.load_shedder import LoadShedder
+from radishwind.entry.load_shedder import NoLoadShedding
 from radishwind.entry.race import Race
 from radishwind.entry.runner import AttemptRunner
 from radishwind.hedging.policy import HedgePolicy
@@ -40,7 +40,7 @@
     hedges: int = 0
 
 
-class Attempts:
+class CallExecutor:
     """Runs calls to their final outcome; holds no state of a call."""
 
     def __init__(
@@ -52,7 +52,7 @@
         retries: RetryPolicy,
         hedges: HedgePolicy,
         runner: AttemptRunner,
-        foresight: Foresight | None = None,
+        shedder: LoadShedder | None = None,
     ) -> None:
         self._clock = clock
         self._placement = placement
@@ -60,7 +60,7 @@
         self._retries = retries
         self._hedges = hedges
         self._runner = runner
-        self._foresight = foresight or NoForesight()
+        self._shedder = shedder or NoLoadShedding()
         self.counts = AttemptCounts()
         self._timer = HedgeTimer(clock)
 
@@ -73,16 +73,14 @@
         history = _History(call)
         self.counts.calls += 1
         now = self._clock.monotonic()
-        self._retries.first(call, now)
+        self._retries.record_first_attempt(call, now)
         hedge_s = self._hedges.delay_s(call, now)
         last: Outcome | None = None
         while True:
             member = self._choose(history)
             if member is None:
                 return last or self._placement.refusal(call)
-            late = self._foresight.refusal(
-                call, member, self._clock.monotonic()
-            )
+            late = self._shedder.refusal(call, member, self._clock.monotonic())
             if late is not None:
                 return graver(last, late)
             outcome = await self._attempt_or_race(history, member, hedge_s)
@@ -90,9 +88,11 @@
                 hedge_s = None  # What was tried in earnest is not hedged.
             last = graver(last, outcome)
             now = self._clock.monotonic()
-            if history.reached >= call.most_reached:
+            if history.reached >= call.max_server_attempts:
                 return last
-            if not self._retries.again(call, last, history.attempts, now):
+            if not self._retries.should_retry(
+                call, last, history.attempts, now
+            ):
                 return last
 
     def _choose(self, history: "_History") -> Member | None:
@@ -135,18 +135,23 @@
         self, history: "_History", race: Race, delay_s: float
     ) -> None:
         now = self._clock.monotonic()
-        wait_s = self._hedges.wait_s(history.call, history.running, now)
+        wait_s = self._hedges.hold_off_s(history.call, history.running, now)
         if wait_s > 0:
             self._hedge_later(history, race, wait_s)
             return
         member = self._choose(history)
-        if member is None or history.reached >= history.call.most_reached:
+        if (
+            member is None
+            or history.reached >= history.call.max_server_attempts
+        ):
             return
-        if not self._hedges.pays(history.call, history.running, member, now):
-            again_s = self._hedges.again_s(history.call) or delay_s
-            self._hedge_later(history, race, again_s)
+        if not self._hedges.is_worthwhile(
+            history.call, history.running, member, now
+        ):
+            recheck_s = self._hedges.recheck_s(history.call) or delay_s
+            self._hedge_later(history, race, recheck_s)
             return
-        if not self._hedges.spend(history.call, now):
+        if not self._hedges.try_spend(history.call, now):
             # Without a token now, one may be there after another wait: who
             # has no answer then is among the slowest.
             self._hedge_later(history, race, delay_s)
@@ -164,7 +169,7 @@
         self._chooser.started(member.name, began, expected_s)
         outcome, load = None, None
         if history.reached > 1:
-            call = dataclasses.replace(call, repeated=True)
+            call = dataclasses.replace(call, is_retry=True)
         try:
             result = await self._runner.run(call, member, attempt_id)
             outcome, load = result.outcome, result.load
--- a/src/radishwind/entry/siblings.py
+++ b/src/radishwind/entry/fan_out.py
@@ -4,11 +4,11 @@
 the slot that it took and what its other calls got. Where a service can serve
 six of ten calls and each is decided by itself, of runs with two calls 36 in 100
 get both, and 48 got one in vain; decided alike it is 60. So calls that belong
-together draw one lot, and servers that can't serve all go by the lots: each by
-itself, and yet the same for both calls.
+together draw one rank, and servers that can't serve go by the ranks: each by itself,
+and yet the same for both calls.
 
 Calls that belong together come to one node at one moment, with the same time
-left. Which routes have such calls is learned; on others nobody gets a lot.
+left. Which routes have such calls is learned; on others nobody gets a rank.
 """
 
 import random
@@ -38,27 +38,27 @@
     Attributes:
       began: when the first of them came (monotonic s).
       told_ms: the time that they have left (ms).
-      lot: what they drew, -0.5 to 0.5.
+      group_rank: what they drew, -0.5 to 0.5.
       size: how many they are.
       part: part of the moments so far at which several came.
     """
 
     began: float
     told_ms: int
-    lot: float
+    group_rank: float
     size: int = 1
     part: float = 0.0
 
 
-class Siblings:
+class FanOutDetector:
     """Draws lots for requests that come together."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._groups: dict[str, _Group] = {}
 
-    def lot(self, route: str, told_ms: int, now: float) -> float:
-        """Returns the lot of a request; 0 where it belongs to no others.
+    def group_rank(self, route: str, told_ms: int, now: float) -> float:
+        """Returns the group_rank of a request; 0 where it belongs to no others.
 
         Args:
           route: that takes it.
@@ -77,8 +77,8 @@
         else:
             group.part += _WEIGHT * ((group.size > 1) - group.part)
             group.began, group.told_ms = now, told_ms
-            group.lot, group.size = self._draw(), 1
-        return group.lot if group.part >= LEAST_PART else 0.0
+            group.group_rank, group.size = self._draw(), 1
+        return group.group_rank if group.part >= LEAST_PART else 0.0
 
     def _draw(self) -> float:
         return self._rng.random() - 0.5
--- a/src/radishwind/entry/keys.py
+++ b/src/radishwind/entry/key_authenticator.py
@@ -26,7 +26,7 @@
         self.retry_after_s = retry_after_s
 
 
-class KeyCheck:
+class KeyAuthenticator:
     """Decides whose request it is; refuses at once what is nobody's.
 
     Attributes:
@@ -53,7 +53,7 @@
         """Whether there are accounts, so that requests need a key."""
         return self._book().in_use
 
-    def account(
+    def authenticate(
         self, keys: tuple[str, ...], *, public: bool, now: float
     ) -> Account | None:
         """Returns the account of a request; `None` for nobody's.
--- a/src/radishwind/entry/foresight.py
+++ b/src/radishwind/entry/load_shedder.py
@@ -31,7 +31,7 @@
 _LEAST_RETRY_S = 0.05
 
 
-class Foresight(abc.ABC):
+class LoadShedder(abc.ABC):
     """Says whether an attempt is worth to be made."""
 
     @abc.abstractmethod
@@ -47,7 +47,7 @@
         """
 
 
-class NoForesight(Foresight):
+class NoLoadShedding(LoadShedder):
     """Sends everything."""
 
     def refusal(
@@ -56,7 +56,7 @@
         return None
 
 
-class RefuseLate(Foresight):
+class ShedLateCalls(LoadShedder):
     """Refuses what would be late, by what the chooser expects.
 
     What is late already is sent where it need not wait for long.
--- a/src/radishwind/entry/nested.py
+++ b/src/radishwind/entry/nested_routes.py
@@ -44,12 +44,12 @@
 _APART_S = 0.5
 
 
-class RunsBeside:
+class LocalConcurrency:
     """Counts what the server beside runs, now and in the mean of late."""
 
     def __init__(self) -> None:
         self._running = 0
-        self._repeated = 0
+        self._retries = 0
         self._mean = 0.0
         self._since = -math.inf
 
@@ -59,23 +59,23 @@
         return self._running
 
     @property
-    def repeated_part(self) -> float:
+    def retry_fraction(self) -> float:
         """The part of them that were sent to a server before."""
-        return self._repeated / self._running if self._running else 0.0
+        return self._retries / self._running if self._running else 0.0
 
-    def began(self, now: float, *, repeated: bool = False) -> None:
+    def run_started(self, now: float, *, is_retry: bool = False) -> None:
         """Takes that a run began (monotonic s)."""
         self._mean = self.mean(now)
         self._since = now
         self._running += 1
-        self._repeated += repeated
+        self._retries += is_retry
 
-    def ended(self, now: float, *, repeated: bool = False) -> None:
+    def run_ended(self, now: float, *, is_retry: bool = False) -> None:
         """Takes that a run ended (monotonic s)."""
         self._mean = self.mean(now)
         self._since = now
         self._running -= 1
-        self._repeated -= repeated
+        self._retries -= is_retry
 
     def just_ended(self, now: float) -> bool:
         """Returns whether a run ended only just before."""
@@ -87,11 +87,11 @@
         return self._running + (self._mean - self._running) * faded
 
 
-class NestedRoutes:
+class NestedRouteDetector:
     """Learns which routes' requests are calls of the server beside."""
 
     def __init__(
-        self, runs: RunsBeside, learned: Callable[[str, bool], None]
+        self, runs: LocalConcurrency, learned: Callable[[str, bool], None]
     ) -> None:
         """Makes a learner that knows nothing yet.
 
@@ -107,7 +107,7 @@
         self._seen: dict[str, float] = {}
         self._callers: set[str] = set()
 
-    def came(self, route: str, now: float) -> bool:
+    def observe(self, route: str, now: float) -> bool:
         """Takes a request; returns whether it counts as a call of the server.
 
         Args:
@@ -137,7 +137,7 @@
             self._learned(route, is_nested)
         return is_nested and self._runs.running > 0
 
-    def is_callers(self, route: str) -> bool:
+    def is_external(self, route: str) -> bool:
         """Returns whether requests of `route` surely are callers' own.
 
         Neither this nor that is known of a route at first, nor at a server
--- a/src/radishwind/entry/observer.py
+++ b/src/radishwind/entry/observer.py
@@ -20,7 +20,7 @@
           elapsed_s: from the request's arrival to the outcome (s).
         """
 
-    def left(self, call: Call, elapsed_s: float) -> None:  # noqa: B027
+    def disconnected(self, call: Call, elapsed_s: float) -> None:  # noqa: B027
         """Notes that the caller of `call` left before it was answered.
 
         Args:
--- a/src/radishwind/entry/pipeline.py
+++ b/src/radishwind/entry/pipeline.py
@@ -9,18 +9,18 @@
 from radishwind.claims.guard import ClaimGuard
 from radishwind.core.clock import Clock
 from radishwind.core.codes import ResultCode
-from radishwind.entry.attempts import AttemptCounts
-from radishwind.entry.attempts import Attempts
 from radishwind.entry.call import Call
 from radishwind.entry.call import CallRejectedError
+from radishwind.entry.call_executor import AttemptCounts
+from radishwind.entry.call_executor import CallExecutor
 from radishwind.entry.classifier import Classifier
-from radishwind.entry.foresight import Foresight
+from radishwind.entry.load_shedder import LoadShedder
 from radishwind.entry.observer import CallObserver
 from radishwind.entry.retry_after import RetryAfter
 from radishwind.entry.runner import AttemptResult
 from radishwind.entry.runner import AttemptRunner
 from radishwind.hedging.policy import HedgePolicy
-from radishwind.hedging.policy import NoHedges
+from radishwind.hedging.policy import NoHedging
 from radishwind.http.types import Request
 from radishwind.http.types import Response
 from radishwind.outcomes import answer
@@ -55,7 +55,7 @@
         quarantine: QuarantineGate | None = None,
         retry_after: RetryAfter | None = None,
         respond: Callable[[Outcome], Response] = answer,
-        foresight: Foresight | None = None,
+        shedder: LoadShedder | None = None,
         quotas: QuotaGate | None = None,
     ) -> None:
         self._clock = clock
@@ -66,14 +66,14 @@
         self._quarantine = quarantine or OpenGate()
         self._retry_after = retry_after or RetryAfter()
         self._respond = respond
-        self._attempts = Attempts(
+        self._attempts = CallExecutor(
             clock=clock,
             placement=placement,
             chooser=chooser,
             retries=retries,
-            hedges=hedges or NoHedges(),
+            hedges=hedges or NoHedging(),
             runner=runner,
-            foresight=foresight,
+            shedder=shedder,
         )
 
     @property
@@ -105,7 +105,7 @@
         except asyncio.CancelledError:
             elapsed_s = self._clock.monotonic() - began
             for observer in self._observers:
-                observer.left(call, elapsed_s)
+                observer.disconnected(call, elapsed_s)
             raise
         elapsed_s = self._clock.monotonic() - began
         for observer in self._observers:
--- a/src/radishwind/entry/request_log.py
+++ b/src/radishwind/entry/request_log.py
@@ -58,7 +58,7 @@
             held_back=held_back or None,
         )
 
-    def left(self, call: Call, elapsed_s: float) -> None:
+    def disconnected(self, call: Call, elapsed_s: float) -> None:
         now = self._clock.monotonic()
         if not self._may_tell(now):
             self._held_back += 1
--- a/src/radishwind/entry/returns.py
+++ b/src/radishwind/entry/retry_age.py
@@ -40,7 +40,7 @@
     fresh: float = 1.0
 
 
-class Returns:
+class RetryAgeEstimator:
     """Learns the longest wait of each route's callers."""
 
     def __init__(self) -> None:
--- a/src/radishwind/entry/routed.py
+++ b/src/radishwind/entry/routed_classifier.py
@@ -12,10 +12,10 @@
 from radishwind.entry.call import CallRejectedError
 from radishwind.entry.call import ServiceUnknownError
 from radishwind.entry.classifier import Classifier
-from radishwind.entry.keys import KeyCheck
-from radishwind.entry.nested import NestedRoutes
-from radishwind.entry.returns import Returns
-from radishwind.entry.siblings import Siblings
+from radishwind.entry.fan_out import FanOutDetector
+from radishwind.entry.key_authenticator import KeyAuthenticator
+from radishwind.entry.nested_routes import NestedRouteDetector
+from radishwind.entry.retry_age import RetryAgeEstimator
 from radishwind.http.types import Headers
 from radishwind.http.types import Request
 from radishwind.routes.in_force import RoutesInForce
@@ -59,13 +59,13 @@
         clock: Clock,
         routes: RoutesInForce,
         rules: ServiceRules,
-        read: Callable[[Headers], CallerFields],
+        decode_fields: Callable[[Headers], CallerFields],
         work_s: Callable[[str], float],
-        keys: KeyCheck,
+        keys: KeyAuthenticator,
         with_account: Callable[[Headers, str], Headers],
-        returns: Returns | None = None,
-        siblings: Siblings | None = None,
-        nested: NestedRoutes | None = None,
+        retry_ages: RetryAgeEstimator | None = None,
+        fan_outs: FanOutDetector | None = None,
+        nested_routes: NestedRouteDetector | None = None,
     ) -> None:
         """Makes a classifier.
 
@@ -73,28 +73,28 @@
           clock: the clock.
           routes: the routes in force.
           rules: of every service, where its routes don't say.
-          read: decodes what a caller tells in header fields.
+          decode_fields: decodes what a caller tells in header fields.
           work_s: returns the usual run time of a route (s).
           keys: finds the account of a request.
           with_account: returns header fields that tell a backend server the
             name of an account beside those given.
-          returns: tells how long ago a caller first asked; by default each
+          retry_ages: tells how long ago a caller first asked; by default each
             request counts as its caller's first.
-          siblings: draws lots for those that belong together; by default none
+          fan_outs: draws lots for those that belong together; by default none
             do.
-          nested: tells calls of the server beside from callers' requests; by
-            default none count as such.
+          nested_routes: tells calls of the server beside from requests of
+            callers; by default none count as such.
         """
         self._clock = clock
         self._routes = routes
         self._rules = rules
-        self._read = read
+        self._decode_fields = decode_fields
         self._work_s = work_s
         self._keys = keys
         self._with_account = with_account
-        self._returns = returns
-        self._siblings = siblings
-        self._nested = nested
+        self._retry_ages = retry_ages
+        self._fan_outs = fan_outs
+        self._nested_routes = nested_routes
 
     def is_idempotent(self, request: Request) -> bool:
         """Returns whether a route takes `request` and lets it run twice.
@@ -103,7 +103,7 @@
         turn, where it is refused.
         """
         try:
-            told = self._read(request.headers)
+            told = self._decode_fields(request.headers)
         except CallRejectedError:
             return False
         if self._routes.cfg is None:
@@ -112,7 +112,7 @@
         return route is not None and route.idempotent
 
     def classify(self, request: Request) -> Call:
-        told = self._read(request.headers)
+        told = self._decode_fields(request.headers)
         try:
             return self._classified(request, told)
         except CallRejectedError as exc:
@@ -137,14 +137,16 @@
         now = self._clock.monotonic()
         account = self._account(told, route, now)
         timeout_s = route.timeout_s
-        age_s = lot = 0.0
+        age_s = group_rank = 0.0
         if told.timeout_ms is not None:
             told_s = told.timeout_ms / 1000
             timeout_s = min(timeout_s, told_s)
-            if self._returns is not None:
-                age_s = self._returns.age_s(route.name, told_s, now)
-            if self._siblings is not None:
-                lot = self._siblings.lot(route.name, told.timeout_ms, now)
+            if self._retry_ages is not None:
+                age_s = self._retry_ages.age_s(route.name, told_s, now)
+            if self._fan_outs is not None:
+                group_rank = self._fan_outs.group_rank(
+                    route.name, told.timeout_ms, now
+                )
         headers, priority = told.headers, route.priority
         if account is not None:
             headers = self._with_account(headers, account.name)
@@ -162,26 +164,26 @@
             depth=self._depth(route, account, now),
             aim=now + max(0.0, min(route.aim_s - age_s, timeout_s)),
             priority=priority,
-            most_reached=route.attempts,
+            max_server_attempts=route.attempts,
             route=route.name,
             regions=route.regions,
             work_s=self._work_s(route.name),
-            lot=lot,
+            group_rank=group_rank,
             account=account.name if account else "",
-            is_callers=self._is_callers(route, account),
+            is_external=self._is_callers(route, account),
         )
 
     def _depth(self, route: Route, account: Account | None, now: float) -> int:
         """Returns 1 for a call of the server beside, which carries no key."""
-        if self._nested is None or account is not None:
+        if self._nested_routes is None or account is not None:
             return 0
-        return int(self._nested.came(route.name, now))
+        return int(self._nested_routes.observe(route.name, now))
 
     def _is_callers(self, route: Route, account: Account | None) -> bool:
         """Returns whether a caller surely sent a request of `route`."""
-        if self._nested is None or account is not None:
+        if self._nested_routes is None or account is not None:
             return True
-        return self._nested.is_callers(route.name)
+        return self._nested_routes.is_external(route.name)
 
     def _account(
         self, told: CallerFields, route: Route, now: float
@@ -189,4 +191,4 @@
         """Returns whose request it is; `None` where there are no accounts."""
         if not self._keys.in_use:
             return None
-        return self._keys.account(told.keys, public=route.public, now=now)
+        return self._keys.authenticate(told.keys, public=route.public, now=now)
--- a/src/radishwind/entry/tests/test_call.py
+++ b/src/radishwind/entry/tests/test_call.py
@@ -13,7 +13,7 @@
 from radishwind.config.model import ServiceRules
 from radishwind.entry.call import CallRejectedError
 from radishwind.entry.call import classify
-from radishwind.entry.call import nested_request
+from radishwind.entry.call import server_request
 from radishwind.entry.call import ServiceUnknownError
 from radishwind.http.types import header
 from radishwind.http.types import Request
@@ -94,7 +94,7 @@
 def test_server_gets_the_time_left_and_one_more_level():
     call = call_for(("radishwind-timeout-ms", "900"), ("Radishwind-Depth", "3"))
 
-    headers = nested_request(call, now=100.25).headers
+    headers = server_request(call, now=100.25).headers
 
     assert header(headers, "radishwind-timeout-ms") == "650"
     assert header(headers, "radishwind-depth") == "4"
@@ -103,7 +103,7 @@
 
 def test_deepest_call_may_not_call_further():
     deepest = call_for(("Radishwind-Depth", "25"))
-    below = nested_request(deepest, now=100.0)
+    below = server_request(deepest, now=100.0)
 
     with pytest.raises(CallRejectedError, match="radishwind-depth"):
         call_for(*below.headers)
--- a/src/radishwind/entry/tests/test_attempts.py
+++ b/src/radishwind/entry/tests/test_call_executor.py
@@ -25,7 +25,7 @@
 from radishwind.outcomes import Done
 from radishwind.outcomes import NotRun
 from radishwind.outcomes import Unknown
-from radishwind.retries import RetryNotRun
+from radishwind.retries import CappedRetryPolicy
 from radishwind.routing.baselines import RoundRobin
 from radishwind.routing.placement import Anywhere
 
@@ -92,7 +92,7 @@
     def delay_s(self, call, now):
         return 0.0 if call.idempotent else None
 
-    def spend(self, call, now):
+    def try_spend(self, call, now):
         self.tokens -= 1
         return self.tokens >= 0
 
@@ -114,7 +114,7 @@
             ),
             placement=Anywhere(ListedDirectory(targets)),
             chooser=self.chooser,
-            retries=RetryNotRun(),
+            retries=CappedRetryPolicy(),
             runner=self.runner,
             claims=NoClaims(),
             hedges=hedges,
--- a/src/radishwind/entry/tests/test_keys.py
+++ b/src/radishwind/entry/tests/test_key_authenticator.py
@@ -14,9 +14,9 @@
 from radishwind.entry import AttemptResult
 from radishwind.entry import AttemptRunner
 from radishwind.entry import EntryPipeline
-from radishwind.entry.keys import KeyCheck
+from radishwind.entry.key_authenticator import KeyAuthenticator
 from radishwind.entry.observer import CallObserver
-from radishwind.entry.routed import RoutedClassifier
+from radishwind.entry.routed_classifier import RoutedClassifier
 from radishwind.http import Address
 from radishwind.http import Request
 from radishwind.http import Response
@@ -29,7 +29,7 @@
 from radishwind.platform import with_account
 from radishwind.platform.answers import respond
 from radishwind.quotas import QuotaGate
-from radishwind.retries import RetryNotRun
+from radishwind.retries import CappedRetryPolicy
 from radishwind.routes import Part
 from radishwind.routes import Route
 from radishwind.routes import RouteConfig
@@ -124,7 +124,7 @@
         self.routes = RoutesInForce(clock)
         self.adopt(1, accounts)
         self.proof, self.server = Proof(), Server()
-        self.keys = KeyCheck(lambda: self.routes.accounts, self.proof)
+        self.keys = KeyAuthenticator(lambda: self.routes.accounts, self.proof)
         self.quotas, self.seen = Quotas(), Seen()
         self.told_of = []
         self.pipeline = EntryPipeline(
@@ -133,7 +133,7 @@
                 clock=clock,
                 routes=self.routes,
                 rules=ServiceRules(),
-                read=lambda headers: read_caller(
+                decode_fields=lambda headers: read_caller(
                     headers, "own", accounts=self.keys.in_use
                 ),
                 work_s=lambda name: 0.0,
@@ -142,7 +142,7 @@
             ),
             placement=Anywhere(One()),
             chooser=RandomChooser(random.Random(1)),
-            retries=RetryNotRun(),
+            retries=CappedRetryPolicy(),
             runner=self.server,
             claims=NoClaims(),
             respond=respond,
--- a/src/radishwind/entry/tests/test_foresight.py
+++ b/src/radishwind/entry/tests/test_load_shedder.py
@@ -4,9 +4,9 @@
 from tests.support.calls import make_call
 
 from radishwind.core.codes import ResultCode
-from radishwind.entry.foresight import MOST_LATE_S
-from radishwind.entry.foresight import RANK_STEP_S
-from radishwind.entry.foresight import RefuseLate
+from radishwind.entry.load_shedder import MOST_LATE_S
+from radishwind.entry.load_shedder import RANK_STEP_S
+from radishwind.entry.load_shedder import ShedLateCalls
 from radishwind.http.types import Address
 from radishwind.membership.directory import Member
 from radishwind.routing.chooser import TargetChooser
@@ -36,7 +36,7 @@
 
 
 def refusal(expected_s, aim_s, priority=0, usual_s=0.2, **changed):
-    foresight = RefuseLate(Chooser(expected_s, usual_s))
+    foresight = ShedLateCalls(Chooser(expected_s, usual_s))
     call = make_call(aim=10.0 + aim_s, priority=priority, **changed)
     return foresight.refusal(call, MEMBER, 10.0)
 
--- a/src/radishwind/entry/tests/test_nested.py
+++ b/src/radishwind/entry/tests/test_nested_routes.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from radishwind.entry.nested import MOST_ROUTES
-from radishwind.entry.nested import NestedRoutes
-from radishwind.entry.nested import RunsBeside
+from radishwind.entry.nested_routes import LocalConcurrency
+from radishwind.entry.nested_routes import MOST_ROUTES
+from radishwind.entry.nested_routes import NestedRouteDetector
 
 RUN_S = 0.2
 
@@ -16,9 +16,9 @@
 
     def __init__(self, seed=1):
         self.rng = random.Random(seed)
-        self.runs = RunsBeside()
+        self.runs = LocalConcurrency()
         self.learned = []
-        self.routes = NestedRoutes(
+        self.routes = NestedRouteDetector(
             self.runs,
             lambda route, nested: self.learned.append((route, nested)),
         )
@@ -44,11 +44,11 @@
         for at, kind, route in sorted(events, key=lambda e: e[0]):
             self.now = at
             if kind == "began":
-                self.runs.began(at)
+                self.runs.run_started(at)
             elif kind == "ended":
-                self.runs.ended(at)
+                self.runs.run_ended(at)
             else:
-                counted.append((route, self.routes.came(route, at)))
+                counted.append((route, self.routes.observe(route, at)))
         return counted
 
 
@@ -97,14 +97,14 @@
     server.play(5, 40.0)
     server.now += 5.0
     while server.runs.running:
-        server.runs.ended(server.now)
+        server.runs.run_ended(server.now)
 
     for _ in range(20):
         server.now += 1.0
-        server.runs.began(server.now)
-        server.routes.came("called", server.now + 0.05)
-        server.runs.ended(server.now + 0.051)
-        server.routes.came("called", server.now + 0.052)
+        server.runs.run_started(server.now)
+        server.routes.observe("called", server.now + 0.05)
+        server.runs.run_ended(server.now + 0.051)
+        server.routes.observe("called", server.now + 0.052)
 
     assert server.learned[-1] == ("called", True)
 
@@ -112,9 +112,11 @@
 def test_a_server_that_is_always_full_tells_nothing():
     server = Server()
     for _ in range(3):
-        server.runs.began(0.0)
+        server.runs.run_started(0.0)
 
-    assert not any(server.routes.came("r", 20.0 + i * 0.1) for i in range(500))
+    assert not any(
+        server.routes.observe("r", 20.0 + i * 0.1) for i in range(500)
+    )
 
 
 def test_a_route_that_callers_begin_to_use_is_theirs_within_seconds():
@@ -125,7 +127,7 @@
     for i in range(20):
         server.now += 0.2
         if not server.runs.running:
-            server.routes.came("called", server.now + i * 0.01)
+            server.routes.observe("called", server.now + i * 0.01)
 
     assert server.learned[-1] == ("called", False)
 
@@ -133,7 +135,7 @@
 def test_routes_are_forgotten_beyond_a_bound():
     server = Server()
     for i in range(MOST_ROUTES + 10):
-        server.routes.came(str(i), 0.0)
+        server.routes.observe(str(i), 0.0)
 
     assert len(server.routes._evidence) == MOST_ROUTES
 
@@ -141,8 +143,8 @@
 def test_only_routes_that_callers_surely_use_are_theirs():
     """What is unclear adds to no budget of repeats."""
     server = Server()
-    assert not server.routes.is_callers("read")
+    assert not server.routes.is_external("read")
     server.play(5, 20.0)
 
-    assert server.routes.is_callers("read")
-    assert not server.routes.is_callers("called")
+    assert server.routes.is_external("read")
+    assert not server.routes.is_external("called")
--- a/src/radishwind/entry/tests/test_not_run_is_true.py
+++ b/src/radishwind/entry/tests/test_not_run_is_true.py
@@ -7,9 +7,9 @@
 from radishwind.core import ResultCode
 from radishwind.entry import AttemptResult
 from radishwind.entry import AttemptRunner
-from radishwind.entry.attempts import Attempts
 from radishwind.entry.call import Call
-from radishwind.hedging.policy import NoHedges
+from radishwind.entry.call_executor import CallExecutor
+from radishwind.hedging.policy import NoHedging
 from radishwind.http import Address
 from radishwind.http import Request
 from radishwind.http import Response
@@ -18,7 +18,7 @@
 from radishwind.outcomes import Done
 from radishwind.outcomes import NotRun
 from radishwind.outcomes import Unknown
-from radishwind.retries import RetryNotRun
+from radishwind.retries import CappedRetryPolicy
 from radishwind.routing.baselines import RandomChooser
 from radishwind.routing.placement import Anywhere
 
@@ -56,12 +56,12 @@
     ],
 )
 async def test_what_may_have_run_once_is_not_told_as_not_run(outcomes, told):
-    attempts = Attempts(
+    attempts = CallExecutor(
         clock=ManualClock(),
         placement=Anywhere(Three()),
         chooser=RandomChooser(random.Random(1)),
-        retries=RetryNotRun(),
-        hedges=NoHedges(),
+        retries=CappedRetryPolicy(),
+        hedges=NoHedging(),
         runner=Plays(*outcomes),
     )
     assert await attempts.run(CALL) == told
--- a/src/radishwind/entry/tests/test_request_log.py
+++ b/src/radishwind/entry/tests/test_request_log.py
@@ -4,7 +4,7 @@
 from tests.support.calls import make_call
 
 from radishwind.core import ManualClock
-from radishwind.entry.keys import KeyRefusedError
+from radishwind.entry.key_authenticator import KeyRefusedError
 from radishwind.entry.request_log import MOST_PER_S
 from radishwind.entry.request_log import RequestLog
 from radishwind.telemetry import logs
@@ -21,7 +21,7 @@
     call = make_call(call_id="r-1", aim=0.5)
     call.steps.append("t-1 (cost=90ms) 800ms cancelled")
 
-    RequestLog(ManualClock()).left(call, 0.8)
+    RequestLog(ManualClock()).disconnected(call, 0.8)
 
     assert len(lines) == 1
     assert lines[0]["text"] == "entry: A caller left before its answer."
@@ -34,9 +34,9 @@
     clock = ManualClock()
     log = RequestLog(clock)
     for _ in range(int(MOST_PER_S) + 7):
-        log.left(make_call(), 0.1)
+        log.disconnected(make_call(), 0.1)
     clock.advance(1.0)
-    log.left(make_call(), 0.1)
+    log.disconnected(make_call(), 0.1)
 
     assert len(lines) == MOST_PER_S + 1
     assert lines[-1]["held_back"] == 7
--- a/src/radishwind/entry/tests/test_returns.py
+++ b/src/radishwind/entry/tests/test_retry_age.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from radishwind.entry.returns import LEAST_FRESH
-from radishwind.entry.returns import MOST_ROUTES
-from radishwind.entry.returns import Returns
-from radishwind.entry.returns import SPAN_S
+from radishwind.entry.retry_age import LEAST_FRESH
+from radishwind.entry.retry_age import MOST_ROUTES
+from radishwind.entry.retry_age import RetryAgeEstimator
+from radishwind.entry.retry_age import SPAN_S
 
 
 @pytest.fixture
 def returns():
-    made = Returns()
+    made = RetryAgeEstimator()
     for i in range(100):
         made.age_s("r", 1.2, i * 0.01)
     return made
@@ -32,7 +32,7 @@
 
 
 def test_callers_that_wait_for_different_times_are_not_taken_for_returns():
-    made = Returns()
+    made = RetryAgeEstimator()
     rng = random.Random(1)
     ages = [
         made.age_s("r", rng.uniform(0.2, 2.0), i * 0.01) for i in range(600)
@@ -42,7 +42,7 @@
 
 
 def test_in_an_overload_in_which_half_return_they_are_still_known():
-    made = Returns()
+    made = RetryAgeEstimator()
     rng = random.Random(1)
     told = [1.2 if rng.random() < 0.6 else 0.8 for _ in range(2000)]
     ages = [made.age_s("r", t, i * 0.01) for i, t in enumerate(told)]
@@ -61,7 +61,7 @@
 
 
 def test_routes_are_forgotten_beyond_a_bound():
-    made = Returns()
+    made = RetryAgeEstimator()
     for i in range(MOST_ROUTES + 10):
         made.age_s(f"r{i}", 1.0, 0.0)
 
--- a/src/radishwind/hedging/fresh.py
+++ b/src/radishwind/hedging/forecast.py
@@ -6,7 +6,7 @@
 from radishwind.hedging.policy import HedgePolicy
 from radishwind.http.types import BodyStream
 from radishwind.outcomes.model import Outcome
-from radishwind.retries.shared import SharedBudget
+from radishwind.retries.fleet import FleetRetryBudget
 from radishwind.routing.chooser import LoadReport
 
 if TYPE_CHECKING:
@@ -24,11 +24,13 @@
 LEAST_GAIN = 0.15
 
 
-class Forecast(abc.ABC):
+class LatencyForecast(abc.ABC):
     """Says when attempts are expected to answer."""
 
     @abc.abstractmethod
-    def left_s(self, name: str, work: str, began: float, now: float) -> float:
+    def remaining_s(
+        self, name: str, work: str, began: float, now: float
+    ) -> float:
         """Returns how long a running attempt will still take (s).
 
         Args:
@@ -43,24 +45,26 @@
         """Returns how long a new attempt at `member` would take (s)."""
 
 
-class HedgeBeforeAim(HedgePolicy):
+class ForecastHedgePolicy(HedgePolicy):
     """Starts a second attempt where it meets the aim and the first does not."""
 
-    def __init__(self, budget: SharedBudget, forecast: Forecast) -> None:
+    def __init__(
+        self, budget: FleetRetryBudget, forecast: LatencyForecast
+    ) -> None:
         self._budget = budget
         self._forecast = forecast
 
     def delay_s(self, call: "Call", now: float) -> float | None:
         if not call.idempotent or isinstance(call.request.body, BodyStream):
             return None
-        if call.most_reached < 2:
+        if call.max_server_attempts < 2:
             return None
         return max(LOOK_S, LEAST_PART * (call.aim - now))
 
-    def again_s(self, call: "Call") -> float:
+    def recheck_s(self, call: "Call") -> float:
         return LOOK_S
 
-    def wait_s(
+    def hold_off_s(
         self, call: "Call", running: tuple[str, float], now: float
     ) -> float:
         """Waits for as long as the first attempt is expected to take.
@@ -69,12 +73,12 @@
         a target and 44 of them some 0.8 ms each time (worked out).
         """
         name, began = running
-        first_s = self._forecast.left_s(name, call.route, began, now)
+        first_s = self._forecast.remaining_s(name, call.route, began, now)
         if now + first_s > self._until(call, now):
             return 0.0
         return max(LOOK_S, first_s)
 
-    def pays(
+    def is_worthwhile(
         self,
         call: "Call",
         running: tuple[str, float],
@@ -82,7 +86,7 @@
         now: float,
     ) -> bool:
         name, began = running
-        first_s = self._forecast.left_s(name, call.route, began, now)
+        first_s = self._forecast.remaining_s(name, call.route, began, now)
         other_s = self._forecast.cost_s(other, now, call.route)
         until = self._until(call, now)
         if now + first_s <= until:
@@ -94,9 +98,9 @@
         """Returns by when an answer is wanted: the aim, then the deadline."""
         return call.aim if now < call.aim else call.deadline
 
-    def spend(self, call: "Call", now: float) -> bool:
+    def try_spend(self, call: "Call", now: float) -> bool:
         # What is kept for nested calls saves lost ones, not late ones.
-        return self._budget.spend(call.service, now)
+        return self._budget.try_spend(call.service, now)
 
     def finished(
         self,
--- a/src/radishwind/hedging/policy.py
+++ b/src/radishwind/hedging/policy.py
@@ -22,11 +22,11 @@
         first attempt begins.
         """
 
-    def again_s(self, call: "Call") -> float | None:
+    def recheck_s(self, call: "Call") -> float | None:
         """Returns when to look at `call` again (s); `None` for as before."""
         return None
 
-    def wait_s(
+    def hold_off_s(
         self, call: "Call", running: tuple[str, float], now: float
     ) -> float:
         """Returns how long the first attempt is left alone (s); 0 for no more.
@@ -39,7 +39,7 @@
         """
         return 0.0
 
-    def pays(
+    def is_worthwhile(
         self,
         call: "Call",
         running: tuple[str, float],
@@ -58,7 +58,7 @@
         return True
 
     @abc.abstractmethod
-    def spend(self, call: "Call", now: float) -> bool:
+    def try_spend(self, call: "Call", now: float) -> bool:
         """Returns whether the hedge, now due, may begin; it is then paid."""
 
     @abc.abstractmethod
@@ -81,13 +81,13 @@
         """
 
 
-class NoHedges(HedgePolicy):
+class NoHedging(HedgePolicy):
     """Hedges nothing."""
 
     def delay_s(self, call: "Call", now: float) -> float | None:
         return None
 
-    def spend(self, call: "Call", now: float) -> bool:
+    def try_spend(self, call: "Call", now: float) -> bool:
         return False
 
     def finished(
--- a/src/radishwind/hedging/quantile.py
+++ b/src/radishwind/hedging/quantile.py
@@ -10,7 +10,7 @@
 from radishwind.outcomes.model import Done
 from radishwind.outcomes.model import NotRun
 from radishwind.outcomes.model import Outcome
-from radishwind.retries.buckets import BucketTable
+from radishwind.retries.token_buckets import TokenBucketTable
 from radishwind.routing.chooser import LoadReport
 
 if TYPE_CHECKING:
@@ -88,7 +88,7 @@
         self._window = min(WINDOW, 2 * self._window)
 
 
-class HedgeAfterQuantile(HedgePolicy):
+class QuantileHedgePolicy(HedgePolicy):
     """Hedges idempotent calls that are slower than most of their service.
 
     The quantile is chosen so that a little less than the share that the rules
@@ -97,13 +97,13 @@
 
     def __init__(self) -> None:
         self._services: dict[str, _AnswerTimes] = {}
-        self._buckets = BucketTable(0.0, MAX_SAVED)
+        self._buckets = TokenBucketTable(0.0, MAX_SAVED)
 
     def delay_s(self, call: "Call", now: float) -> float | None:
         share = call.rules.hedge_share
         if not _may_hedge(call):
             return None
-        self._buckets.earn(call.service, share, now)
+        self._buckets.deposit(call.service, share, now)
         times = self._services.get(call.service)
         if times is None or times.delay_s is None or times.overloaded:
             return None
@@ -111,11 +111,11 @@
             return None
         return times.delay_s
 
-    def spend(self, call: "Call", now: float) -> bool:
+    def try_spend(self, call: "Call", now: float) -> bool:
         times = self._services.get(call.service)
         if times is None or times.overloaded:
             return False
-        return self._buckets.spend(call.service)
+        return self._buckets.try_spend(call.service)
 
     def finished(
         self,
--- a/src/radishwind/hedging/tests/test_quantile.py
+++ b/src/radishwind/hedging/tests/test_quantile.py
@@ -6,7 +6,7 @@
 from radishwind.config.model import ServiceRules
 from radishwind.core.codes import ResultCode
 from radishwind.entry.call import Call
-from radishwind.hedging import HedgeAfterQuantile
+from radishwind.hedging import QuantileHedgePolicy
 from radishwind.hedging.quantile import AIM
 from radishwind.hedging.quantile import FIRST_WINDOW
 from radishwind.hedging.quantile import MAX_SAVED
@@ -44,7 +44,7 @@
 
 
 def learned(windows=2, load=None):
-    policy = HedgeAfterQuantile()
+    policy = QuantileHedgePolicy()
     rng = random.Random(1)
     for _ in range(windows * WINDOW):
         policy.delay_s(CALL, 0.0)
@@ -53,7 +53,7 @@
 
 
 def test_no_hedge_before_the_first_window():
-    assert HedgeAfterQuantile().delay_s(CALL, 0.0) is None
+    assert QuantileHedgePolicy().delay_s(CALL, 0.0) is None
 
 
 def test_delay_is_the_quantile_that_the_share_asks_for():
@@ -66,7 +66,7 @@
 
 
 def test_a_service_with_few_calls_gets_a_delay_early():
-    policy = HedgeAfterQuantile()
+    policy = QuantileHedgePolicy()
 
     for _ in range(FIRST_WINDOW):
         assert policy.delay_s(CALL, 0.0) is None
@@ -107,7 +107,7 @@
     hedges = 0
     for _ in range(calls):
         policy.delay_s(CALL, 0.0)
-        hedges += policy.spend(CALL, 0.0)
+        hedges += policy.try_spend(CALL, 0.0)
 
     assert 0 < hedges <= 0.05 * calls + MAX_SAVED
 
@@ -115,7 +115,7 @@
 def test_no_hedges_while_most_targets_are_full():
     policy = learned(load=FULL)
     assert policy.delay_s(CALL, 0.0) is None
-    assert not policy.spend(CALL, 0.0)
+    assert not policy.try_spend(CALL, 0.0)
 
     for _ in range(100):
         policy.finished(CALL, 0.0, 0.01, OK, LoadReport(9, 3, 0, 10.0))
@@ -144,7 +144,7 @@
 
 
 def test_services_kept_are_bounded():
-    policy = HedgeAfterQuantile()
+    policy = QuantileHedgePolicy()
 
     for number in range(MAX_SERVICES + 5):
         call = dataclasses.replace(CALL, service=f"s{number}")
--- a/src/radishwind/node/app.py
+++ b/src/radishwind/node/app.py
@@ -14,7 +14,7 @@
 from radishwind.core import Clock
 from radishwind.entry import EntryPipeline
 from radishwind.entry.classifier import InventoryClassifier
-from radishwind.hedging import HedgeAfterQuantile
+from radishwind.hedging import QuantileHedgePolicy
 from radishwind.http import make_sender
 from radishwind.http import make_server
 from radishwind.membership import Announced
@@ -37,7 +37,7 @@
 from radishwind.peers import PeerListener
 from radishwind.peers.attempts import is_attempt
 from radishwind.quarantine.runner import CarefulRunner
-from radishwind.retries import RetryBudget
+from radishwind.retries import BudgetedRetryPolicy
 from radishwind.routing.placement import Anywhere
 from radishwind.settings import NodeSettings
 from radishwind.telemetry.logs import PartLogger
@@ -135,8 +135,8 @@
             chooser=node_chooser(
                 self._settings, self._rng, lambda: self._index, self._target
             ),
-            retries=RetryBudget(),
-            hedges=HedgeAfterQuantile(),
+            retries=BudgetedRetryPolicy(),
+            hedges=QuantileHedgePolicy(),
             runner=CarefulRunner(forward),
             claims=self._claims.guard,
             quarantine=self._target_side.quarantine,
--- a/src/radishwind/node/target.py
+++ b/src/radishwind/node/target.py
@@ -12,7 +12,7 @@
 from radishwind.membership import RumorBoard
 from radishwind.node.admin import AdminListener
 from radishwind.node.observe import Observation
-from radishwind.probing import HealthModel
+from radishwind.probing import HealthEstimator
 from radishwind.probing import Prober
 from radishwind.quarantine import Quarantine
 from radishwind.settings import NodeSettings
@@ -48,7 +48,7 @@
             clock=clock,
             board=board,
         )
-        health = HealthModel()
+        health = HealthEstimator()
         self._watch = ServerWatch(clock, health, self.quarantine)
         self._prober = Prober(
             clock=clock,
@@ -56,7 +56,7 @@
             server=self._server,
             admission=self._admission,
             health=health,
-            gone=self._watch.gone,
+            on_connect_failed=self._watch.gone,
         )
         self.pipeline = TargetPipeline(
             clock=clock,
@@ -124,7 +124,7 @@
             caller_weights=rules.caller_weights,
         )
         self._admission.resize(limits)
-        self._prober.resize(rules.probe_share)
+        self._prober.set_budget_share(rules.probe_share)
 
     def _status(self) -> dict[str, Any]:
         now = self._clock.monotonic()
--- a/src/radishwind/peers/attempts.py
+++ b/src/radishwind/peers/attempts.py
@@ -179,10 +179,10 @@
         _aim_ms(call, remaining_s),
         call.priority,
         round(call.work_s * 1000),
-        round(call.lot, 3),
+        round(call.group_rank, 3),
         call.route,
         call.account,
-        call.repeated,
+        call.is_retry,
     )
 
 
--- a/src/radishwind/peers/listener.py
+++ b/src/radishwind/peers/listener.py
@@ -308,10 +308,10 @@
             aim=self._aim(info),
             priority=info.priority,
             work_s=info.work_ms / 1000,
-            lot=min(0.5, max(-0.5, info.lot)),
+            group_rank=min(0.5, max(-0.5, info.lot)),
             route=info.route,
             account=info.account,
-            repeated=info.repeated,
+            is_retry=info.repeated,
         )
 
     def _aim(self, info: AttemptInfo) -> float:
--- a/src/radishwind/platform/caller.py
+++ b/src/radishwind/platform/caller.py
@@ -1,7 +1,7 @@
 """Decodes what a caller tells in header fields."""
 
 from radishwind.entry.call import CallRejectedError
-from radishwind.entry.routed import CallerFields
+from radishwind.entry.routed_classifier import CallerFields
 from radishwind.http.types import header
 from radishwind.http.types import Headers
 from radishwind.platform.fields import ACCOUNT
--- a/src/radishwind/probing/budget.py
+++ b/src/radishwind/probing/budget.py
@@ -28,7 +28,7 @@
         self._expected_s = FIRST_COST_S
         self.spent_s = 0.0
 
-    def resize(self, share: float, slots: int, now: float) -> None:
+    def set_rate(self, share: float, slots: int, now: float) -> None:
         """Takes the share of slot time that probing may cost.
 
         Args:
--- a/src/radishwind/probing/health.py
+++ b/src/radishwind/probing/health.py
@@ -14,7 +14,7 @@
 OUTWEIGHS_S = 10.0
 
 
-class HealthModel:
+class HealthEstimator:
     """Keeps the recent share of failures.
 
     Probes can lower the trust in a server that nobody asks anything; they
@@ -26,43 +26,43 @@
         self._updated = 0.0
         self._last_answer = -OUTWEIGHS_S
         self._last_failure = -OUTWEIGHS_S
-        self._unsure = False
+        self._last_check_failed = False
 
     @property
-    def unsure(self) -> bool:
+    def last_check_failed(self) -> bool:
         """Whether the last news was bad, so that a probe helps soon."""
-        return self._unsure
+        return self._last_check_failed
 
-    def silent(self, now: float) -> bool:
+    def is_quiet(self, now: float) -> bool:
         """Returns whether there was no recent real answer."""
         return now - self._last_answer >= SILENCE_S
 
-    def answered(self, ok: bool, now: float) -> None:
+    def record_response(self, ok: bool, now: float) -> None:
         """Takes what became of a real request."""
         self._last_answer = now
         if not ok:
             self._last_failure = now
-        self._unsure = not ok
+        self._last_check_failed = not ok
         self._update(0.0 if ok else 1.0, now)
 
-    def probed(self, ok: bool, now: float) -> None:
+    def record_probe(self, ok: bool, now: float) -> None:
         """Takes what became of a probe."""
         if not ok:
-            self._unsure = True
+            self._last_check_failed = True
             self._update(1.0, now)
             return
-        self._unsure = False
+        self._last_check_failed = False
         if now - self._last_failure >= OUTWEIGHS_S:
             self._update(0.0, now)
 
-    def restarted(self, now: float) -> None:
+    def reset(self, now: float) -> None:
         """Forgets what the server did before a new start."""
         self._failing = 0.0
         self._updated = now
         self._last_failure = now - OUTWEIGHS_S
-        self._unsure = False
+        self._last_check_failed = False
 
-    def fitness(self, now: float) -> float:
+    def score(self, now: float) -> float:
         """Returns 1 for a server that does well to 0 for one that fails."""
         return 1.0 - self._failing_at(now)
 
--- a/src/radishwind/probing/policy.py
+++ b/src/radishwind/probing/policy.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from radishwind.probing.budget import ProbeBudget
-from radishwind.probing.health import HealthModel
+from radishwind.probing.health import HealthEstimator
 
 #: Time between probes of a silent server (s).
 CALM_INTERVAL_S = 2.0
@@ -41,7 +41,7 @@
 class ProbePolicy:
     """Probes only into silence or doubt, a free slot and a filled budget."""
 
-    def __init__(self, budget: ProbeBudget, health: HealthModel) -> None:
+    def __init__(self, budget: ProbeBudget, health: HealthEstimator) -> None:
         self._budget = budget
         self._health = health
         self._last = -CALM_INTERVAL_S
@@ -57,8 +57,11 @@
             is worth asking for more often.
           now: monotonic time (s).
         """
-        doubt = in_doubt or self._health.unsure
-        if not self._health.silent(now) and not self._health.unsure:
+        doubt = in_doubt or self._health.last_check_failed
+        if (
+            not self._health.is_quiet(now)
+            and not self._health.last_check_failed
+        ):
             return ProbeDecision.TRAFFIC
         if now - self._last < (DOUBT_INTERVAL_S if doubt else CALM_INTERVAL_S):
             return ProbeDecision.WAIT
@@ -68,8 +71,8 @@
             return ProbeDecision.BUDGET
         return ProbeDecision.PROBE
 
-    def probed(self, cost_s: float, ok: bool, now: float) -> None:
+    def record_probe(self, cost_s: float, ok: bool, now: float) -> None:
         """Takes what a probe cost (s) and whether it found the server well."""
         self._last = now
         self._budget.spend(cost_s, now)
-        self._health.probed(ok, now)
+        self._health.record_probe(ok, now)
--- a/src/radishwind/probing/prober.py
+++ b/src/radishwind/probing/prober.py
@@ -16,7 +16,7 @@
 from radishwind.http.types import Request
 from radishwind.http.types import whole_body
 from radishwind.probing.budget import ProbeBudget
-from radishwind.probing.health import HealthModel
+from radishwind.probing.health import HealthEstimator
 from radishwind.probing.policy import Occupancy
 from radishwind.probing.policy import ProbeDecision
 from radishwind.probing.policy import ProbePolicy
@@ -25,10 +25,10 @@
 from radishwind.target.server import ServerView
 
 #: How often the policy is asked (s).
-TICK_S = 0.25
+POLL_INTERVAL_S = 0.25
 
 #: How long a probe may take (s); it costs no more than that.
-TIMEOUT_S = 0.5
+PROBE_TIMEOUT_S = 0.5
 
 #: The caller that a probe's slot is charged to.
 CALLER = "radishwind-probe"
@@ -47,7 +47,7 @@
     """Asks the server's health endpoint when the policy says so.
 
     A probe holds a slot like a request, so it never joins a full server.
-    `gone` is called when the server takes no connection.
+    `on_connect_failed` is called when the server takes no connection.
     """
 
     def __init__(
@@ -57,14 +57,14 @@
         sender: Sender,
         server: ServerBeside,
         admission: Admission,
-        health: HealthModel,
-        gone: Callable[[], None],
+        health: HealthEstimator,
+        on_connect_failed: Callable[[], None],
     ) -> None:
         self._clock = clock
         self._sender = sender
         self._server = server
         self._admission = admission
-        self._gone = gone
+        self._on_connect_failed = on_connect_failed
         self._began = clock.monotonic()
         self._budget = ProbeBudget()
         self._policy = ProbePolicy(self._budget, health)
@@ -72,16 +72,16 @@
             collections.Counter()
         )
 
-    def resize(self, share: float) -> None:
+    def set_budget_share(self, share: float) -> None:
         """Takes the share of slot time that probing may cost."""
         now = self._clock.monotonic()
-        self._budget.resize(share, self._admission.slots, now)
+        self._budget.set_rate(share, self._admission.slots, now)
 
     async def run(self) -> None:
         """Probes until cancelled."""
         while True:
             await self.tick()
-            await anyio.sleep(TICK_S)
+            await anyio.sleep(POLL_INTERVAL_S)
 
     async def tick(self) -> None:
         """Probes once if the policy says so."""
@@ -102,7 +102,7 @@
 
     async def _probe(self, view: ServerView) -> None:
         began = self._clock.monotonic()
-        ticket = Ticket(CALLER, began + TIMEOUT_S, began, lambda: None)
+        ticket = Ticket(CALLER, began + PROBE_TIMEOUT_S, began, lambda: None)
         self._admission.offer(ticket, began)
         health = None
         try:
@@ -113,7 +113,7 @@
             self._admission.release(ticket, now, 0.0)
         if ticket.refused is not None:
             return
-        self._policy.probed(now - began, health is not None, now)
+        self._policy.record_probe(now - began, health is not None, now)
         if health is not None and health.state is not None:
             self._server.health(health.state, health.warm)
 
@@ -122,13 +122,13 @@
         fields = (("Host", str(view.address)),)
         request = Request("GET", view.health_path, fields)
         try:
-            with anyio.fail_after(TIMEOUT_S):
+            with anyio.fail_after(PROBE_TIMEOUT_S):
                 response = await self._sender.send(
-                    view.address, request, TIMEOUT_S
+                    view.address, request, PROBE_TIMEOUT_S
                 )
                 body = await whole_body(response.body)
         except ConnectFailedError:
-            self._gone()
+            self._on_connect_failed()
             return None
         except (SendError, TimeoutError):
             return None
--- a/src/radishwind/probing/tests/test_probing.py
+++ b/src/radishwind/probing/tests/test_probing.py
@@ -9,7 +9,7 @@
 from radishwind.core import ManualClock
 from radishwind.http import Address
 from radishwind.http import Response
-from radishwind.probing import HealthModel
+from radishwind.probing import HealthEstimator
 from radishwind.probing import ProbeBudget
 from radishwind.probing import ProbePolicy
 from radishwind.probing import Prober
@@ -23,14 +23,14 @@
 
 
 def make_policy(share=0.01):
-    budget, health = ProbeBudget(), HealthModel()
-    budget.resize(share, 9, 0.0)
+    budget, health = ProbeBudget(), HealthEstimator()
+    budget.set_rate(share, 9, 0.0)
     return ProbePolicy(budget, health), budget, health
 
 
 def test_real_answers_make_probes_needless():
     policy, _, health = make_policy()
-    health.answered(True, 9.5)
+    health.record_response(True, 9.5)
     assert policy.decide(FREE, False, 10.0) is ProbeDecision.TRAFFIC
     assert policy.decide(FREE, False, 10.5) is ProbeDecision.PROBE
 
@@ -47,7 +47,7 @@
     now = 10.0
     while now < 1000.0:
         if policy.decide(FREE, True, now) is ProbeDecision.PROBE:
-            policy.probed(cost_s, False, now)
+            policy.record_probe(cost_s, False, now)
         now += 0.05
     assert 0 < budget.spent_s <= 0.01 * 9 * 990 + 0.09 + cost_s
 
@@ -58,26 +58,26 @@
 
 
 def test_real_failures_outweigh_probes_that_find_all_well():
-    health = HealthModel()
+    health = HealthEstimator()
     for _ in range(10):
-        health.answered(False, 100.0)
-    failing = health.fitness(100.0)
+        health.record_response(False, 100.0)
+    failing = health.score(100.0)
     for _ in range(20):
-        health.probed(True, 100.5)
+        health.record_probe(True, 100.5)
 
     assert failing < 0.2
-    assert health.fitness(100.5) < 0.3
+    assert health.score(100.5) < 0.3
     for _ in range(20):
-        health.answered(True, 101.0)
-    assert health.fitness(101.0) > 0.95
+        health.record_response(True, 101.0)
+    assert health.score(101.0) > 0.95
 
 
 def test_distrust_fades_so_that_the_server_is_tried_again():
-    health = HealthModel()
+    health = HealthEstimator()
     for _ in range(30):
-        health.answered(False, 0.0)
-    assert health.fitness(0.0) < 0.01
-    assert health.fitness(15.0) > 0.8
+        health.record_response(False, 0.0)
+    assert health.score(0.0) < 0.01
+    assert health.score(15.0) > 0.8
 
 
 class Beside:
@@ -90,7 +90,7 @@
         self.server.list(True)
         told = Announcement("a", str(ADDRESS), health_path="/healthz")
         self.server.announce(told, 100.0)
-        self.health = HealthModel()
+        self.health = HealthEstimator()
         self.gone = []
         self.admission = FairAdmission(AdmissionLimits(1, 10, 0, 8, 1.0))
         self.prober = Prober(
@@ -99,9 +99,9 @@
             server=self.server,
             admission=self.admission,
             health=self.health,
-            gone=lambda: self.gone.append(True),
+            on_connect_failed=lambda: self.gone.append(True),
         )
-        self.prober.resize(0.1)
+        self.prober.set_budget_share(0.1)
         self.status = 200
         self.answer = {"state": "ready"}
         self.sender.handlers[ADDRESS] = self.handle
@@ -131,7 +131,7 @@
     beside = Beside()
     beside.sender.faults[ADDRESS] = Fault.REFUSED
     await beside.prober.tick()
-    assert beside.health.fitness(beside.clock.monotonic()) < 1.0
+    assert beside.health.score(beside.clock.monotonic()) < 1.0
     assert beside.gone == [True]
 
 
@@ -140,7 +140,7 @@
     beside = Beside()
     beside.status, beside.answer = 500, {"error": "no database"}
     await beside.prober.tick()
-    assert beside.health.fitness(beside.clock.monotonic()) < 1.0
+    assert beside.health.score(beside.clock.monotonic()) < 1.0
 
 
 @pytest.mark.anyio
--- a/src/radishwind/retries/__init__.py
+++ b/src/radishwind/retries/__init__.py
@@ -1,8 +1,13 @@
 """Whether a call gets another attempt."""
 
-from radishwind.retries.budget import RetryBudget
-from radishwind.retries.policy import may_repeat
-from radishwind.retries.policy import RetryNotRun
+from radishwind.retries.budget import BudgetedRetryPolicy
+from radishwind.retries.policy import CappedRetryPolicy
+from radishwind.retries.policy import is_safe_to_retry
 from radishwind.retries.policy import RetryPolicy
 
-__all__ = ["RetryBudget", "RetryNotRun", "RetryPolicy", "may_repeat"]
+__all__ = [
+    "BudgetedRetryPolicy",
+    "CappedRetryPolicy",
+    "RetryPolicy",
+    "is_safe_to_retry",
+]
--- a/src/radishwind/retries/budget.py
+++ b/src/radishwind/retries/budget.py
@@ -5,9 +5,9 @@
 from radishwind.core.codes import ResultCode
 from radishwind.outcomes.model import NotRun
 from radishwind.outcomes.model import Outcome
-from radishwind.retries.buckets import BucketTable
-from radishwind.retries.policy import may_repeat
+from radishwind.retries.policy import is_safe_to_retry
 from radishwind.retries.policy import RetryPolicy
+from radishwind.retries.token_buckets import TokenBucketTable
 
 if TYPE_CHECKING:
     from radishwind.entry.call import Call
@@ -45,25 +45,27 @@
 )
 
 
-class RetryBudget(RetryPolicy):
+class BudgetedRetryPolicy(RetryPolicy):
     """Repeats what may be repeated, within the share that the rules give."""
 
     def __init__(self) -> None:
-        self._buckets = BucketTable(FLOOR_PER_S, MAX_SAVED)
+        self._buckets = TokenBucketTable(FLOOR_PER_S, MAX_SAVED)
 
-    def first(self, call: "Call", now: float) -> None:
-        self._buckets.earn(call.service, call.rules.retry_share, now)
+    def record_first_attempt(self, call: "Call", now: float) -> None:
+        self._buckets.deposit(call.service, call.rules.retry_share, now)
 
-    def again(
+    def should_retry(
         self, call: "Call", outcome: Outcome, attempts: int, now: float
     ) -> bool:
         if attempts >= MAX_ATTEMPTS or now >= call.deadline:
             return False
-        if not may_repeat(call, outcome):
+        if not is_safe_to_retry(call, outcome):
             return False
         if not _at_this_level(call, outcome):
             return False
-        return call.rules.retry_share > 0 and self._buckets.spend(call.service)
+        return call.rules.retry_share > 0 and self._buckets.try_spend(
+            call.service
+        )
 
 
 def _at_this_level(call: "Call", outcome: Outcome) -> bool:
--- a/src/radishwind/retries/shared.py
+++ b/src/radishwind/retries/fleet.py
@@ -75,7 +75,7 @@
         return sum(self._counts)
 
 
-class SharedBudget:
+class FleetRetryBudget:
     """Counts requests and repeats by service."""
 
     def __init__(
@@ -101,11 +101,11 @@
         self._repeats: dict[str, _Window] = {}
         self._nested: dict[str, _Window] = {}
 
-    def first(self, service: str, now: float) -> None:
+    def record_request(self, service: str, now: float) -> None:
         """Counts a caller's request for `service`."""
         self._window(self._requests, service).add(now)
 
-    def nested(self, service: str, now: float, repeated: float) -> None:
+    def record_nested(self, service: str, now: float, repeated: float) -> None:
         """Counts a call of a run, which adds nothing to what is allowed.
 
         Args:
@@ -117,7 +117,9 @@
         if repeated:
             self._window(self._repeats, service).add(now, repeated)
 
-    def spend(self, service: str, now: float, *, nested: bool = False) -> bool:
+    def try_spend(
+        self, service: str, now: float, *, nested: bool = False
+    ) -> bool:
         """Takes one repeat; returns whether there was one left."""
         requests = self._window(self._requests, service).total(now)
         repeats = self._window(self._repeats, service)
@@ -138,31 +140,33 @@
         return window
 
 
-class SharedRetries(RetryPolicy):
+class FleetRetryPolicy(RetryPolicy):
     """Repeats within the shared budget; a refusal before any server is free."""
 
     def __init__(
         self,
-        budget: SharedBudget,
-        repeated_part: Callable[[], float] = float,
+        budget: FleetRetryBudget,
+        retry_fraction: Callable[[], float] = float,
     ) -> None:
         """Wires the policy.
 
         Args:
           budget: that all nodes share.
-          repeated_part: returns the part of what runs at the server beside
+          retry_fraction: returns the part of what runs at the server beside
             that is a repeat; by default none is.
         """
         self._budget = budget
-        self._repeated_part = repeated_part
+        self._retry_fraction = retry_fraction
 
-    def first(self, call: "Call", now: float) -> None:
+    def record_first_attempt(self, call: "Call", now: float) -> None:
         if call.depth:
-            self._budget.nested(call.service, now, self._repeated_part())
-        elif call.is_callers:
-            self._budget.first(call.service, now)
+            self._budget.record_nested(
+                call.service, now, self._retry_fraction()
+            )
+        elif call.is_external:
+            self._budget.record_request(call.service, now)
 
-    def again(
+    def should_retry(
         self, call: "Call", outcome: Outcome, attempts: int, now: float
     ) -> bool:
         if attempts >= MOST_ATTEMPTS or now + LEAST_LEFT_S >= call.deadline:
@@ -184,4 +188,4 @@
         return self._spend(call, now)
 
     def _spend(self, call: "Call", now: float) -> bool:
-        return self._budget.spend(call.service, now, nested=call.depth > 0)
+        return self._budget.try_spend(call.service, now, nested=call.depth > 0)
--- a/src/radishwind/retries/policy.py
+++ b/src/radishwind/retries/policy.py
@@ -15,7 +15,7 @@
 class RetryPolicy(abc.ABC):
     """Decides after each attempt whether there is another."""
 
-    def first(self, call: "Call", now: float) -> None:  # noqa: B027
+    def record_first_attempt(self, call: "Call", now: float) -> None:  # noqa: B027
         """Notes that the first attempt of `call` begins.
 
         Args:
@@ -24,7 +24,7 @@
         """
 
     @abc.abstractmethod
-    def again(
+    def should_retry(
         self, call: "Call", outcome: Outcome, attempts: int, now: float
     ) -> bool:
         """Returns whether to try again.
@@ -37,7 +37,7 @@
         """
 
 
-def may_repeat(call: "Call", outcome: Outcome) -> bool:
+def is_safe_to_retry(call: "Call", outcome: Outcome) -> bool:
     """Returns whether another attempt breaks no promise."""
     if isinstance(outcome, Done):
         return False
@@ -46,15 +46,15 @@
     return isinstance(outcome, NotRun) or call.idempotent
 
 
-class RetryNotRun(RetryPolicy):
+class CappedRetryPolicy(RetryPolicy):
     """Tries up to `most` attempts, without a budget."""
 
     def __init__(self, most: int = 3) -> None:
         self._most = most
 
-    def again(
+    def should_retry(
         self, call: "Call", outcome: Outcome, attempts: int, now: float
     ) -> bool:
         if attempts >= self._most or now >= call.deadline:
             return False
-        return may_repeat(call, outcome)
+        return is_safe_to_retry(call, outcome)
--- a/src/radishwind/retries/tests/test_bodies.py
+++ b/src/radishwind/retries/tests/test_bodies.py
@@ -10,8 +10,8 @@
 from radishwind.http import BodyStream
 from radishwind.http import Request
 from radishwind.outcomes import NotRun
-from radishwind.retries.shared import SharedBudget
-from radishwind.retries.shared import SharedRetries
+from radishwind.retries.fleet import FleetRetryBudget
+from radishwind.retries.fleet import FleetRetryPolicy
 
 
 class Upload(BodyStream):
@@ -31,9 +31,9 @@
 
 @pytest.mark.parametrize("is_unread", [True, False])
 def test_an_upload_goes_elsewhere_only_while_nothing_of_it_was_read(is_unread):
-    retries = SharedRetries(SharedBudget(0.2, 20.0, 10.0, lambda: 1))
+    retries = FleetRetryPolicy(FleetRetryBudget(0.2, 20.0, 10.0, lambda: 1))
     request = Request("POST", "/", (), Upload(is_unread), 100_000)
     call = Call("c", "s", request, ServiceRules(), False, 9.0, 9_000, "")
     refused = NotRun(ResultCode.CONNECT_FAILED, "no")
 
-    assert retries.again(call, refused, 1, 0.0) is is_unread
+    assert retries.should_retry(call, refused, 1, 0.0) is is_unread
--- a/src/radishwind/retries/tests/test_budget.py
+++ b/src/radishwind/retries/tests/test_budget.py
@@ -10,10 +10,10 @@
 from radishwind.outcomes import Done
 from radishwind.outcomes import NotRun
 from radishwind.outcomes import Unknown
-from radishwind.retries import RetryBudget
-from radishwind.retries.buckets import FIRST_SAVED
+from radishwind.retries import BudgetedRetryPolicy
 from radishwind.retries.budget import MAX_ATTEMPTS
 from radishwind.retries.budget import MAX_SAVED
+from radishwind.retries.token_buckets import FIRST_SAVED
 
 FULL = NotRun(ResultCode.OVERLOADED, "full", 1.0)
 SHED = NotRun(ResultCode.SERVER_SHED, "shed", 1.0)
@@ -37,9 +37,9 @@
 
 def again(call, outcome, attempts=1, now=0.0):
     """Returns the decision of a budget that has a token."""
-    budget = RetryBudget()
-    budget.first(call, now)
-    return budget.again(call, outcome, attempts, now)
+    budget = BudgetedRetryPolicy()
+    budget.record_first_attempt(call, now)
+    return budget.should_retry(call, outcome, attempts, now)
 
 
 @pytest.mark.parametrize(
@@ -76,16 +76,16 @@
 
 
 def test_half_refusing_causes_no_storm():
-    budget = RetryBudget()
+    budget = BudgetedRetryPolicy()
     call = call_with()
     calls, retries = 10_000, 0
 
     for number in range(calls):
         now = number * 0.003
-        budget.first(call, now)
+        budget.record_first_attempt(call, now)
         attempts = 1
         # Every second target refuses: half of all attempts.
-        while (number + attempts) % 2 and budget.again(
+        while (number + attempts) % 2 and budget.should_retry(
             call, FULL, attempts, now
         ):
             attempts += 1
@@ -95,26 +95,27 @@
 
 
 def test_seldom_called_service_may_retry_too():
-    budget = RetryBudget()
+    budget = BudgetedRetryPolicy()
     call = call_with()
 
     for number in range(10):
         now = number * 60.0
-        budget.first(call, now)
-        assert budget.again(call, FULL, 1, now)
+        budget.record_first_attempt(call, now)
+        assert budget.should_retry(call, FULL, 1, now)
 
 
 def test_services_have_budgets_of_their_own():
-    budget = RetryBudget()
-    budget.first(call_with(service="a"), 0.0)
+    budget = BudgetedRetryPolicy()
+    budget.record_first_attempt(call_with(service="a"), 0.0)
     spent = sum(
-        budget.again(call_with(service="a"), FULL, 1, 0.0) for _ in range(20)
+        budget.should_retry(call_with(service="a"), FULL, 1, 0.0)
+        for _ in range(20)
     )
     assert spent < 20
 
-    budget.first(call_with(service="b"), 0.0)
+    budget.record_first_attempt(call_with(service="b"), 0.0)
 
-    assert budget.again(call_with(service="b"), FULL, 1, 0.0)
+    assert budget.should_retry(call_with(service="b"), FULL, 1, 0.0)
 
 
 @given(
@@ -123,13 +124,15 @@
 )
 def test_retries_never_exceed_the_share_and_what_was_saved(gaps_s, share):
     # Gaps short enough that the floor stays below the share.
-    budget = RetryBudget()
+    budget = BudgetedRetryPolicy()
     call = call_with(share=max(share, 0.1))
     now, retries = 0.0, 0
     for gap_s in gaps_s:
         now += gap_s
-        budget.first(call, now)
-        retries += sum(budget.again(call, FULL, 1, now) for _ in range(3))
+        budget.record_first_attempt(call, now)
+        retries += sum(
+            budget.should_retry(call, FULL, 1, now) for _ in range(3)
+        )
 
     most = len(gaps_s) * call.rules.retry_share + FIRST_SAVED
     assert retries <= most + 1e-6
--- a/src/radishwind/retries/tests/test_shared.py
+++ b/src/radishwind/retries/tests/test_fleet.py
@@ -7,9 +7,9 @@
 
 from radishwind.core.codes import ResultCode
 from radishwind.outcomes.model import NotRun
-from radishwind.retries import shared
-from radishwind.retries.shared import SharedBudget
-from radishwind.retries.shared import SharedRetries
+from radishwind.retries import fleet
+from radishwind.retries.fleet import FleetRetryBudget
+from radishwind.retries.fleet import FleetRetryPolicy
 
 SHARE, SLACK, WINDOW_S = 0.2, 58.0, 10.0
 
@@ -23,7 +23,7 @@
     rng = random.Random(4)
     nodes = 11
     budgets = [
-        SharedBudget(SHARE, SLACK, WINDOW_S, lambda: nodes)
+        FleetRetryBudget(SHARE, SLACK, WINDOW_S, lambda: nodes)
         for _ in range(nodes)
     ]
     requests, repeats = [], []
@@ -31,9 +31,9 @@
     while at < 40.0:
         at += rng.expovariate(80.0)
         budget = rng.choice(budgets)
-        budget.first("library", at)
+        budget.record_request("library", at)
         requests.append(at)
-        while budget.spend("library", at):
+        while budget.try_spend("library", at):
             repeats.append(at)
 
     allowed = SHARE * 80 * WINDOW_S + SLACK
@@ -47,24 +47,24 @@
     at = 0.0
     for _ in range(2):
         budgets = [
-            SharedBudget(SHARE, SLACK, WINDOW_S, lambda: nodes)
+            FleetRetryBudget(SHARE, SLACK, WINDOW_S, lambda: nodes)
             for _ in range(nodes)
         ]
         until = at + 8.0
         while at < until:
             at += rng.expovariate(80.0)
             budget = rng.choice(budgets)
-            budget.first("library", at)
-            while budget.spend("library", at):
+            budget.record_request("library", at)
+            while budget.try_spend("library", at):
                 repeats.append(at)
 
     assert most_in_a_window(repeats) <= SHARE * 80 * WINDOW_S + SLACK
 
 
 def test_a_node_that_knows_nobody_yet_takes_a_small_part_of_the_slack():
-    budget = SharedBudget(SHARE, SLACK, WINDOW_S, lambda: 1)
+    budget = FleetRetryBudget(SHARE, SLACK, WINDOW_S, lambda: 1)
     taken = 0
-    while budget.spend("library", 0.0):
+    while budget.try_spend("library", 0.0):
         taken += 1
 
     assert taken * 11 <= SLACK
@@ -78,8 +78,8 @@
     """
     rng = random.Random(seed)
     # As many repeats as when calls still added to them.
-    budget = SharedBudget(SHARE, 3 * SLACK, WINDOW_S, lambda: 8)
-    retries = SharedRetries(budget)
+    budget = FleetRetryBudget(SHARE, 3 * SLACK, WINDOW_S, lambda: 8)
+    retries = FleetRetryPolicy(budget)
     shed = NotRun(ResultCode.SERVER_SHED, "shed")
     runs = calls = turned_away = callers = 0
     at = 0.0
@@ -89,10 +89,10 @@
         call = make_call(depth=int(nested), idempotent=False)
         served = False
         for _ in range(1 if nested else 2):
-            retries.first(call, at)
+            retries.record_first_attempt(call, at)
             attempts = 1
             served = rng.random() > 0.5
-            while not served and retries.again(call, shed, attempts, at):
+            while not served and retries.should_retry(call, shed, attempts, at):
                 attempts += 1
                 served = rng.random() > 0.5
             if served:
@@ -107,7 +107,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_repeats_go_to_calls_first_while_a_server_sheds(seed, monkeypatch):
     runs, callers = lost(0.5, seed)
-    monkeypatch.setattr(shared, "NESTED_PART", 0.0)
+    monkeypatch.setattr(fleet, "NESTED_PART", 0.0)
     runs_alike, callers_alike = lost(0.5, seed)
 
     assert runs < 0.9 * runs_alike
@@ -117,7 +117,7 @@
 
 def test_where_nobody_calls_callers_have_all_repeats(monkeypatch):
     with_part = lost(0.0)
-    monkeypatch.setattr(shared, "NESTED_PART", 0.0)
+    monkeypatch.setattr(fleet, "NESTED_PART", 0.0)
 
     assert with_part == lost(0.0)
     assert with_part[1] < 0.25
@@ -132,7 +132,7 @@
     """
     rng = random.Random(seed)
     budgets = [
-        SharedBudget(SHARE, SLACK, WINDOW_S, lambda: nodes)
+        FleetRetryBudget(SHARE, SLACK, WINDOW_S, lambda: nodes)
         for _ in range(nodes)
     ]
     repeats = []
@@ -144,12 +144,12 @@
         repeated = nested and rng.random() < 0.1
         for _ in range(2 if nested else 1):
             if nested and told:
-                budget.nested("library", at, 0.1)
+                budget.record_nested("library", at, 0.1)
             else:
-                budget.first("library", at)
+                budget.record_request("library", at)
             if repeated:
                 repeats.append(at)
-            while budget.spend("library", at, nested=nested):
+            while budget.try_spend("library", at, nested=nested):
                 repeats.append(at)
     return most_in_a_window(repeats), SHARE * 0.1 * runs_s * WINDOW_S + SLACK
 
@@ -166,14 +166,14 @@
 
 
 def test_calls_of_repeated_runs_are_repeats():
-    budget = SharedBudget(0.0, 160.0, WINDOW_S, lambda: 10)
+    budget = FleetRetryBudget(0.0, 160.0, WINDOW_S, lambda: 10)
     before = 0
-    while budget.spend("s", 0.0, nested=True):
+    while budget.try_spend("s", 0.0, nested=True):
         before += 1
     for _ in range(10):
-        budget.nested("s", 20.0, 0.5)
+        budget.record_nested("s", 20.0, 0.5)
     after = 0
-    while budget.spend("s", 20.0, nested=True):
+    while budget.try_spend("s", 20.0, nested=True):
         after += 1
 
     assert (before, after) == (8, 3)
@@ -181,12 +181,12 @@
 
 @pytest.mark.parametrize("began", [0.05, 0.5, 0.95])
 def test_a_repeat_counts_for_the_whole_window(began):
-    budget = SharedBudget(0.0, 160.0, WINDOW_S, lambda: 10)
-    while budget.spend("s", began):
+    budget = FleetRetryBudget(0.0, 160.0, WINDOW_S, lambda: 10)
+    while budget.try_spend("s", began):
         pass
 
-    assert not budget.spend("s", began + 0.999 * WINDOW_S)
-    assert budget.spend("s", began + 1.1 * WINDOW_S)
+    assert not budget.try_spend("s", began + 0.999 * WINDOW_S)
+    assert budget.try_spend("s", began + 1.1 * WINDOW_S)
 
 
 def shed_by_both(known, seed, nodes, slack, share_of_all):
@@ -201,7 +201,9 @@
     """
     rng = random.Random(seed)
     policies = [
-        SharedRetries(SharedBudget(SHARE, slack, WINDOW_S, lambda: nodes))
+        FleetRetryPolicy(
+            FleetRetryBudget(SHARE, slack, WINDOW_S, lambda: nodes)
+        )
         for _ in range(nodes)
     ]
     budgets = [policy._budget for policy in policies]
@@ -211,25 +213,27 @@
         at += rng.expovariate(caller_s + called_s)
         number = rng.randrange(nodes)
         if rng.random() < called_s / (caller_s + called_s):
-            policies[number].first(make_call(service="called"), at)
-            while budgets[number].spend("called", at):
+            policies[number].record_first_attempt(
+                make_call(service="called"), at
+            )
+            while budgets[number].try_spend("called", at):
                 repeats.append(at)
             continue
-        policies[number].first(make_call(service="caller"), at)
+        policies[number].record_first_attempt(make_call(service="caller"), at)
         runs = [0.0]
-        while budgets[number].spend("caller", at):
+        while budgets[number].try_spend("caller", at):
             runs.append(1.0)
         for repeated in runs:
             if rng.random() > 0.6:
                 continue
             beside = rng.randrange(nodes)
-            call = make_call(service="called", is_callers=False)
+            call = make_call(service="called", is_external=False)
             if known:
-                budgets[beside].nested("called", at, repeated)
+                budgets[beside].record_nested("called", at, repeated)
             else:
-                policies[beside].first(call, at)
+                policies[beside].record_first_attempt(call, at)
             repeats += [at] * int(repeated)
-            while budgets[beside].spend("called", at, nested=known):
+            while budgets[beside].try_spend("called", at, nested=known):
                 repeats.append(at)
     return most_in_a_window(repeats), SHARE * called_s * WINDOW_S + slack
 
--- a/src/radishwind/retries/buckets.py
+++ b/src/radishwind/retries/token_buckets.py
@@ -20,7 +20,7 @@
     tokens: float
     earned: float
 
-    def earn(
+    def deposit(
         self, share: float, floor_per_s: float, most: float, now: float
     ) -> None:
         """Adds the tokens of one event.
@@ -35,7 +35,7 @@
         self.tokens = min(most, self.tokens + gained)
         self.earned = now
 
-    def spend(self) -> bool:
+    def try_spend(self) -> bool:
         """Takes a token; returns whether there was one."""
         if self.tokens < 1:
             return False
@@ -43,7 +43,7 @@
         return True
 
 
-class BucketTable:
+class TokenBucketTable:
     """A token bucket for each service used recently."""
 
     def __init__(self, floor_per_s: float, most: float) -> None:
@@ -57,16 +57,16 @@
         self._most = most
         self._buckets: dict[str, _Bucket] = {}
 
-    def earn(self, service: str, share: float, now: float) -> None:
+    def deposit(self, service: str, share: float, now: float) -> None:
         """Adds the tokens of one first attempt of `service`."""
         bucket = self._buckets.pop(service, None) or _Bucket(FIRST_SAVED, now)
         self._buckets[service] = bucket
         if len(self._buckets) > MAX_SERVICES:
             del self._buckets[next(iter(self._buckets))]
         floor_per_s = self._floor_per_s if share > 0 else 0.0
-        bucket.earn(share, floor_per_s, self._most, now)
+        bucket.deposit(share, floor_per_s, self._most, now)
 
-    def spend(self, service: str) -> bool:
+    def try_spend(self, service: str) -> bool:
         """Takes a token of `service`; returns whether there was one."""
         bucket = self._buckets.get(service)
-        return bucket is not None and bucket.spend()
+        return bucket is not None and bucket.try_spend()
--- a/src/radishwind/routing/fresh.py
+++ b/src/radishwind/routing/fresh.py
@@ -11,7 +11,7 @@
 import math
 import random
 
-from radishwind.hedging.fresh import Forecast
+from radishwind.hedging.forecast import LatencyForecast
 from radishwind.membership.directory import Member
 from radishwind.outcomes.model import Outcome
 from radishwind.routing.chooser import LoadReport
@@ -37,7 +37,7 @@
 from radishwind.routing.weights import UNKNOWN_FACTOR
 
 
-class FreshLoadChooser(TargetChooser, Forecast):
+class FreshLoadChooser(TargetChooser, LatencyForecast):
     """The least expected answer time by fresh reports.
 
     Attributes:
@@ -212,7 +212,9 @@
         """Returns the usual run time of `work` (s); 0 where not known."""
         return self.memory.work_s(work, 0.0)
 
-    def left_s(self, name: str, work: str, began: float, now: float) -> float:
+    def remaining_s(
+        self, name: str, work: str, began: float, now: float
+    ) -> float:
         seen = self.memory.seen(name)
         work_s = self.memory.work_s(work)
         expected = seen.expected.get(began) if seen else None
--- a/src/radishwind/routing/tests/test_fresh.py
+++ b/src/radishwind/routing/tests/test_fresh.py
@@ -204,7 +204,7 @@
     setup.chooser.started("x", 0.0, expected_s)
 
     def left(now):
-        return setup.chooser.left_s("x", "r", 0.0, now)
+        return setup.chooser.remaining_s("x", "r", 0.0, now)
 
     assert left(0.02) == pytest.approx(expected_s - 0.02)
     assert left(0.25) > 0.1
--- a/src/radishwind/sidecar/entry_side.py
+++ b/src/radishwind/sidecar/entry_side.py
@@ -8,20 +8,20 @@
 from radishwind.claims.guard import NoClaims
 from radishwind.config.model import ServiceRules
 from radishwind.core.clock import Clock
-from radishwind.entry.foresight import NoForesight
-from radishwind.entry.foresight import RefuseLate
-from radishwind.entry.keys import KeyCheck
-from radishwind.entry.nested import NestedRoutes
+from radishwind.entry.fan_out import FanOutDetector
+from radishwind.entry.key_authenticator import KeyAuthenticator
+from radishwind.entry.load_shedder import NoLoadShedding
+from radishwind.entry.load_shedder import ShedLateCalls
+from radishwind.entry.nested_routes import NestedRouteDetector
 from radishwind.entry.observer import CallObserver
 from radishwind.entry.pipeline import EntryPipeline
 from radishwind.entry.retry_after import RetryAfter
-from radishwind.entry.returns import Returns
-from radishwind.entry.routed import CallerFields
-from radishwind.entry.routed import RoutedClassifier
-from radishwind.entry.siblings import Siblings
-from radishwind.hedging.fresh import HedgeBeforeAim
+from radishwind.entry.retry_age import RetryAgeEstimator
+from radishwind.entry.routed_classifier import CallerFields
+from radishwind.entry.routed_classifier import RoutedClassifier
+from radishwind.hedging.forecast import ForecastHedgePolicy
 from radishwind.hedging.policy import HedgePolicy
-from radishwind.hedging.policy import NoHedges
+from radishwind.hedging.policy import NoHedging
 from radishwind.http.sender import Sender
 from radishwind.http.types import Headers
 from radishwind.membership.directory import Directory
@@ -33,8 +33,8 @@
 from radishwind.platform.answers import respond
 from radishwind.quarantine.runner import CarefulRunner
 from radishwind.quotas import QuotaGate
-from radishwind.retries.shared import SharedBudget
-from radishwind.retries.shared import SharedRetries
+from radishwind.retries.fleet import FleetRetryBudget
+from radishwind.retries.fleet import FleetRetryPolicy
 from radishwind.routes.emptied import EmptiedInForce
 from radishwind.routes.in_force import RoutesInForce
 from radishwind.routing.fresh import FreshLoadChooser
@@ -108,7 +108,7 @@
         """
         self._service = service
         self._log = PartLogger("entry", clock)
-        self.keys = KeyCheck(lambda: routes.accounts, proof)
+        self.keys = KeyAuthenticator(lambda: routes.accounts, proof)
         weights = choice_weights(switches)
         self.chooser = FreshLoadChooser(
             rng,
@@ -127,19 +127,19 @@
             clock=clock,
             routes=routes,
             rules=ServiceRules(),
-            read=self._read,
+            decode_fields=self._read,
             work_s=self.chooser.work_s,
             keys=self.keys,
             with_account=with_account,
-            returns=Returns() if switches.returns else None,
-            siblings=Siblings(rng) if switches.siblings else None,
-            nested=(
-                NestedRoutes(target.runs, self._nested)
+            retry_ages=RetryAgeEstimator() if switches.returns else None,
+            fan_outs=FanOutDetector(rng) if switches.siblings else None,
+            nested_routes=(
+                NestedRouteDetector(target.runs, self._nested)
                 if switches.nested
                 else None
             ),
         )
-        budget = SharedBudget(
+        budget = FleetRetryBudget(
             settings.retry_share,
             settings.retry_slack,
             settings.retry_window_s,
@@ -155,7 +155,7 @@
             traffic=links.traffic if links else None,
             sizes=links.sizes if links else None,
         )
-        hedges: HedgePolicy = HedgeBeforeAim(budget, self.chooser)
+        hedges: HedgePolicy = ForecastHedgePolicy(budget, self.chooser)
         self.pipeline = EntryPipeline(
             clock=clock,
             classifier=self.classifier,
@@ -163,8 +163,10 @@
                 directory, lambda: emptied.names, settings.region_of
             ),
             chooser=self.chooser,
-            retries=SharedRetries(budget, lambda: target.runs.repeated_part),
-            hedges=hedges if switches.hedges else NoHedges(),
+            retries=FleetRetryPolicy(
+                budget, lambda: target.runs.retry_fraction
+            ),
+            hedges=hedges if switches.hedges else NoHedging(),
             runner=CarefulRunner(forward) if switches.quarantine else forward,
             claims=NoClaims(),
             quarantine=target.quarantine,
@@ -176,10 +178,10 @@
                 rng,
             ),
             respond=respond,
-            foresight=(
-                RefuseLate(self.chooser)
+            shedder=(
+                ShedLateCalls(self.chooser)
                 if switches.foresight
-                else NoForesight()
+                else NoLoadShedding()
             ),
             quotas=quotas,
         )
--- a/src/radishwind/sidecar/metrics.py
+++ b/src/radishwind/sidecar/metrics.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from radishwind.core.clock import Clock
-from radishwind.entry.attempts import AttemptCounts
-from radishwind.entry.keys import KeyCheck
+from radishwind.entry.call_executor import AttemptCounts
+from radishwind.entry.key_authenticator import KeyAuthenticator
 from radishwind.http.types import Request
 from radishwind.http.types import Response
 from radishwind.node.membership_tasks import MembershipTasks
@@ -46,7 +46,7 @@
     clock: Clock
     output: BoundedOutput
     left_out: Callable[[], Mapping[str, int]]
-    keys: KeyCheck
+    keys: KeyAuthenticator
     recency: RecencyKeeper | None
 
 
@@ -179,7 +179,9 @@
 
 
 def _add_keys(
-    metrics: NodeExposition, keys: KeyCheck, recency: RecencyKeeper | None
+    metrics: NodeExposition,
+    keys: KeyAuthenticator,
+    recency: RecencyKeeper | None,
 ) -> None:
     metrics.counter(
         "radishwind_keys_refused_total",
--- a/src/radishwind/sidecar/target_side.py
+++ b/src/radishwind/sidecar/target_side.py
@@ -12,10 +12,10 @@
 from radishwind.admission.urgent import OpenGate
 from radishwind.admission.urgent import UrgentAdmission
 from radishwind.core.clock import Clock
-from radishwind.entry.nested import RunsBeside
+from radishwind.entry.nested_routes import LocalConcurrency
 from radishwind.http.sender import Sender
 from radishwind.membership.rumors import RumorBoard
-from radishwind.probing.health import HealthModel
+from radishwind.probing.health import HealthEstimator
 from radishwind.quarantine.gate import Quarantine
 from radishwind.routes.emptied import EmptiedDomains
 from radishwind.routes.model import RouteConfig
@@ -102,7 +102,7 @@
             callers_come_at_once=not settings.first_start,
         )
         self.room = RoomLearner()
-        self.runs = RunsBeside()
+        self.runs = LocalConcurrency()
         self.warmup = WarmupGate(clock, time.process_time())
         self._services: Mapping[str, ServiceInfo] = {}
         self._limits = AdmissionLimits()
@@ -112,7 +112,7 @@
             congested_s=CONGESTED_S if switches.newest_first else math.inf,
             refuses_hopeless=switches.refuse_hopeless,
         )
-        watch = _Watch(clock, HealthModel(), self.quarantine, self.server)
+        watch = _Watch(clock, HealthEstimator(), self.quarantine, self.server)
         exchange = ConfirmedExchange(
             clock=clock,
             sender=sender,
@@ -290,7 +290,7 @@
     def __init__(
         self,
         clock: Clock,
-        health: HealthModel,
+        health: HealthEstimator,
         quarantine: Quarantine,
         server: RegisteredServer,
     ) -> None:
--- a/src/radishwind/target/exchange.py
+++ b/src/radishwind/target/exchange.py
@@ -7,7 +7,7 @@
 from radishwind.core.codes import ResultCode
 from radishwind.core.timelimit import TimeLimit
 from radishwind.entry.call import Call
-from radishwind.entry.call import nested_request
+from radishwind.entry.call import server_request
 from radishwind.http.errors import ConnectFailedError
 from radishwind.http.errors import ExchangeBrokenError
 from radishwind.http.sender import Sender
@@ -55,7 +55,7 @@
         try:
             with TimeLimit(call.deadline - now):
                 response = await self._sender.send(
-                    view.address, nested_request(call, now), CONNECT_TIMEOUT_S
+                    view.address, server_request(call, now), CONNECT_TIMEOUT_S
                 )
         except ConnectFailedError:
             self._watch.refused()
--- a/src/radishwind/target/pipeline.py
+++ b/src/radishwind/target/pipeline.py
@@ -12,7 +12,7 @@
 from radishwind.core.clock import Clock
 from radishwind.core.codes import ResultCode
 from radishwind.entry.call import Call
-from radishwind.entry.nested import RunsBeside
+from radishwind.entry.nested_routes import LocalConcurrency
 from radishwind.entry.pipeline import AttemptResult
 from radishwind.http.sender import Sender
 from radishwind.http.types import Body
@@ -79,7 +79,7 @@
         gate: SendGate | None = None,
         run_times: RunTimes | None = None,
         link_kbps: Callable[[], int] | None = None,
-        runs: RunsBeside | None = None,
+        runs: LocalConcurrency | None = None,
     ) -> None:
         self._clock = clock
         self._admission = admission
@@ -91,7 +91,7 @@
         self._gate = gate or OpenSendGate()
         self._run_times = run_times
         self._link_kbps = link_kbps or _untold
-        self._runs = runs or RunsBeside()
+        self._runs = runs or LocalConcurrency()
         self._service_s = 0.0
         self._outcomes: collections.Counter[str] = collections.Counter()
         self._queue_wait_s = 0.0
@@ -177,7 +177,7 @@
             call.aim,
             call.priority,
             call.work_s,
-            call.lot,
+            call.group_rank,
             *self._expected_run(call),
             nested=call.depth > 0,
         )
@@ -225,10 +225,12 @@
         outcome: Outcome | None = None
         factor = self._pace().factor
         begun_with = self._admission.in_flight
-        self._runs.began(began, repeated=call.repeated)
+        self._runs.run_started(began, is_retry=call.is_retry)
 
         def ended() -> None:
-            self._runs.ended(self._clock.monotonic(), repeated=call.repeated)
+            self._runs.run_ended(
+                self._clock.monotonic(), is_retry=call.is_retry
+            )
             if _ran_well(outcome):
                 took_s = self._clock.monotonic() - began
                 run.work_s = took_s / factor
--- a/src/radishwind/target/tests/test_pipeline.py
+++ b/src/radishwind/target/tests/test_pipeline.py
@@ -124,7 +124,7 @@
     body.abort()
 
     assert target.admission.in_flight == 0
-    assert (target.health.fitness(0.0) < 1) is cut
+    assert (target.health.score(0.0) < 1) is cut
 
 
 async def test_a_cancelled_exchange_frees_its_slot_for_who_waits():
--- a/src/radishwind/target/tests/test_warmup.py
+++ b/src/radishwind/target/tests/test_warmup.py
@@ -244,7 +244,7 @@
         lot = rng.random() - 0.5
         served = []
         for made in gates:
-            call = make_call(call_id=f"{i}.1", priority=1, lot=lot)
+            call = make_call(call_id=f"{i}.1", priority=1, group_rank=lot)
             refused = made.refusal(call, 0) or made.take(call)
             served.append(refused is None)
         both += all(served)
@@ -275,7 +275,7 @@
     made.began(60.0)
     for i in range(3000):
         clock.advance(0.0001)
-        one = make_call(call_id=f"{i}.1", lot=0.1)
+        one = make_call(call_id=f"{i}.1", group_rank=0.1)
         made.refusal(one, 0)
         made.take(one)
 
--- a/src/radishwind/target/warmup.py
+++ b/src/radishwind/target/warmup.py
@@ -260,7 +260,7 @@
         Of calls that belong together all are served or none, at whichever
         servers they come: those whose lot is within the part that can be.
         """
-        if not call.lot:
+        if not call.group_rank:
             return False
         name = call.call_id.rpartition(".")[0] or call.call_id
         self._asked.pop(name, None)
@@ -268,7 +268,7 @@
         while now - next(iter(self._asked.values())) >= WINDOW_S:
             del self._asked[next(iter(self._asked))]
         kept = 0 if self._is_highest(call.priority) else self._kept(law, now)
-        return call.lot + 0.5 > (law.most - kept) / len(self._asked)
+        return call.group_rank + 0.5 > (law.most - kept) / len(self._asked)
 
     def _count(self, law: WarmupLaw, now: float) -> int:
         """Returns how many count as sent in the window that ends now."""
--- a/src/radishwind/target/watch.py
+++ b/src/radishwind/target/watch.py
@@ -4,7 +4,7 @@
 from radishwind.entry.call import Call
 from radishwind.http.types import is_server_error
 from radishwind.outcomes.model import NotRun
-from radishwind.probing.health import HealthModel
+from radishwind.probing.health import HealthEstimator
 from radishwind.quarantine.crashes import CrashDetector
 from radishwind.quarantine.gate import Quarantine
 
@@ -13,7 +13,7 @@
     """Hands what became of each exchange to those who learn from it."""
 
     def __init__(
-        self, clock: Clock, health: HealthModel, quarantine: Quarantine
+        self, clock: Clock, health: HealthEstimator, quarantine: Quarantine
     ) -> None:
         self._clock = clock
         self._health = health
@@ -30,7 +30,7 @@
 
     def fitness(self) -> float:
         """Returns 1 for a server that does well to 0 for one that fails."""
-        return self._health.fitness(self._clock.monotonic())
+        return self._health.score(self._clock.monotonic())
 
     def answered(self, call: Call, status: int, alone: bool) -> None:
         """Takes a whole answer.
@@ -41,14 +41,14 @@
           alone: whether nothing else ran on the server meanwhile.
         """
         ok = not is_server_error(status)
-        self._health.answered(ok, self._clock.monotonic())
+        self._health.record_response(ok, self._clock.monotonic())
         if alone:
             self._quarantine.ran_safely(call)
 
     def broke(self, call: Call) -> None:
         """Takes an exchange that broke off."""
         now = self._clock.monotonic()
-        self._health.answered(False, now)
+        self._health.record_response(False, now)
         self._crashes.broke(call.request, now)
 
     def late(self) -> None:
@@ -59,7 +59,7 @@
 
     def refused(self) -> None:
         """Takes a connection that the server did not accept."""
-        self._health.answered(False, self._clock.monotonic())
+        self._health.record_response(False, self._clock.monotonic())
         self.gone()
 
     def gone(self) -> None:
@@ -69,5 +69,5 @@
 
     def restarted(self) -> None:
         """Takes a new start of the server."""
-        self._health.restarted(self._clock.monotonic())
+        self._health.reset(self._clock.monotonic())
         self.gone()
--- a/tests/proofs/plays.py
+++ b/tests/proofs/plays.py
@@ -18,7 +18,7 @@
 from radishwind.outcomes import NotRun
 from radishwind.outcomes import Unknown
 from radishwind.peers import attempts as peer_attempts
-from radishwind.retries import RetryNotRun
+from radishwind.retries import CappedRetryPolicy
 from radishwind.retries import RetryPolicy
 from tests.proofs.failures import FAILURES
 from tests.proofs.failures import LAPSE
@@ -31,7 +31,7 @@
 class RetryOnAnyError(RetryPolicy):
     """Weak: tries again whatever went wrong."""
 
-    def again(self, call, outcome, attempts, now) -> bool:
+    def should_retry(self, call, outcome, attempts, now) -> bool:
         return attempts < 3 and not isinstance(outcome, Done)
 
 
@@ -83,11 +83,11 @@
     ),
     "last outcome told": Weak(
         patch=lambda: mock.patch(
-            "radishwind.entry.attempts.graver", _last_outcome
+            "radishwind.entry.call_executor.graver", _last_outcome
         )
     ),
 }
-STRONG = Weak({"retries": RetryNotRun()})
+STRONG = Weak({"retries": CappedRetryPolicy()})
 
 
 async def _settle(stage: Stage) -> None:
--- a/tests/proofs/test_measuring.py
+++ b/tests/proofs/test_measuring.py
@@ -21,8 +21,8 @@
 from radishwind.probing import ProbeBudget
 from radishwind.probing import Prober
 from radishwind.probing import prober as prober_module
-from radishwind.probing.prober import TICK_S
-from radishwind.probing.prober import TIMEOUT_S
+from radishwind.probing.prober import POLL_INTERVAL_S
+from radishwind.probing.prober import PROBE_TIMEOUT_S
 from radishwind.target.server import Announcement
 from tests.support.direct import DirectSender
 from tests.support.targets import make_parts
@@ -58,9 +58,9 @@
             server=self.parts.server,
             admission=self.parts.admission,
             health=self.parts.health,
-            gone=lambda: None,
+            on_connect_failed=lambda: None,
         )
-        self.prober.resize(SHARE)
+        self.prober.set_budget_share(SHARE)
         self._announce(0)
         self.trouble = ""
         self.joined_full = False
@@ -80,7 +80,7 @@
     async def _handle(self, request) -> Response:
         self.joined_full |= self.parts.admission.in_flight > SLOTS
         slow = "slow" in self.trouble or "no answer" in self.trouble
-        cost_s = TIMEOUT_S if slow else 0.006
+        cost_s = PROBE_TIMEOUT_S if slow else 0.006
         self.cost_s += cost_s
         at = self.clock.monotonic() - 100.0
         self.lines.append(f"{at:6.2f} s  node a  probes, {cost_s} s")
@@ -110,7 +110,7 @@
             if "anew" in self.trouble:
                 self._announce(number)
             await self.prober.tick()
-            self.clock.advance(TICK_S)
+            self.clock.advance(POLL_INTERVAL_S)
 
 
 @pytest.fixture
@@ -141,7 +141,7 @@
     anyio.run(measured.run, float(seconds))
     story.name = f"probing while {trouble}"
     story.lines = measured.lines
-    measured.allowed_s = SHARE * SLOTS * (seconds + 1) + TIMEOUT_S
+    measured.allowed_s = SHARE * SLOTS * (seconds + 1) + PROBE_TIMEOUT_S
     return measured
 
 
--- a/tests/support/keyed.py
+++ b/tests/support/keyed.py
@@ -40,7 +40,7 @@
 from radishwind.quarantine import Quarantine
 from radishwind.quarantine.gate import QuarantineGate
 from radishwind.quarantine.runner import CarefulRunner
-from radishwind.retries import RetryNotRun
+from radishwind.retries import CappedRetryPolicy
 from radishwind.retries import RetryPolicy
 from radishwind.routing.baselines import RandomChooser
 from radishwind.routing.placement import Anywhere
@@ -262,7 +262,7 @@
         self.rng = random.Random(seed)
         self.clock = ManualClock()
         self.guard = guard
-        self.retries = retries or RetryNotRun()
+        self.retries = retries or CappedRetryPolicy()
         self.store_wait_s = store_wait_s
         self.repeat_wait_s = repeat_wait_s
         self.writes_per_s = writes_per_s
--- a/tests/support/targets.py
+++ b/tests/support/targets.py
@@ -11,7 +11,7 @@
 from radishwind.http import Sender
 from radishwind.membership import RumorBoard
 from radishwind.membership import SilentBoard
-from radishwind.probing import HealthModel
+from radishwind.probing import HealthEstimator
 from radishwind.quarantine import Quarantine
 from radishwind.target import ServerBeside
 from radishwind.target import ServerWatch
@@ -44,7 +44,7 @@
     pipeline: TargetPipeline
     server: ServerBeside
     admission: Admission
-    health: HealthModel
+    health: HealthEstimator
     quarantine: Quarantine
 
 
@@ -77,7 +77,7 @@
     server = ServerBeside(name, address)
     server.list(True)
     admission = FairAdmission(limits)
-    health = HealthModel()
+    health = HealthEstimator()
     quarantine = Quarantine(
         target=name,
         service=service,
