--- a/bench/data_path.py
+++ b/bench/data_path.py
@@ -47,8 +47,8 @@
 from radishwind.routing import make_chooser
 from radishwind.routing import RoutingPolicy
 from radishwind.routing.placement import Anywhere
-from radishwind.target import ServerBeside
-from radishwind.target import ServerWatch
+from radishwind.target import BackendServer
+from radishwind.target import ExchangeRecorder
 from radishwind.target import TargetPipeline
 
 SERVICE = "echo"
@@ -141,7 +141,7 @@
             node_name=member.name,
             failure_domain="a",
             index=lambda: index,
-            own_load=target.load,
+            own_load=target.load_report,
         ),
         retries=BudgetedRetryPolicy(),
         hedges=hedges,
@@ -164,8 +164,8 @@
 def _target(
     name: str, address: Address, sender: Sender, clock: SystemClock
 ) -> TargetPipeline:
-    server = ServerBeside(name, address)
-    server.list(True)
+    server = BackendServer(name, address)
+    server.set_listed(True)
     quarantine = Quarantine(
         target=name, service=SERVICE, clock=clock, board=SilentBoard()
     )
@@ -174,7 +174,7 @@
         admission=FairAdmission(AdmissionLimits(SLOTS, SLOTS)),
         sender=sender,
         server=server,
-        watch=ServerWatch(clock, HealthEstimator(), quarantine),
+        watch=ExchangeRecorder(clock, HealthEstimator(), quarantine),
     )
 
 
--- a/src/radishwind/experiment/nodes.py
+++ b/src/radishwind/experiment/nodes.py
@@ -29,7 +29,7 @@
 from radishwind.sidecar.loads import LOOK_PERIOD_S
 from radishwind.sidecar.switches import Switches
 from radishwind.sidecar.target_side import SidecarTarget
-from radishwind.target.registered import Registration
+from radishwind.target.registered_server import Registration
 
 #: Repeats that all nodes may make, as deployments allow them.
 RETRY_SHARE = 0.2
@@ -182,7 +182,7 @@
         self._order = 0
         self._start = int(clock.monotonic() * 1000)
         self._over = False
-        node.target.pulse.listen(self.tell)
+        node.target.pulse.subscribe(self.tell)
 
     async def run(self) -> None:
         """Looks for changes that no figure of the server brought."""
@@ -196,7 +196,7 @@
 
     def tell(self) -> None:
         """Tells the load if it changed enough."""
-        report = self._node.target.pipeline.load()
+        report = self._node.target.pipeline.load_report()
         near, far = self._teller.due(report, self._clock.monotonic())
         if self._over or not (near or far):
             return
--- a/src/radishwind/experiment/play.py
+++ b/src/radishwind/experiment/play.py
@@ -41,7 +41,7 @@
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.switches import ALL_ON
 from radishwind.sidecar.switches import Switches
-from radishwind.target.registered import Registration
+from radishwind.target.registered_server import Registration
 
 #: One way within an instance (s).
 _OWN_S = 0.0001
--- a/src/radishwind/node/app.py
+++ b/src/radishwind/node/app.py
@@ -222,10 +222,10 @@
         self._callers.ask_to_close()
         self._attempts.ask_to_close()
         await anyio.sleep(self._settings.leave_notice_s)
-        self._target.leave()
+        self._target.refuse_new_work()
         await self._servers[0].stop_listening()
         with anyio.move_on_after(self._settings.stop_grace_s):
-            await self._target.drained()
+            await self._target.wait_drained()
             await self._claims.finished()
             await self._callers.finished()
             await self._attempts.finished()
@@ -255,7 +255,7 @@
     def _status(self) -> dict[str, Any]:
         return {
             "target": self._settings.target,
-            "leaving": self._target.leaving,
+            "leaving": self._target.is_leaving,
             "peer_requests_refused": {
                 str(int(code)): count
                 for code, count in self._peers.refused.items()
--- a/src/radishwind/node/entry.py
+++ b/src/radishwind/node/entry.py
@@ -23,5 +23,5 @@
         node_name=settings.target,
         failure_domain=settings.failure_domain,
         index=index,
-        own_load=target.load,
+        own_load=target.load_report,
     )
--- a/src/radishwind/node/target.py
+++ b/src/radishwind/node/target.py
@@ -17,8 +17,8 @@
 from radishwind.quarantine import Quarantine
 from radishwind.settings import NodeSettings
 from radishwind.target import AnnouncementHandler
-from radishwind.target import ServerBeside
-from radishwind.target import ServerWatch
+from radishwind.target import BackendServer
+from radishwind.target import ExchangeRecorder
 from radishwind.target import TargetPipeline
 
 #: Requests sent beyond the slots (`docs/design/06-admission.md`).
@@ -38,7 +38,7 @@
     ) -> None:
         self._settings = settings
         self._clock = clock
-        self._server = ServerBeside(
+        self._server = BackendServer(
             settings.target, settings.server, ready_changed
         )
         self._admission: Admission = FairAdmission()
@@ -49,14 +49,14 @@
             board=board,
         )
         health = HealthEstimator()
-        self._watch = ServerWatch(clock, health, self.quarantine)
+        self._watch = ExchangeRecorder(clock, health, self.quarantine)
         self._prober = Prober(
             clock=clock,
             sender=sender,
             server=self._server,
             admission=self._admission,
             health=health,
-            on_connect_failed=self._watch.gone,
+            on_connect_failed=self._watch.record_server_down,
         )
         self.pipeline = TargetPipeline(
             clock=clock,
@@ -78,7 +78,7 @@
     def add_to(self, admin: AdminListener) -> None:
         """Adds the paths and status fields of the target side."""
         announcements = AnnouncementHandler(
-            self._clock, self._server, self._watch.restarted
+            self._clock, self._server, self._watch.record_restart
         )
         admin.add("POST", "/v1/server", announcements.handle)
         admin.add_status(self._status)
@@ -98,7 +98,7 @@
             "target.attempts",
             "{attempt}",
             "Attempts by outcome, those refused by code.",
-            self.pipeline.outcomes,
+            self.pipeline.outcome_counts,
         )
         observation.counter(
             "target.time",
@@ -113,7 +113,7 @@
     def adopt(self, index: ConfigIndex) -> None:
         """Takes the limits of a configuration."""
         own = index.targets.get(self._settings.target)
-        self._server.list(own is not None)
+        self._server.set_listed(own is not None)
         rules = index.cfg.rules.for_service(self._settings.service)
         limits = AdmissionLimits(
             slots=own.slots if own else 0,
--- a/src/radishwind/peers/listener.py
+++ b/src/radishwind/peers/listener.py
@@ -162,7 +162,9 @@
                 ResultCode.NO_TARGET,
                 f"expected target {self._node_name}, got {info.target}",
             )
-            return with_answer(info.attempt_id, outcome, self._target.load())
+            return with_answer(
+                info.attempt_id, outcome, self._target.load_report()
+            )
         self._asked_by(request.remote)
         call = self._call(info, request, others)
         if self._link_room is None:
@@ -173,7 +175,7 @@
 
     async def _run_within(self, room: LinkRoom, call: Call) -> AttemptResult:
         """Runs an attempt if the link has room for its answer."""
-        load = self._target.load()
+        load = self._target.load_report()
         size = room.begin(call.route, load)
         if isinstance(size, NotRun):
             return AttemptResult(size, load)
--- a/src/radishwind/platform/dialect.py
+++ b/src/radishwind/platform/dialect.py
@@ -14,7 +14,7 @@
 from radishwind.platform.fields import TIMEOUT
 from radishwind.platform.fields import WARMUP
 from radishwind.platform.heartbeats import MOST_COLD_MS
-from radishwind.target.dialect import ServerAnswer
+from radishwind.target.dialect import ResponseMetadata
 from radishwind.target.dialect import ServerDialect
 from radishwind.target.dialect import ServerLoad
 
@@ -28,7 +28,9 @@
 class PlatformDialect(ServerDialect):
     """The platform's fields towards a backend server."""
 
-    def request(self, call: Call, incarnation: str, left_s: float) -> Request:
+    def build_request(
+        self, call: Call, incarnation: str, left_s: float
+    ) -> Request:
         told = [(TIMEOUT, str(max(1, int(left_s * 1000))))]
         if incarnation:
             told.append((INCARNATION, incarnation))
@@ -41,10 +43,12 @@
             request.body_bytes,
         )
 
-    def health_request(self, path: str) -> Request:
+    def build_health_request(self, path: str) -> Request:
         return Request("GET", path, (("Host", "server"),))
 
-    def read(self, call: Call, response: Response) -> ServerAnswer:
+    def parse_response(
+        self, call: Call, response: Response
+    ) -> ResponseMetadata:
         found: dict[str, str] = {}
         kept = []
         for item in response.headers:
@@ -57,22 +61,22 @@
         unsigned = success and SIGNATURE.lower() not in found
         # A refusal of ours and one of the server differ by this field.
         not_run = NOT_EXECUTED.lower() in found or _is_another(response)
-        return ServerAnswer(
-            ours=_names(call, found, not_run),
+        return ResponseMetadata(
+            matches_request=_names(call, found, not_run),
             incarnation=found.get(ANSWERING_INCARNATION.lower(), ""),
-            not_run=not_run,
-            another=_is_another(response),
-            genuine=not encoded and not unsigned,
+            is_not_run=not_run,
+            is_other_incarnation=_is_another(response),
+            is_authentic=not encoded and not unsigned,
             load=_load(found.get(LOAD.lower())),
             headers=tuple(kept),
         )
 
-    def read_health(self, response: Response) -> ServerAnswer:
-        return ServerAnswer(
+    def parse_health_response(self, response: Response) -> ResponseMetadata:
+        return ResponseMetadata(
             incarnation=header(response.headers, ANSWERING_INCARNATION.lower())
             or "",
             load=_load(header(response.headers, LOAD.lower())),
-            cold_s=_cold_s(header(response.headers, WARMUP.lower())),
+            warmup_left_s=_cold_s(header(response.headers, WARMUP.lower())),
         )
 
 
--- a/src/radishwind/platform/tests/test_decoding.py
+++ b/src/radishwind/platform/tests/test_decoding.py
@@ -205,7 +205,7 @@
 
 
 def test_a_request_tells_the_server_its_time_and_incarnation():
-    request = PlatformDialect().request(call(), "i-7", 0.25)
+    request = PlatformDialect().build_request(call(), "i-7", 0.25)
 
     told = dict(request.headers)
     assert (told["Timeout-Ms"], told["Expect-Instance"]) == ("250", "i-7")
@@ -238,10 +238,13 @@
     told = {"Attempt-Id": "9c", **fields}
     headers = tuple((k, v) for k, v in told.items() if v is not None)
 
-    answer = PlatformDialect().read(call(), Response(status, headers))
+    answer = PlatformDialect().parse_response(call(), Response(status, headers))
 
-    assert (answer.ours, answer.genuine) == (ours, genuine)
-    assert (answer.not_run, answer.another) == (not_run, another)
+    assert (answer.matches_request, answer.is_authentic) == (ours, genuine)
+    assert (answer.is_not_run, answer.is_other_incarnation) == (
+        not_run,
+        another,
+    )
 
 
 @pytest.mark.parametrize(
@@ -256,7 +259,7 @@
 def test_the_load_is_read(text, load):
     headers = (("Server-Load", text), ("Instance-Id", "i-7"))
 
-    answer = PlatformDialect().read_health(Response(200, headers))
+    answer = PlatformDialect().parse_health_response(Response(200, headers))
 
     got = answer.load
     assert answer.incarnation == "i-7"
--- a/src/radishwind/platform/tests/test_foreign.py
+++ b/src/radishwind/platform/tests/test_foreign.py
@@ -26,7 +26,7 @@
 from radishwind.platform.errors import PlatformMalformedError
 from radishwind.platform.heartbeats import read_call
 from radishwind.routes import messages as route_messages
-from radishwind.target.life import Life
+from radishwind.target.server_process import ServerProcess
 
 NUMBERS = st.one_of(
     st.integers(-(2**70), 2**70),
@@ -157,8 +157,8 @@
     except PlatformMalformedError:
         return
     assert told.gone
-    life = Life(told.incarnation, told.started_ms)
-    assert Life.of_key(life.key) == life
+    life = ServerProcess(told.incarnation, told.started_ms)
+    assert ServerProcess.from_key(life.key) == life
 
 
 @settings(max_examples=300)
@@ -189,7 +189,7 @@
 @example("1,inf,9,100")
 @example("1,2,3,nan")
 def test_loads(text):
-    answer = PlatformDialect().read_health(
+    answer = PlatformDialect().parse_health_response(
         Response(200, (("Server-Load", text),))
     )
 
--- a/src/radishwind/probing/prober.py
+++ b/src/radishwind/probing/prober.py
@@ -20,9 +20,9 @@
 from radishwind.probing.policy import Occupancy
 from radishwind.probing.policy import ProbeDecision
 from radishwind.probing.policy import ProbePolicy
-from radishwind.target.server import ServerBeside
-from radishwind.target.server import ServerState
-from radishwind.target.server import ServerView
+from radishwind.target.backend_server import BackendServer
+from radishwind.target.backend_server import ServerState
+from radishwind.target.backend_server import ServerView
 
 #: How often the policy is asked (s).
 POLL_INTERVAL_S = 0.25
@@ -55,7 +55,7 @@
         *,
         clock: Clock,
         sender: Sender,
-        server: ServerBeside,
+        server: BackendServer,
         admission: Admission,
         health: HealthEstimator,
         on_connect_failed: Callable[[], None],
@@ -89,7 +89,7 @@
         if view is None or not view.health_path or not self._server.listed:
             return
         now = self._clock.monotonic()
-        in_doubt = self._server.draining or self._server.warm(now) < 1
+        in_doubt = self._server.draining or self._server.warm_fraction(now) < 1
         occupancy = Occupancy(
             self._admission.slots,
             self._admission.in_flight,
@@ -115,7 +115,7 @@
             return
         self._policy.record_probe(now - began, health is not None, now)
         if health is not None and health.state is not None:
-            self._server.health(health.state, health.warm)
+            self._server.record_health(health.state, health.warm)
 
     async def _ask(self, view: ServerView) -> _Health | None:
         """Returns what the server tells; `None` if it does not do well."""
--- a/src/radishwind/probing/tests/test_probing.py
+++ b/src/radishwind/probing/tests/test_probing.py
@@ -15,8 +15,8 @@
 from radishwind.probing import Prober
 from radishwind.probing.policy import Occupancy
 from radishwind.probing.policy import ProbeDecision
-from radishwind.target.server import Announcement
-from radishwind.target.server import ServerBeside
+from radishwind.target.backend_server import Announcement
+from radishwind.target.backend_server import BackendServer
 
 ADDRESS = Address("127.0.0.1", 9000)
 FREE = Occupancy(9, 0, 0)
@@ -86,10 +86,10 @@
     def __init__(self):
         self.clock, self.sender = ManualClock(), DirectSender()
         self.clock.advance(100.0)
-        self.server = ServerBeside("a", None)
-        self.server.list(True)
+        self.server = BackendServer("a", None)
+        self.server.set_listed(True)
         told = Announcement("a", str(ADDRESS), health_path="/healthz")
-        self.server.announce(told, 100.0)
+        self.server.accept_announcement(told, 100.0)
         self.health = HealthEstimator()
         self.gone = []
         self.admission = FairAdmission(AdmissionLimits(1, 10, 0, 8, 1.0))
--- a/src/radishwind/sidecar/app.py
+++ b/src/radishwind/sidecar/app.py
@@ -220,10 +220,10 @@
             socket=self._peers.socket,
             traffic=self._links.traffic,
         )
-        self._target.pulse.listen(self._loads.tell)
+        self._target.pulse.subscribe(self._loads.tell)
 
     async def _handle_caller(self, request: Request) -> Response:
-        self._target.pulse.callers_came()
+        self._target.pulse.record_callers_present()
         return await self._caller_listener.handle(request)
 
     def _build_control(self) -> None:
@@ -348,7 +348,7 @@
         self._control.take(changed)
         self._log.change("Reloaded the settings.", service=changed.service)
         if (old.server, old.service) != (changed.server, changed.service):
-            self._target.server.move(changed.server, changed.service)
+            self._target.server.apply_settings(changed.server, changed.service)
             self._membership.serve(changed.service)
 
     def _ready(self) -> bool:
--- a/src/radishwind/sidecar/control.py
+++ b/src/radishwind/sidecar/control.py
@@ -14,8 +14,8 @@
 from radishwind.platform.heartbeats import Heartbeat
 from radishwind.platform.heartbeats import read_call
 from radishwind.target.leaving import LeavingRecords
-from radishwind.target.life import Life
-from radishwind.target.registered import Registration
+from radishwind.target.registered_server import Registration
+from radishwind.target.server_process import ServerProcess
 from radishwind.telemetry.logs import PartLogger
 
 #: The part of the bound on acknowledging that keeping the word may take; the
@@ -34,7 +34,7 @@
         *,
         clock: Clock,
         register: Callable[[Registration], bool],
-        meant_by: Callable[[Life], Life],
+        meant_by: Callable[[ServerProcess], ServerProcess],
         serves: Callable[[str], bool],
         records: LeavingRecords,
         known: Callable[[], bool],
@@ -100,15 +100,15 @@
 
     async def _leave(self, told: Registration) -> Response:
         """Stops new work at once, and acknowledges once that is kept."""
-        life = self._meant_by(told.life)
+        life = self._meant_by(told.process)
         pending = self._pending
-        if pending and pending.life.may_be(life):
+        if pending and pending.process.may_equal(life):
             self._pending = None
             if not life.started_ms:
-                life = pending.life
+                life = pending.process
                 told = msgspec.structs.replace(told, started_ms=life.started_ms)
         self._register(told)
-        if await self._records.keep(life, KEEP_WITHIN_S):
+        if await self._records.persist(life, KEEP_WITHIN_S):
             return Response(200, _JSON, _ACKNOWLEDGED, len(_ACKNOWLEDGED))
         return problem(
             ResultCode.STORE_UNAVAILABLE,
--- a/src/radishwind/sidecar/control_side.py
+++ b/src/radishwind/sidecar/control_side.py
@@ -82,7 +82,7 @@
             board=membership.board,
             peers=client,
             rng=rng,
-            learned=target.server.leave,
+            learned=target.server.mark_leaving,
         )
         self._habits = HabitKeeper(
             clock=clock,
@@ -120,7 +120,7 @@
         self.heartbeats = HeartbeatListener(
             clock=clock,
             register=target.register,
-            meant_by=target.server.meant_by,
+            meant_by=target.server.resolve,
             serves=self._serves,
             records=self._records,
             known=lambda: self._records_at_start.known,
--- a/src/radishwind/sidecar/entry_side.py
+++ b/src/radishwind/sidecar/entry_side.py
@@ -114,7 +114,7 @@
             rng,
             node_name=settings.node,
             failure_domain=settings.failure_domain,
-            own_load=target.pipeline.load,
+            own_load=target.pipeline.load_report,
             tells_unasked=tells_unasked,
             weights=weights,
             ways=(
--- a/src/radishwind/sidecar/habits.py
+++ b/src/radishwind/sidecar/habits.py
@@ -22,10 +22,10 @@
 from radishwind.store.base import Put
 from radishwind.store.base import Store
 from radishwind.store.base import StoreError
-from radishwind.target.pulse import ServerPulse
-from radishwind.target.spells import LONGEST_S
-from radishwind.target.spells import SHORTEST_S
-from radishwind.target.spells import SpellClock
+from radishwind.target.change_grid import ChangeGrid
+from radishwind.target.change_grid import LONGEST_S
+from radishwind.target.change_grid import SHORTEST_S
+from radishwind.target.load_monitor import LoadMonitor
 from radishwind.telemetry.logs import PartLogger
 
 PREFIX = "radishwind/habits/"
@@ -106,17 +106,17 @@
     """
 
     room: RoomLearner
-    pulse: ServerPulse
+    pulse: LoadMonitor
 
     @property
-    def spells(self) -> SpellClock:
+    def spells(self) -> ChangeGrid:
         """When the pace changes."""
-        return self.pulse.spells
+        return self.pulse.change_grid
 
     def expect(self, record: HabitRecord) -> None:
         """Begins with what others found."""
         self.room.expect(record.knee)
-        self.pulse.expect(record.period_s)
+        self.pulse.expect_interval(record.period_s)
 
     def merged(self, kept: HabitRecord) -> HabitRecord:
         """Returns what is to be kept: what was found, else what was kept."""
@@ -126,8 +126,8 @@
             part, slower = knee.part, knee.slower
         elif self.room.is_sure_of_none:
             part, slower = 1.0, 1.0
-        period_s = self.spells.period_s
-        if not period_s and not self.spells.disproved:
+        period_s = self.spells.interval_s
+        if not period_s and not self.spells.is_expected_refuted:
             period_s = kept.period_s
         return HabitRecord(part, max(1.0, slower), min(LONGEST_S, period_s))
 
--- a/src/radishwind/sidecar/loads.py
+++ b/src/radishwind/sidecar/loads.py
@@ -79,14 +79,14 @@
         """Tells until cancelled."""
         while True:
             self.tell()
-            report = self._target.load()
+            report = self._target.load_report()
             is_idle = not report.in_flight and not report.queued
             await anyio.sleep(IDLE_LOOK_PERIOD_S if is_idle else LOOK_PERIOD_S)
 
     def tell(self) -> None:
         """Tells the load if it changed enough."""
         now = self._clock.monotonic()
-        report = self._target.load()
+        report = self._target.load_report()
         near, far = self._teller.due(report, now)
         if not near and not far:
             return
--- a/src/radishwind/sidecar/metrics.py
+++ b/src/radishwind/sidecar/metrics.py
@@ -70,7 +70,7 @@
         "Attempts at the server beside, by outcome.",
         lambda: {
             f'outcome="{kind}"': count
-            for kind, count in target.pipeline.outcomes().items()
+            for kind, count in target.pipeline.outcome_counts().items()
         },
     )
     metrics.counter(
@@ -81,7 +81,7 @@
     metrics.counter(
         "radishwind_health_checks_total",
         "Health checks sent to the server beside.",
-        lambda: {"": target.pulse.checks},
+        lambda: {"": target.pulse.checks_sent},
     )
     metrics.gauge(
         "radishwind_target_requests",
@@ -94,7 +94,7 @@
     metrics.gauge(
         "radishwind_target_pace",
         "How long work takes there now; 1 is as usual.",
-        lambda: {"": target.pulse.now().factor},
+        lambda: {"": target.pulse.current_pace().factor},
     )
     metrics.gauge(
         "radishwind_target_best_in_flight",
@@ -109,7 +109,7 @@
     metrics.gauge(
         "radishwind_load_age_seconds",
         "Age of the last load figure of the server beside.",
-        lambda: {"": target.pulse.age_s()},
+        lambda: {"": target.pulse.load_age_s()},
     )
 
 
--- a/src/radishwind/sidecar/stop.py
+++ b/src/radishwind/sidecar/stop.py
@@ -113,7 +113,7 @@
             in_progress=self._callers.count,
         )
         self._farewell.leaving()
-        self._target.leave()
+        self._target.refuse_new_work()
         self._attempts.ask_to_close()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._refuse_late, began)
@@ -151,7 +151,7 @@
         with anyio.move_on_after(max(0.5, most_s - self._elapsed_s(began))):
             await self._callers.quiet(QUIET_S)
             await self._callers.finished()
-            await self._target.drained()
+            await self._target.wait_drained()
             await self._attempts.quiet(QUIET_S)
             await self._attempts.finished()
 
--- a/src/radishwind/sidecar/target_side.py
+++ b/src/radishwind/sidecar/target_side.py
@@ -23,20 +23,20 @@
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.switches import ALL_ON
 from radishwind.sidecar.switches import Switches
-from radishwind.target.confirmed import ConfirmedExchange
-from radishwind.target.dialect import ServerAnswer
+from radishwind.target.backend_server import ServerView
+from radishwind.target.dialect import ResponseMetadata
 from radishwind.target.dialect import ServerDialect
+from radishwind.target.exchange_recorder import ExchangeRecorder
+from radishwind.target.load_monitor import LoadMonitor
+from radishwind.target.load_poller import LoadPoller
 from radishwind.target.pace_gate import PaceGate
 from radishwind.target.pipeline import TargetPipeline
-from radishwind.target.pulse import ServerPulse
-from radishwind.target.pulse_keeper import PulseKeeper
-from radishwind.target.registered import RegisteredServer
-from radishwind.target.registered import Registration
-from radishwind.target.run_times import RunTimes
-from radishwind.target.server import ServerView
-from radishwind.target.warmup import WarmupGate
-from radishwind.target.warmup import WarmupLaw
-from radishwind.target.watch import ServerWatch
+from radishwind.target.registered_server import RegisteredServer
+from radishwind.target.registered_server import Registration
+from radishwind.target.run_time_estimator import RunTimeEstimator
+from radishwind.target.verifying_exchange import VerifyingExchange
+from radishwind.target.warmup_limiter import WarmupLimit
+from radishwind.target.warmup_limiter import WarmupLimiter
 from radishwind.telemetry.logs import PartLogger
 
 #: Requests that may wait at one target: more than come before the deadline of
@@ -96,14 +96,14 @@
             clock=clock,
             board=board,
         )
-        self.pulse = ServerPulse(
+        self.pulse = LoadMonitor(
             clock,
             learns_for_others,
             callers_come_at_once=not settings.first_start,
         )
         self.room = RoomLearner()
         self.runs = LocalConcurrency()
-        self.warmup = WarmupGate(clock, time.process_time())
+        self.warmup = WarmupLimiter(clock, time.process_time())
         self._services: Mapping[str, ServiceInfo] = {}
         self._limits = AdmissionLimits()
         self.admission = UrgentAdmission(
@@ -113,7 +113,7 @@
             refuses_hopeless=switches.refuse_hopeless,
         )
         watch = _Watch(clock, HealthEstimator(), self.quarantine, self.server)
-        exchange = ConfirmedExchange(
+        exchange = VerifyingExchange(
             clock=clock,
             sender=sender,
             dialect=dialect,
@@ -128,40 +128,40 @@
             server=self.server,
             watch=watch,
             exchange=exchange,
-            pace=self.pulse.now,
+            pace=self.pulse.current_pace,
             ran=self._ran,
             gate=self.warmup,
-            run_times=RunTimes() if switches.run_times else None,
+            run_times=RunTimeEstimator() if switches.run_times else None,
             link_kbps=link_kbps,
             runs=self.runs,
         )
-        self.keeper = PulseKeeper(
+        self.keeper = LoadPoller(
             clock=clock,
             sender=sender,
             dialect=dialect,
             pulse=self.pulse,
             view=self._view,
             answered=self._checked,
-            unreachable=watch.refused,
+            unreachable=watch.record_connect_failure,
         )
-        self.pulse.listen(self.pipeline.look_again)
+        self.pulse.subscribe(self.pipeline.start_deferred)
         self._watch = watch
         self._log = PartLogger("target", clock)
         self._settings = settings
 
     def register(self, told: Registration) -> bool:
         """Takes a heartbeat; returns whether it changed what is believed."""
-        before = self.server.lives
+        before = self.server.process_count
         changed = self.server.register(told)
-        if self.server.lives != before:
-            self._watch.restarted()
-            self.pulse.restarted()
+        if self.server.process_count != before:
+            self._watch.record_restart()
+            self.pulse.reset()
             self.room.forget()
             self.quarantine.serve(self.server.service)
             self._follow_service()
-            self.warmup.began(told.cold_s)
+            self.warmup.record_start(told.warmup_left_s)
         elif told.incarnation == self.server.incarnation:
-            self.warmup.told(told.cold_s)
+            self.warmup.record_heartbeat(told.warmup_left_s)
         self._resize()
         return changed
 
@@ -177,13 +177,15 @@
         What waits goes elsewhere at once, while it still has time. A server may
         have turned cold before it is to get work again.
         """
-        was_emptied = self.server.emptied
-        self.server.empty(self._settings.failure_domain in domains.names)
+        was_emptied = self.server.is_domain_evacuated
+        self.server.set_domain_evacuated(
+            self._settings.failure_domain in domains.names
+        )
         refused = self.server.refusal()
-        if self.server.emptied and refused is not None:
+        if self.server.is_domain_evacuated and refused is not None:
             self.admission.turn_away_all(refused)
-        if was_emptied and not self.server.emptied:
-            self.warmup.forget(self._clock.monotonic())
+        if was_emptied and not self.server.is_domain_evacuated:
+            self.warmup.mark_unknown(self._clock.monotonic())
 
     def _follow_service(self) -> None:
         """Takes what is configured of the service of the server beside."""
@@ -191,13 +193,13 @@
         if info is None:
             return
         self._connections = info.connections
-        self.server.check_at(info.health_path)
-        self.warmup.follow(self._warmup_law(info))
+        self.server.set_health_path(info.health_path)
+        self.warmup.configure(self._warmup_law(info))
 
-    def _warmup_law(self, info: ServiceInfo) -> WarmupLaw | None:
+    def _warmup_law(self, info: ServiceInfo) -> WarmupLimit | None:
         if info.warmup_per_s is None:
             return None
-        return WarmupLaw(
+        return WarmupLimit(
             info.warmup_per_s,
             self._settings.cold_over,
             self._settings.cold_slack,
@@ -206,7 +208,7 @@
 
     def _view(self) -> ServerView | None:
         """Returns the server to be asked; one not known by the settings."""
-        if self.server.emptied:
+        if self.server.is_domain_evacuated:
             return None
         if self.server.view is not None:
             return self.server.view
@@ -215,18 +217,20 @@
             return None
         return ServerView(self._settings.server, health_path=path)
 
-    def _checked(self, answer: ServerAnswer, good: bool, asked: float) -> None:
+    def _checked(
+        self, answer: ResponseMetadata, good: bool, asked: float
+    ) -> None:
         """Takes what a health check that was sent at `asked` told.
 
         A server that took no connections may have begun anew meanwhile.
         An incarnation that no heartbeat named yet is taken from here, so that
         a node which began anew need not wait for the next heartbeat.
         """
-        if self.server.down:
-            self.warmup.forget(asked)
-        self.server.reachable()
-        if answer.cold_s is not None:
-            self.warmup.looked(answer.cold_s, asked)
+        if self.server.is_down:
+            self.warmup.mark_unknown(asked)
+        self.server.mark_reachable()
+        if answer.warmup_left_s is not None:
+            self.warmup.record_check(answer.warmup_left_s, asked)
         if not good or not answer.incarnation:
             return
         if self.server.incarnation or self.server.has_ended(answer.incarnation):
@@ -239,17 +243,17 @@
                 None,
                 slots,
                 False,
-                answer.cold_s or 0.0,
+                answer.warmup_left_s or 0.0,
                 0,
             )
         )
-        if answer.cold_s is None:
-            self.warmup.forget(asked)
+        if answer.warmup_left_s is None:
+            self.warmup.mark_unknown(asked)
 
     def _replaced(self, meant: str, incarnation: str) -> None:
         """Takes that `incarnation` answered where `meant` was to."""
-        self.server.answered_by(meant, incarnation)
-        self.warmup.forget(self._clock.monotonic())
+        self.server.record_answering_incarnation(meant, incarnation)
+        self.warmup.mark_unknown(self._clock.monotonic())
 
     def _ran(self, run: Run) -> None:
         """Learns from a run how many at once are best."""
@@ -284,7 +288,7 @@
         self.admission.resize(limits)
 
 
-class _Watch(ServerWatch):
+class _Watch(ExchangeRecorder):
     """Also tells the server beside whether it can be reached."""
 
     def __init__(
@@ -297,6 +301,6 @@
         super().__init__(clock, health, quarantine)
         self._server = server
 
-    def refused(self) -> None:
-        super().refused()
-        self._server.unreachable()
+    def record_connect_failure(self) -> None:
+        super().record_connect_failure()
+        self._server.mark_unreachable()
--- a/src/radishwind/sidecar/tests/test_control.py
+++ b/src/radishwind/sidecar/tests/test_control.py
@@ -8,8 +8,8 @@
 from radishwind.http import Address
 from radishwind.http import Request
 from radishwind.sidecar.control import HeartbeatListener
-from radishwind.target.life import Life
-from radishwind.target.registered import RegisteredServer
+from radishwind.target.registered_server import RegisteredServer
+from radishwind.target.server_process import ServerProcess
 
 pytestmark = pytest.mark.anyio
 
@@ -21,7 +21,7 @@
         self.kept = []
         self.keeps = True
 
-    async def keep(self, life, within_s):
+    async def persist(self, life, within_s):
         self.kept.append(life)
         return self.keeps
 
@@ -37,7 +37,7 @@
         self.listener = HeartbeatListener(
             clock=clock,
             register=self.server.register,
-            meant_by=self.server.meant_by,
+            meant_by=self.server.resolve,
             serves=lambda service: service == "s",
             records=self.records,
             known=lambda: self.known,
@@ -72,7 +72,7 @@
     assert stage.server.incarnation == ""
     stage.listener.records_known()
 
-    assert stage.server.life == Life("i-1", FIRST)
+    assert stage.server.process == ServerProcess("i-1", FIRST)
 
 
 async def test_one_that_ends_before_is_the_one_that_waits():
@@ -82,11 +82,11 @@
     assert await stage.deregister() == 200
     stage.listener.records_known()
 
-    assert stage.records.kept == [Life("i-1", FIRST)]
+    assert stage.records.kept == [ServerProcess("i-1", FIRST)]
     assert stage.server.incarnation == ""
     stage.known = True
     assert await stage.beat(SECOND) == 200
-    assert stage.server.life == Life("i-1", SECOND)
+    assert stage.server.process == ServerProcess("i-1", SECOND)
 
 
 async def test_leaving_is_acknowledged_once_the_word_is_kept():
@@ -110,5 +110,5 @@
 
     assert await stage.beat(SECOND, **wrong) >= 400
 
-    assert stage.server.life == Life("i-1", FIRST)
+    assert stage.server.process == ServerProcess("i-1", FIRST)
     assert stage.listener.malformed == 1
--- a/src/radishwind/sidecar/tests/test_habits.py
+++ b/src/radishwind/sidecar/tests/test_habits.py
@@ -14,8 +14,8 @@
 from radishwind.sidecar.habits import read_record
 from radishwind.store.base import StoreEntry
 from radishwind.store.base import StoreUnavailableError
-from radishwind.target.pulse import ServerPulse
-from radishwind.target.spells import SpellClock
+from radishwind.target.change_grid import ChangeGrid
+from radishwind.target.load_monitor import LoadMonitor
 
 pytestmark = pytest.mark.anyio
 
@@ -47,7 +47,7 @@
         self, store, monkeypatch, first_start=False, on_duty=True, board=None
     ):
         self.clock = ManualClock()
-        pulse = ServerPulse(self.clock)
+        pulse = LoadMonitor(self.clock)
         self.findings = Findings(RoomLearner(), pulse)
         self.findings.room.best(SLOTS)
         self.keeper = HabitKeeper(
@@ -126,12 +126,12 @@
     await node.run(1.0)
     spells = node.findings.spells
     for at in (1.0, 1.3):
-        spells.changed(at - 0.002, at + 0.002)
+        spells.record_change(at - 0.002, at + 0.002)
     at = 1.3
     for step in range(12):
         at += 0.4 + 0.037 * (step % 5)
-        spells.changed(at - 0.002, at + 0.002)
-    spells.forget()
+        spells.record_change(at - 0.002, at + 0.002)
+    spells.reset()
 
     await node.run(60.0)
 
@@ -208,30 +208,30 @@
 
 
 def test_a_period_that_was_kept_is_believed_after_two_changes():
-    spells = SpellClock()
-    spells.expect(0.15)
+    spells = ChangeGrid()
+    spells.expect_interval(0.15)
 
-    spells.changed(0.998, 1.002)
-    assert not spells.period_s
-    spells.changed(1.448, 1.452)
+    spells.record_change(0.998, 1.002)
+    assert not spells.interval_s
+    spells.record_change(1.448, 1.452)
 
-    assert spells.period_s == pytest.approx(0.15)
-    assert spells.last(1.52) == pytest.approx(1.45, abs=0.01)
+    assert spells.interval_s == pytest.approx(0.15)
+    assert spells.last_change_point(1.52) == pytest.approx(1.45, abs=0.01)
 
 
 def test_a_period_that_does_not_hold_any_more_is_given_up():
-    spells = SpellClock()
-    spells.expect(0.15)
+    spells = ChangeGrid()
+    spells.expect_interval(0.15)
     for at in (1.0, 1.3):
-        spells.changed(at - 0.002, at + 0.002)
-    assert spells.period_s
+        spells.record_change(at - 0.002, at + 0.002)
+    assert spells.interval_s
 
     at = 1.3
     for step in range(12):
         at += 0.4 + 0.037 * (step % 5)
-        spells.changed(at - 0.002, at + 0.002)
+        spells.record_change(at - 0.002, at + 0.002)
 
-    assert spells.period_s != pytest.approx(0.15)
+    assert spells.interval_s != pytest.approx(0.15)
 
 
 def test_records_that_tell_the_same_are_alike():
@@ -265,7 +265,7 @@
     board = Board()
     other = Node(Store(), monkeypatch, on_duty=False, board=board)
     node = Node(store, monkeypatch, board=board)
-    node.findings.spells.period_s = 0.15
+    node.findings.spells.interval_s = 0.15
 
     await node.run(10.0)
 
@@ -276,7 +276,7 @@
 async def test_a_node_that_is_not_on_duty_tells_nothing(store, monkeypatch):
     board = Board()
     node = Node(store, monkeypatch, on_duty=False, board=board)
-    node.findings.spells.period_s = 0.15
+    node.findings.spells.interval_s = 0.15
 
     await node.run(10.0)
 
--- a/src/radishwind/sidecar/tests/test_stop.py
+++ b/src/radishwind/sidecar/tests/test_stop.py
@@ -73,9 +73,9 @@
 
 class Target:
     def __init__(self, day):
-        self.leave = lambda: day.note("target leaves")
+        self.refuse_new_work = lambda: day.note("target leaves")
 
-    async def drained(self):
+    async def wait_drained(self):
         pass
 
 
--- a/src/radishwind/sidecar/tests/test_target_side.py
+++ b/src/radishwind/sidecar/tests/test_target_side.py
@@ -18,9 +18,9 @@
 from radishwind.routes.model import ServiceInfo
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.target_side import SidecarTarget
-from radishwind.target.dialect import ServerAnswer
-from radishwind.target.registered import Registration
-from radishwind.target.warmup import WINDOW_S
+from radishwind.target.dialect import ResponseMetadata
+from radishwind.target.registered_server import Registration
+from radishwind.target.warmup_limiter import WINDOW_S
 
 pytestmark = pytest.mark.anyio
 
@@ -119,7 +119,7 @@
 
     assert await beside.run() is ResultCode.DOMAIN_EMPTIED
     assert beside.sender.sent == []
-    assert beside.target.pipeline.load().leaving
+    assert beside.target.pipeline.load_report().leaving
     assert beside.target._view() is None
 
 
@@ -164,22 +164,24 @@
     beside.clock.advance(5.0)
     beside.empty(revision=2)
 
-    beside.target._checked(ServerAnswer(cold_s=0.0), True, asked_before)
+    beside.target._checked(
+        ResponseMetadata(warmup_left_s=0.0), True, asked_before
+    )
     codes = await beside.burst(MOST + 5)
 
     assert codes == [None] * MOST + [ResultCode.SERVER_COLD] * 5
     now = beside.clock.monotonic()
-    beside.target._checked(ServerAnswer(cold_s=0.0), True, now)
+    beside.target._checked(ResponseMetadata(warmup_left_s=0.0), True, now)
     assert await beside.run() is None
 
 
 async def test_a_server_that_fell_and_stands_again_is_cold_until_it_tells():
     beside = Beside()
     beside.beat()
-    beside.target.server.unreachable()
+    beside.target.server.mark_unreachable()
     asked = beside.clock.monotonic()
 
-    beside.target._checked(ServerAnswer(cold_s=2.9), True, asked)
+    beside.target._checked(ResponseMetadata(warmup_left_s=2.9), True, asked)
 
     assert (await beside.burst(MOST + 1))[-1] is ResultCode.SERVER_COLD
 
@@ -197,7 +199,7 @@
 async def test_a_server_that_nobody_told_of_is_bounded_from_the_first_on():
     beside = Beside()
     beside.target._checked(
-        ServerAnswer(incarnation="i-1"), True, beside.clock.monotonic()
+        ResponseMetadata(incarnation="i-1"), True, beside.clock.monotonic()
     )
 
     assert (await beside.burst(MOST + 1))[-1] is ResultCode.SERVER_COLD
@@ -208,7 +210,7 @@
     beside.beat(cold_s=3.0)
 
     assert set(await beside.burst(60)) == {None}
-    assert beside.target.pipeline.load().starts_left is None
+    assert beside.target.pipeline.load_report().starts_left is None
 
 
 async def test_the_load_tells_how_many_a_cold_server_still_takes():
@@ -216,7 +218,7 @@
     beside.beat(cold_s=3.0)
     await beside.burst(MOST - 2)
 
-    assert beside.target.pipeline.load().starts_left == 2
+    assert beside.target.pipeline.load_report().starts_left == 2
 
 
 async def test_a_new_law_holds_at_once():
--- a/src/radishwind/target/__init__.py
+++ b/src/radishwind/target/__init__.py
@@ -1,13 +1,13 @@
 """The target side: the one authority on the server beside the node."""
 
-from radishwind.target.announce import AnnouncementHandler
+from radishwind.target.announcement_handler import AnnouncementHandler
+from radishwind.target.backend_server import BackendServer
+from radishwind.target.exchange_recorder import ExchangeRecorder
 from radishwind.target.pipeline import TargetPipeline
-from radishwind.target.server import ServerBeside
-from radishwind.target.watch import ServerWatch
 
 __all__ = [
     "AnnouncementHandler",
-    "ServerBeside",
-    "ServerWatch",
+    "BackendServer",
+    "ExchangeRecorder",
     "TargetPipeline",
 ]
--- a/src/radishwind/target/announce.py
+++ b/src/radishwind/target/announcement_handler.py
@@ -10,9 +10,9 @@
 from radishwind.http.types import Response
 from radishwind.http.types import whole_body
 from radishwind.outcomes.answers import problem
-from radishwind.target.server import Announcement
-from radishwind.target.server import AnnouncementRefusedError
-from radishwind.target.server import ServerBeside
+from radishwind.target.backend_server import Announcement
+from radishwind.target.backend_server import AnnouncementRefusedError
+from radishwind.target.backend_server import BackendServer
 from radishwind.telemetry.logs import PartLogger
 
 #: Announcements are small; more is not read.
@@ -32,7 +32,7 @@
     """
 
     def __init__(
-        self, clock: Clock, server: ServerBeside, started: Callable[[], None]
+        self, clock: Clock, server: BackendServer, started: Callable[[], None]
     ) -> None:
         self._clock = clock
         self._server = server
@@ -46,7 +46,9 @@
             return _refused(f"expected a body of at most {MAX_BYTES} bytes")
         try:
             announcement = _decoder.decode(await whole_body(request.body))
-            fresh = self._server.announce(announcement, self._clock.monotonic())
+            fresh = self._server.accept_announcement(
+                announcement, self._clock.monotonic()
+            )
         except msgspec.MsgspecError as exc:
             return _refused(str(exc))
         except AnnouncementRefusedError as exc:
--- a/src/radishwind/target/server.py
+++ b/src/radishwind/target/backend_server.py
@@ -64,7 +64,7 @@
       instance: of the announcement; empty for an address from the settings.
       started: monotonic time (s) of its start; `None` if not told.
       health_path: where it answers probes; empty if nowhere.
-      heard: monotonic time (s) of the last announcement.
+      last_announced: monotonic time (s) of the last announcement.
     """
 
     address: Address
@@ -72,10 +72,10 @@
     instance: str = ""
     started: float | None = None
     health_path: str = ""
-    heard: float = 0.0
+    last_announced: float = 0.0
 
 
-class ServerBeside:
+class BackendServer:
     """The server beside the node; nothing is sent to it unless it is listed.
 
     Args:
@@ -114,7 +114,7 @@
         return self._view is not None and not self.draining
 
     @property
-    def emptied(self) -> bool:
+    def is_domain_evacuated(self) -> bool:
         """Whether its failure domain is to get nothing new."""
         return False
 
@@ -127,11 +127,13 @@
             self._view.state is ServerState.DRAINING
         )
 
-    def list(self, listed: bool) -> None:
+    def set_listed(self, listed: bool) -> None:
         """Takes whether the inventory lists the target."""
         self._listed = listed
 
-    def announce(self, announcement: Announcement, now: float) -> bool:
+    def accept_announcement(
+        self, announcement: Announcement, now: float
+    ) -> bool:
         """Takes an announcement; returns whether the server is a new start.
 
         Raises:
@@ -160,19 +162,19 @@
         if fresh:
             self._told_warm = None
             self._health_draining = False
-        self._tell_ready()
+        self._notify_ready()
         return fresh
 
-    def health(self, state: ServerState, warm: float | None) -> None:
+    def record_health(self, state: ServerState, warm: float | None) -> None:
         """Takes what a probe was told.
 
         A server that announced draining stays so whatever its health says.
         """
         self._health_draining = state is ServerState.DRAINING
         self._told_warm = warm
-        self._tell_ready()
+        self._notify_ready()
 
-    def _tell_ready(self) -> None:
+    def _notify_ready(self) -> None:
         if self.ready == self._ready_told:
             return
         self._ready_told = self.ready
@@ -198,7 +200,7 @@
             )
         return None
 
-    def warm(self, now: float) -> float:
+    def warm_fraction(self, now: float) -> float:
         """Returns 0 for a server just started to 1 for a warm one."""
         if self._view is None:
             return 0.0
@@ -219,6 +221,8 @@
             "listed": self._listed,
             "address": str(view.address),
             "state": "draining" if self.draining else str(view.state),
-            "warm": round(self.warm(now), 3),
-            "heard_s_ago": round(now - view.heard, 1) if view.heard else None,
+            "warm": round(self.warm_fraction(now), 3),
+            "heard_s_ago": round(now - view.last_announced, 1)
+            if view.last_announced
+            else None,
         }
--- a/src/radishwind/target/held.py
+++ b/src/radishwind/target/buffered_body.py
@@ -17,34 +17,34 @@
 PIECE_BYTES = 64 * 1024
 
 
-class HeldRoom:
+class BufferBudget:
     """What answers that are held take, of what they may.
 
     Attributes:
-      used: what they take (bytes).
+      used_bytes: what they take (bytes).
     """
 
     def __init__(self, most_bytes: int = HELD_IN_ALL_BYTES) -> None:
         self._most_bytes = most_bytes
-        self.used = 0
+        self.used_bytes = 0
 
     def fits(self, size: int) -> bool:
         """Returns whether an answer of `size` (bytes) may be held."""
-        return self.used + size <= self._most_bytes
+        return self.used_bytes + size <= self._most_bytes
 
-    def take(self, size: int) -> None:
+    def reserve(self, size: int) -> None:
         """Counts `size` bytes as held."""
-        self.used += size
+        self.used_bytes += size
 
-    def give_back(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """Counts `size` bytes as handed on or given up."""
-        self.used -= size
+        self.used_bytes -= size
 
 
-class HeldBody(BodyStream):
+class BufferedBody(BodyStream):
     """A body at hand, handed on piece by piece."""
 
-    def __init__(self, body: bytes, room: HeldRoom) -> None:
+    def __init__(self, body: bytes, room: BufferBudget) -> None:
         """Takes room for a body until it is read or given up.
 
         Args:
@@ -54,7 +54,7 @@
         self._body = body
         self._room = room
         self._left = len(body)
-        room.take(self._left)
+        room.reserve(self._left)
 
     @property
     def is_whole(self) -> bool:
@@ -81,4 +81,4 @@
     def _give_back(self, size: int) -> None:
         size = min(size, self._left)
         self._left -= size
-        self._room.give_back(size)
+        self._room.release(size)
--- a/src/radishwind/target/spells.py
+++ b/src/radishwind/target/change_grid.py
@@ -87,17 +87,18 @@
     half_s: float
 
 
-class SpellClock:
+class ChangeGrid:
     """Tells when the pace may change next, once it knows.
 
     Attributes:
-      period_s: time between moments of change (s); 0 while not known.
-      disproved: whether the period that others found did not hold here.
+      interval_s: time between moments of change (s); 0 while not known.
+      is_expected_refuted: whether the interval that other nodes found did not
+        hold here.
     """
 
     def __init__(self) -> None:
-        self.period_s = 0.0
-        self.disproved = False
+        self.interval_s = 0.0
+        self.is_expected_refuted = False
         self._expected_s = 0.0
         self._origin = 0.0
         self._changes: collections.deque[_Change] = collections.deque(
@@ -118,27 +119,27 @@
         return self._expected_s
 
     @property
-    def looks_s(self) -> tuple[float, ...]:
+    def check_offsets_s(self) -> tuple[float, ...]:
         """When to look, from each moment of change on (s)."""
         return VERIFYING_LOOKS_S if self._unverified else LOOKS_S
 
-    def changed(self, before: float, after: float) -> None:
+    def record_change(self, before: float, after: float) -> None:
         """Takes that the pace changed between two looks (monotonic s)."""
-        if after - before > (self.period_s / 2 or COARSEST_S):
+        if after - before > (self.interval_s / 2 or COARSEST_S):
             self._take_wide(before, after)
             return
         self._wide = 0
         change = _Change((before + after) / 2, (after - before) / 2)
-        if self.period_s:
+        if self.interval_s:
             self._follow(change)
             return
         self._changes.append(change)
         if self._expected_s and len(self._changes) >= LEAST_EXPECTED_CHANGES:
             self._learn_expected()
-        if not self.period_s and len(self._changes) >= LEAST_CHANGES:
+        if not self.interval_s and len(self._changes) >= LEAST_CHANGES:
             self._learn()
 
-    def expect(self, period_s: float) -> None:
+    def expect_interval(self, period_s: float) -> None:
         """Takes the period that others found; 0 where they found none.
 
         Fewer changes then show the grid; one that doesn't hold is given up
@@ -146,13 +147,13 @@
         """
         self._expected_s = period_s
 
-    def left_s(self, now: float) -> float:
+    def until_next_s(self, now: float) -> float:
         """Returns the time until the next moment of change (s)."""
-        return self.period_s - (now - self._origin) % self.period_s
+        return self.interval_s - (now - self._origin) % self.interval_s
 
-    def last(self, now: float) -> float:
+    def last_change_point(self, now: float) -> float:
         """Returns the last moment of change (monotonic s)."""
-        return now - (now - self._origin) % self.period_s
+        return now - (now - self._origin) % self.interval_s
 
     def _learn(self) -> None:
         middles = [change.middle for change in self._changes]
@@ -174,7 +175,7 @@
             self._believe(self._expected_s)
 
     def _believe(self, period_s: float) -> None:
-        self.period_s = period_s
+        self.interval_s = period_s
         self._origin = self._changes[-1].middle
         self._fit()
         self._misses.clear()
@@ -198,11 +199,11 @@
         A whole period that explains them goes before the free fit: over a few
         changes the latter errs by up to a millisecond a period.
         """
-        whole_s = round(self.period_s / WHOLE_S) * WHOLE_S
-        if abs(whole_s - self.period_s) <= WHOLE_SLACK_S:
+        whole_s = round(self.interval_s / WHOLE_S) * WHOLE_S
+        if abs(whole_s - self.interval_s) <= WHOLE_SLACK_S:
             origin = self._origin_at(whole_s)
             if self._explains(whole_s, origin):
-                self.period_s, self._origin = whole_s, origin
+                self.interval_s, self._origin = whole_s, origin
                 return
         self._fit_freely()
 
@@ -228,12 +229,12 @@
 
     def _fit_freely(self) -> None:
         newest = self._changes[-1].middle
-        count = round((newest - self._origin) / self.period_s)
-        base = self._origin + count * self.period_s
+        count = round((newest - self._origin) / self.interval_s)
+        base = self._origin + count * self.interval_s
         sums = [0.0] * 5
         for change in self._changes:
-            step = round((change.middle - base) / self.period_s)
-            off_s = change.middle - base - step * self.period_s
+            step = round((change.middle - base) / self.interval_s)
+            off_s = change.middle - base - step * self.interval_s
             weight = 1 / (change.half_s + _LEAST_HALF_S) ** 2
             terms = (1.0, step, step * step, off_s, step * off_s)
             sums = [s + weight * t for s, t in zip(sums, terms, strict=True)]
@@ -244,12 +245,12 @@
             return
         slope = (all_ * products - steps * offs) / spread
         self._origin = base + (offs - slope * steps) / all_
-        self.period_s += slope
+        self.interval_s += slope
 
     def _follow(self, change: _Change) -> None:
         """Sets the grid right by a change, or gives it up."""
-        count = round((change.middle - self._origin) / self.period_s)
-        off_s = abs(change.middle - self._origin - count * self.period_s)
+        count = round((change.middle - self._origin) / self.interval_s)
+        off_s = abs(change.middle - self._origin - count * self.interval_s)
         miss = off_s > change.half_s + 2 * _SLACK_S
         self._misses.append(miss)
         self._verify(off_s, change.half_s)
@@ -264,10 +265,10 @@
 
     def _take_wide(self, before: float, after: float) -> None:
         """Gives the grid up where changes keep falling between its moments."""
-        if not self.period_s:
+        if not self.interval_s:
             return
-        since_s = (before - self._origin) % self.period_s
-        if since_s + (after - before) >= self.period_s:
+        since_s = (before - self._origin) % self.interval_s
+        if since_s + (after - before) >= self.interval_s:
             return
         self._wide += 1
         if self._wide >= MOST_WIDE:
@@ -275,13 +276,15 @@
 
     def _give_up(self) -> None:
         """Forgets a grid that does not hold, and the word of others on it."""
-        self.disproved = self.disproved or self._expected_s > 0
+        self.is_expected_refuted = (
+            self.is_expected_refuted or self._expected_s > 0
+        )
         self._expected_s = 0.0
-        self.forget()
+        self.reset()
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Forgets the grid; it is to be learned anew."""
-        self.period_s = 0.0
+        self.interval_s = 0.0
         self._changes.clear()
         self._wide = 0
 
@@ -298,7 +301,7 @@
         The first changes seen may all have been several moments apart.
         """
         for parts in _DIVISORS[1:]:
-            period_s = self.period_s / parts
+            period_s = self.interval_s / parts
             rest_s = off_s % period_s
             rest_s = min(rest_s, period_s - rest_s)
             if period_s < SHORTEST_S or half_s > period_s / 4:
@@ -308,7 +311,7 @@
             self._parts[parts] += 1
             if self._parts[parts] < _ENOUGH_FOR_PART:
                 return False
-            self.period_s = period_s
+            self.interval_s = period_s
             self._misses.clear()
             self._parts.clear()
             return True
--- a/src/radishwind/target/dialect.py
+++ b/src/radishwind/target/dialect.py
@@ -27,27 +27,28 @@
     pace: float = 1.0
 
 
-class ServerAnswer(msgspec.Struct, frozen=True):
+class ResponseMetadata(msgspec.Struct, frozen=True):
     """What the fields of an answer of the server tell.
 
     Attributes:
-      ours: whether it names the request that it is to answer.
+      matches_request: whether it names the request that it is to answer.
       incarnation: the incarnation that answers; empty if not told.
-      not_run: whether the server says that it did not run the request.
-      another: whether it says that it is another incarnation than meant.
-      genuine: whether the answer can be the server's own, as it made it.
+      is_not_run: whether the server says that it did not run the request.
+      is_other_incarnation: whether it says that it is another incarnation than
+        meant.
+      is_authentic: whether the answer can be the server's own, as it made it.
       load: the server's load, where told.
-      cold_s: how much longer the server is cold (s), where told.
+      warmup_left_s: how much longer the server is cold (s), where told.
       headers: the fields that go on to the caller.
     """
 
-    ours: bool = True
+    matches_request: bool = True
     incarnation: str = ""
-    not_run: bool = False
-    another: bool = False
-    genuine: bool = True
+    is_not_run: bool = False
+    is_other_incarnation: bool = False
+    is_authentic: bool = True
     load: ServerLoad | None = None
-    cold_s: float | None = None
+    warmup_left_s: float | None = None
     headers: Headers = ()
 
 
@@ -55,7 +56,9 @@
     """Makes requests for the server and reads its answers."""
 
     @abc.abstractmethod
-    def request(self, call: Call, incarnation: str, left_s: float) -> Request:
+    def build_request(
+        self, call: Call, incarnation: str, left_s: float
+    ) -> Request:
         """Returns `call` as the server gets it.
 
         Args:
@@ -65,13 +68,15 @@
         """
 
     @abc.abstractmethod
-    def health_request(self, path: str) -> Request:
+    def build_health_request(self, path: str) -> Request:
         """Returns a health check at `path`."""
 
     @abc.abstractmethod
-    def read(self, call: Call, response: Response) -> ServerAnswer:
+    def parse_response(
+        self, call: Call, response: Response
+    ) -> ResponseMetadata:
         """Returns what the fields of the answer to `call` tell."""
 
     @abc.abstractmethod
-    def read_health(self, response: Response) -> ServerAnswer:
+    def parse_health_response(self, response: Response) -> ResponseMetadata:
         """Returns what the answer to a health check tells."""
--- a/src/radishwind/target/exchange_base.py
+++ b/src/radishwind/target/exchange_base.py
@@ -6,7 +6,7 @@
 from radishwind.entry.call import Call
 from radishwind.http.types import Response
 from radishwind.outcomes.model import Outcome
-from radishwind.target.server import ServerView
+from radishwind.target.backend_server import ServerView
 
 
 class Exchange(abc.ABC):
@@ -23,7 +23,7 @@
         """
 
     @abc.abstractmethod
-    def hold(
+    def wrap_stream(
         self,
         call: Call,
         response: Response,
--- a/src/radishwind/target/watch.py
+++ b/src/radishwind/target/exchange_recorder.py
@@ -9,7 +9,7 @@
 from radishwind.quarantine.gate import Quarantine
 
 
-class ServerWatch:
+class ExchangeRecorder:
     """Hands what became of each exchange to those who learn from it."""
 
     def __init__(
@@ -20,7 +20,7 @@
         self._quarantine = quarantine
         self._crashes = CrashDetector()
 
-    def alone(self, call: Call) -> bool:
+    def must_run_alone(self, call: Call) -> bool:
         """Returns whether `call` must run alone."""
         return self._quarantine.alone(call)
 
@@ -32,7 +32,7 @@
         """Returns 1 for a server that does well to 0 for one that fails."""
         return self._health.score(self._clock.monotonic())
 
-    def answered(self, call: Call, status: int, alone: bool) -> None:
+    def record_answer(self, call: Call, status: int, alone: bool) -> None:
         """Takes a whole answer.
 
         Args:
@@ -45,29 +45,29 @@
         if alone:
             self._quarantine.ran_safely(call)
 
-    def broke(self, call: Call) -> None:
+    def record_broken_exchange(self, call: Call) -> None:
         """Takes an exchange that broke off."""
         now = self._clock.monotonic()
         self._health.record_response(False, now)
         self._crashes.broke(call.request, now)
 
-    def late(self) -> None:
+    def record_timeout(self) -> None:
         """Takes that the server did not answer by the deadline."""
 
-    def shed(self) -> None:
+    def record_shed(self) -> None:
         """Takes that the server refused a request."""
 
-    def refused(self) -> None:
+    def record_connect_failure(self) -> None:
         """Takes a connection that the server did not accept."""
         self._health.record_response(False, self._clock.monotonic())
-        self.gone()
+        self.record_server_down()
 
-    def gone(self) -> None:
+    def record_server_down(self) -> None:
         """Takes that the server is not there; what broke before crashed it."""
         now = self._clock.monotonic()
         self._quarantine.crashed(self._crashes.gone(now))
 
-    def restarted(self) -> None:
+    def record_restart(self) -> None:
         """Takes a new start of the server."""
         self._health.reset(self._clock.monotonic())
-        self.gone()
+        self.record_server_down()
--- a/src/radishwind/target/leaving.py
+++ b/src/radishwind/target/leaving.py
@@ -25,7 +25,7 @@
 from radishwind.store.base import Put
 from radishwind.store.base import Store
 from radishwind.store.base import StoreError
-from radishwind.target.life import Life
+from radishwind.target.server_process import ServerProcess
 from radishwind.telemetry.logs import PartLogger
 
 PREFIX = "radishwind/leaving/"
@@ -62,7 +62,7 @@
         board: RumorBoard,
         peers: PeerClient,
         rng: random.Random,
-        learned: Callable[[Life], object],
+        learned: Callable[[ServerProcess], object],
     ) -> None:
         """Wires the records.
 
@@ -96,10 +96,12 @@
             self._log.warning("Records unread.", reason=str(exc)[:120])
             return False
         for entry in entries:
-            self._learned(Life.of_key(entry.key.removeprefix(PREFIX)))
+            self._learned(
+                ServerProcess.from_key(entry.key.removeprefix(PREFIX))
+            )
         return True
 
-    async def keep(self, life: Life, within_s: float) -> bool:
+    async def persist(self, life: ServerProcess, within_s: float) -> bool:
         """Returns whether the word on `life` is kept now.
 
         Args:
@@ -179,4 +181,4 @@
                 tasks.start_soon(ask, member)
 
     def _on_rumor(self, key: str, value: bytes) -> None:
-        self._learned(Life.of_key(key))
+        self._learned(ServerProcess.from_key(key))
--- a/src/radishwind/target/pulse.py
+++ b/src/radishwind/target/load_monitor.py
@@ -9,9 +9,9 @@
 
 from radishwind.core.clock import Clock
 from radishwind.routing.pace import PaceHabit
+from radishwind.target.change_grid import ChangeGrid
 from radishwind.target.dialect import ServerLoad
 from radishwind.target.pace import Pace
-from radishwind.target.spells import SpellClock
 
 #: Silence after which a server that is in use is asked (s). Its pace holds for
 #: about 150 ms, so an older figure says little.
@@ -49,13 +49,13 @@
 FADE_S = 0.25
 
 
-class ServerPulse:
+class LoadMonitor:
     """The newest load figure; listeners hear of each one.
 
     Attributes:
       load: as told last; `None` before the first.
-      heard: when that was (monotonic s).
-      checks: health checks sent.
+      last_reported: when that was (monotonic s).
+      checks_sent: health checks sent.
     """
 
     def __init__(
@@ -82,8 +82,8 @@
         self._has_callers = callers_come_at_once
         self._learns_for_others = learns_for_others or _always
         self.load: ServerLoad | None = None
-        self.heard = -IDLE_SILENCE_S
-        self.checks = 0
+        self.last_reported = -IDLE_SILENCE_S
+        self.checks_sent = 0
         # A start counts as use: callers come soon after it.
         self._used = clock.monotonic()
         self._recent: collections.deque[tuple[float, float]] = (
@@ -94,46 +94,46 @@
         self._learning_since = clock.monotonic()
         # The last figure can't have been measured before this. An answer may
         # have waited to be read, so only what was asked for tells it.
-        self._measured = self.heard
+        self._measured = self.last_reported
         # When the last health check was sent.
-        self._looked = self.heard
-        self.spells = SpellClock()
-        self.habit = PaceHabit()
+        self._looked = self.last_reported
+        self.change_grid = ChangeGrid()
+        self.pace_statistics = PaceHabit()
         self._listeners: list[Callable[[], None]] = []
         self._use_listeners: list[Callable[[], None]] = []
 
-    def listen_for_use(self, listener: Callable[[], None]) -> None:
+    def subscribe_use(self, listener: Callable[[], None]) -> None:
         """Calls `listener` where the server is used after it was idle."""
         self._use_listeners.append(listener)
 
-    def expect(self, period_s: float) -> None:
+    def expect_interval(self, period_s: float) -> None:
         """Takes the time between moments of change that others found (s)."""
-        self.spells.expect(period_s)
-        if period_s and not self.spells.period_s:
+        self.change_grid.expect_interval(period_s)
+        if period_s and not self.change_grid.interval_s:
             self._learning_since = self._clock.monotonic()
 
-    def listen(self, listener: Callable[[], None]) -> None:
+    def subscribe(self, listener: Callable[[], None]) -> None:
         """Calls `listener` after each figure."""
         self._listeners.append(listener)
 
-    def restarted(self) -> None:
+    def reset(self) -> None:
         """Takes that a new life of the server began.
 
         The moments of change stay: they are the instance's, which the server
         shares with others.
         """
         self.load = None
-        self.heard = -IDLE_SILENCE_S
+        self.last_reported = -IDLE_SILENCE_S
         self._recent.clear()
         self._base = 1.0
 
-    def looked(self) -> None:
+    def record_check_sent(self) -> None:
         """Notes that a health check is sent."""
         self._looked = self._clock.monotonic()
 
-    def used(self) -> None:
+    def record_request(self) -> None:
         """Notes that a request came for the server."""
-        self.callers_came()
+        self.record_callers_present()
         now = self._clock.monotonic()
         idle_s = now - self._used
         if idle_s > FORGET_S:
@@ -142,7 +142,7 @@
         if idle_s > USE_S:
             self._tell_use()
 
-    def callers_came(self) -> None:
+    def record_callers_present(self) -> None:
         """Takes that callers use the system, though not yet this server."""
         if self._has_callers:
             return
@@ -150,7 +150,7 @@
         self._used = self._learning_since = self._clock.monotonic()
         self._tell_use()
 
-    def told(self, load: ServerLoad, asked: float | None = None) -> None:
+    def record_load(self, load: ServerLoad, asked: float | None = None) -> None:
         """Takes a figure that the server told.
 
         Args:
@@ -161,12 +161,14 @@
         if self.load is None:
             self._learning_since = now
         else:
-            base = self.base()
-            self.habit.note(self.load.pace / base, now - self.heard)
+            base = self.base_pace()
+            self.pace_statistics.note(
+                self.load.pace / base, now - self.last_reported
+            )
             if load.pace != self.load.pace:
                 self._note_change(now)
         self.load = load
-        self.heard = now
+        self.last_reported = now
         if asked is not None:
             self._measured = asked
         self._recent.append((now, load.pace))
@@ -178,64 +180,64 @@
 
     def _note_change(self, now: float) -> None:
         """Learns from a change; a grid given up is looked for anew."""
-        known = bool(self.spells.period_s)
-        self.spells.changed(self._measured, now)
-        if known and not self.spells.period_s:
+        known = bool(self.change_grid.interval_s)
+        self.change_grid.record_change(self._measured, now)
+        if known and not self.change_grid.interval_s:
             self._learning_since = now
 
-    def now(self) -> Pace:
+    def current_pace(self) -> Pace:
         """Returns the pace as of now."""
         factor = self._factor()
-        period_s = self.spells.period_s
+        period_s = self.change_grid.interval_s
         if not period_s:
-            return Pace(factor, self.base())
-        left_s = self.spells.left_s(self._clock.monotonic())
-        return Pace(factor, self.base(), period_s, left_s)
+            return Pace(factor, self.base_pace())
+        left_s = self.change_grid.until_next_s(self._clock.monotonic())
+        return Pace(factor, self.base_pace(), period_s, left_s)
 
-    def base(self) -> float:
+    def base_pace(self) -> float:
         """Returns the best pace in the last spells."""
         return self._base
 
-    def age_s(self) -> float:
+    def load_age_s(self) -> float:
         """Returns how old the last figure is (s)."""
-        return self._clock.monotonic() - self.heard
+        return self._clock.monotonic() - self.last_reported
 
-    def unsure_for_s(self) -> float:
+    def unseen_change_age_s(self) -> float:
         """Returns how long ago a change may have gone unseen (s); 0 if none."""
         now = self._clock.monotonic()
-        last = self.spells.last(now)
-        return now - last if self.heard < last else 0.0
+        last = self.change_grid.last_change_point(now)
+        return now - last if self.last_reported < last else 0.0
 
     def _factor(self) -> float:
         """Returns how long work takes now; older figures fade to the mean."""
         if self.load is None:
-            return self.habit.mean
-        age_s = self._clock.monotonic() - self.heard
-        if self.spells.period_s or age_s <= BUSY_SILENCE_S:
+            return self.pace_statistics.mean
+        age_s = self._clock.monotonic() - self.last_reported
+        if self.change_grid.interval_s or age_s <= BUSY_SILENCE_S:
             return self.load.pace
         kept: float = 0.5 ** (age_s / FADE_S)
-        mean = self.habit.mean * self.base()
+        mean = self.pace_statistics.mean * self.base_pace()
         return mean + (self.load.pace - mean) * kept
 
-    def check_in_s(self) -> float:
+    def next_check_s(self) -> float:
         """Returns in how long a health check is due (s); 0 for now."""
         now = self._clock.monotonic()
         if self._is_spared():
             return IDLE_SILENCE_S
-        if self.spells.period_s:
+        if self.change_grid.interval_s:
             if now - self._used < FORGET_S:
                 return self._next_spell_in_s(now)
-            self.spells.forget()
+            self.change_grid.reset()
         in_use = now - self._used < USE_S
         silence_s = BUSY_SILENCE_S if in_use else IDLE_SILENCE_S
         if self.load is None:
             silence_s = SEARCH_SILENCE_S
         elif now - self._learning_since < LEARN_S:
             silence_s = LEARN_SILENCE_S
-            if self.spells.expected_s:
-                expected_s = EXPECTED_SILENCE_PART * self.spells.expected_s
+            if self.change_grid.expected_s:
+                expected_s = EXPECTED_SILENCE_PART * self.change_grid.expected_s
                 silence_s = max(LEARN_SILENCE_S, expected_s)
-        return max(0.0, self.heard + silence_s - now)
+        return max(0.0, self.last_reported + silence_s - now)
 
     def _tell_use(self) -> None:
         for listener in self._use_listeners:
@@ -252,15 +254,15 @@
 
         An answer that came since then told it already.
         """
-        last = self.spells.last(now)
-        period_s = self.spells.period_s
+        last = self.change_grid.last_change_point(now)
+        period_s = self.change_grid.interval_s
         looks = sorted(
             moment + look_s
             for moment in (last, last + period_s)
-            for look_s in self.spells.looks_s
+            for look_s in self.change_grid.check_offsets_s
         )
         past = max((at for at in looks if at <= now), default=last)
-        if self._looked < past and self.heard < past:
+        if self._looked < past and self.last_reported < past:
             return 0.0
         return min(at for at in looks if at > now) - now
 
--- a/src/radishwind/target/pulse_keeper.py
+++ b/src/radishwind/target/load_poller.py
@@ -9,18 +9,18 @@
 from radishwind.http.errors import SendError
 from radishwind.http.sender import Sender
 from radishwind.http.types import whole_body
-from radishwind.target.dialect import ServerAnswer
+from radishwind.target.backend_server import ServerView
+from radishwind.target.dialect import ResponseMetadata
 from radishwind.target.dialect import ServerDialect
-from radishwind.target.pulse import IDLE_SILENCE_S
-from radishwind.target.pulse import SEARCH_SILENCE_S
-from radishwind.target.pulse import ServerPulse
-from radishwind.target.server import ServerView
+from radishwind.target.load_monitor import IDLE_SILENCE_S
+from radishwind.target.load_monitor import LoadMonitor
+from radishwind.target.load_monitor import SEARCH_SILENCE_S
 
 #: How long a health check may take (s).
 CHECK_TIMEOUT_S = 0.4
 
 
-class PulseKeeper:
+class LoadPoller:
     """The task that asks the server into silence, one check at a time."""
 
     def __init__(
@@ -29,9 +29,9 @@
         clock: Clock,
         sender: Sender,
         dialect: ServerDialect,
-        pulse: ServerPulse,
+        pulse: LoadMonitor,
         view: Callable[[], ServerView | None],
-        answered: Callable[[ServerAnswer, bool, float], None],
+        answered: Callable[[ResponseMetadata, bool, float], None],
         unreachable: Callable[[], None],
     ) -> None:
         """Wires the task.
@@ -57,17 +57,17 @@
     async def run(self) -> None:
         """Asks until cancelled."""
         self._used = anyio.Event()
-        self._pulse.listen_for_use(lambda: self._used.set())
+        self._pulse.subscribe_use(lambda: self._used.set())
         while True:
             view = self._view()
-            wait_s = self._pulse.check_in_s()
+            wait_s = self._pulse.next_check_s()
             if view is None or not view.health_path:
                 await anyio.sleep(SEARCH_SILENCE_S)
                 continue
             if wait_s > 0:
                 await self._wait(wait_s)
                 continue
-            self._pulse.looked()
+            self._pulse.record_check_sent()
             await self.check(view)
 
     async def _wait(self, for_s: float) -> None:
@@ -85,26 +85,26 @@
 
     async def check(self, view: ServerView) -> None:
         """Sends one health check; a failed one counts as heard of."""
-        self._pulse.checks += 1
+        self._pulse.checks_sent += 1
         began = self._clock.monotonic()
         try:
             with TimeLimit(CHECK_TIMEOUT_S):
                 response = await self._sender.send(
                     view.address,
-                    self._dialect.health_request(view.health_path),
+                    self._dialect.build_health_request(view.health_path),
                     CHECK_TIMEOUT_S,
                 )
                 await whole_body(response.body)
         except SendError:
-            self._pulse.heard = began
+            self._pulse.last_reported = began
             self._unreachable()
             return
         except TimeoutError:
-            self._pulse.heard = began
+            self._pulse.last_reported = began
             return
-        answer = self._dialect.read_health(response)
+        answer = self._dialect.parse_health_response(response)
         if answer.load is not None:
-            self._pulse.told(answer.load, began)
+            self._pulse.record_load(answer.load, began)
         else:
-            self._pulse.heard = began
+            self._pulse.last_reported = began
         self._answered(answer, response.status < 300, began)
--- a/src/radishwind/target/pace_gate.py
+++ b/src/radishwind/target/pace_gate.py
@@ -4,7 +4,7 @@
 from radishwind.admission.urgent import StartGate
 from radishwind.core.clock import Clock
 from radishwind.routing.pace import SLOW_PACE
-from radishwind.target.pulse import ServerPulse
+from radishwind.target.load_monitor import LoadMonitor
 
 #: Past a moment of change the new pace is waited for so long at most (s); the
 #: health check that tells it takes 2 to 5 ms.
@@ -21,20 +21,23 @@
 class PaceGate(StartGate):
     """Decides by the pace now, the time to the next change, and the habit."""
 
-    def __init__(self, clock: Clock, pulse: ServerPulse) -> None:
+    def __init__(self, clock: Clock, pulse: LoadMonitor) -> None:
         self._clock = clock
         self._pulse = pulse
 
     def holds(self, ticket: Ticket, now: float) -> bool:
         pulse = self._pulse
-        if not pulse.spells.period_s or pulse.load is None:
+        if not pulse.change_grid.interval_s or pulse.load is None:
             return False
-        if pulse.unsure_for_s() and pulse.unsure_for_s() < UNKNOWN_S:
+        if (
+            pulse.unseen_change_age_s()
+            and pulse.unseen_change_age_s() < UNKNOWN_S
+        ):
             return True
-        left_s = pulse.spells.left_s(self._clock.monotonic())
+        left_s = pulse.change_grid.until_next_s(self._clock.monotonic())
         if left_s < TOO_NEAR_S:
             return True
-        base = pulse.base()
+        base = pulse.base_pace()
         pace = pulse.load.pace
         if pace <= SLOW_PACE * base:
             return False
@@ -42,16 +45,18 @@
         if now + run_s <= ticket.aim and not self._is_busy():
             return False
         usual_s = ticket.work_s * base
-        later_s = pulse.habit.later_s(usual_s, pulse.spells.period_s)
+        later_s = pulse.pace_statistics.later_s(
+            usual_s, pulse.change_grid.interval_s
+        )
         if now + left_s + _MARGIN * usual_s > ticket.deadline:
             return False
         return left_s + later_s < run_s
 
     def stretch(self) -> float:
-        habit = self._pulse.habit
-        if not self._pulse.spells.period_s:
-            return habit.mean * self._pulse.base()
-        return self._pulse.base() / (1 - min(0.8, habit.share))
+        habit = self._pulse.pace_statistics
+        if not self._pulse.change_grid.interval_s:
+            return habit.mean * self._pulse.base_pace()
+        return self._pulse.base_pace() / (1 - min(0.8, habit.share))
 
     def _is_busy(self) -> bool:
         load = self._pulse.load
--- a/src/radishwind/target/pipeline.py
+++ b/src/radishwind/target/pipeline.py
@@ -23,16 +23,16 @@
 from radishwind.outcomes.model import Outcome
 from radishwind.outcomes.model import Unknown
 from radishwind.routing.chooser import LoadReport
-from radishwind.target.exchange import ServerExchange
+from radishwind.target.backend_server import BackendServer
 from radishwind.target.exchange_base import Exchange
+from radishwind.target.exchange_recorder import ExchangeRecorder
 from radishwind.target.pace import Pace
-from radishwind.target.run_times import ExpectedRun
-from radishwind.target.run_times import RunTimes
-from radishwind.target.run_times import UNKNOWN_RUN
-from radishwind.target.server import ServerBeside
-from radishwind.target.warmup import OpenSendGate
-from radishwind.target.warmup import SendGate
-from radishwind.target.watch import ServerWatch
+from radishwind.target.run_time_estimator import RunTimeEstimate
+from radishwind.target.run_time_estimator import RunTimeEstimator
+from radishwind.target.run_time_estimator import UNKNOWN_RUN_TIME
+from radishwind.target.server_exchange import ServerExchange
+from radishwind.target.warmup_limiter import NoSendLimiter
+from radishwind.target.warmup_limiter import SendLimiter
 
 #: The share that the newest answer has in the mean service time.
 _SMOOTHING = 0.1
@@ -71,13 +71,13 @@
         clock: Clock,
         admission: Admission,
         sender: Sender,
-        server: ServerBeside,
-        watch: ServerWatch,
+        server: BackendServer,
+        watch: ExchangeRecorder,
         exchange: Exchange | None = None,
         pace: Callable[[], Pace] | None = None,
         ran: Callable[[Run], None] | None = None,
-        gate: SendGate | None = None,
-        run_times: RunTimes | None = None,
+        gate: SendLimiter | None = None,
+        run_times: RunTimeEstimator | None = None,
         link_kbps: Callable[[], int] | None = None,
         runs: LocalConcurrency | None = None,
     ) -> None:
@@ -88,7 +88,7 @@
         self._exchange = exchange or ServerExchange(clock, sender, watch)
         self._pace = pace or _usual_pace
         self._ran = ran or _ignored
-        self._gate = gate or OpenSendGate()
+        self._gate = gate or NoSendLimiter()
         self._run_times = run_times
         self._link_kbps = link_kbps or _untold
         self._runs = runs or LocalConcurrency()
@@ -99,7 +99,7 @@
         self._drained = anyio.Event()
 
     @property
-    def leaving(self) -> bool:
+    def is_leaving(self) -> bool:
         """Whether new work is refused, by this node or by the server."""
         return self._leaving or self._server.draining
 
@@ -108,11 +108,11 @@
         """How long attempts waited for a slot, in all (s)."""
         return self._queue_wait_s
 
-    def leave(self) -> None:
+    def refuse_new_work(self) -> None:
         """Refuses new work from now on; what runs goes on."""
         self._leaving = True
 
-    async def drained(self) -> None:
+    async def wait_drained(self) -> None:
         """Returns once nothing runs or waits here.
 
         A probe gives its slot back without telling us, so it looks again.
@@ -122,29 +122,29 @@
             with anyio.move_on_after(_LOOK_AGAIN_S):
                 await self._drained.wait()
 
-    def load(self) -> LoadReport:
+    def load_report(self) -> LoadReport:
         """Returns the load as of now.
 
         A server that fails is told as cold, whatever its health says.
         """
-        warm = self._server.warm(self._clock.monotonic())
+        warm = self._server.warm_fraction(self._clock.monotonic())
         pace = self._pace()
         return LoadReport(
             slots=self._admission.slots,
             in_flight=self._admission.in_flight,
             queued=self._admission.queued,
             service_ms=round(self._service_s * 1000, 3),
-            leaving=self.leaving or self._server.emptied,
+            leaving=self.is_leaving or self._server.is_domain_evacuated,
             warm=round(warm * self._watch.fitness(), 3),
             pace=round(pace.factor, 2),
-            base=round(pace.base, 2),
-            spell_ms=round(pace.spell_s * 1000, 1),
-            spell_left_ms=round(pace.left_s * 1000, 1),
-            starts_left=self._gate.left(),
+            base=round(pace.base_factor, 2),
+            spell_ms=round(pace.interval_s * 1000, 1),
+            spell_left_ms=round(pace.interval_left_s * 1000, 1),
+            starts_left=self._gate.remaining(),
             link_kbps=self._link_kbps(),
         )
 
-    def outcomes(self) -> dict[str, float]:
+    def outcome_counts(self) -> dict[str, float]:
         """Returns how many attempts ended how, by code for those refused."""
         return dict(self._outcomes)
 
@@ -154,11 +154,11 @@
         outcome = await self._run(call, run)
         self._outcomes[_kind(outcome)] += 1
         load = msgspec.structs.replace(
-            self.load(), work_ms=round(run.work_s * 1000, 1)
+            self.load_report(), work_ms=round(run.work_s * 1000, 1)
         )
         return AttemptResult(outcome, load)
 
-    def look_again(self) -> None:
+    def start_deferred(self) -> None:
         """Starts what was held back and may begin now."""
         self._admission.expire(self._clock.monotonic())
 
@@ -167,7 +167,7 @@
         if refused is not None:
             return refused
         now = self._clock.monotonic()
-        alone = self._watch.alone(call)
+        alone = self._watch.must_run_alone(call)
         ticket = Ticket(
             call.caller,
             call.deadline,
@@ -245,7 +245,9 @@
             raise
         if isinstance(outcome, Done) and _still_comes(outcome.response.body):
             return Done(
-                self._exchange.hold(call, outcome.response, ticket.alone, ended)
+                self._exchange.wrap_stream(
+                    call, outcome.response, ticket.alone, ended
+                )
             )
         ended()
         return outcome
@@ -260,15 +262,15 @@
             return NotRun(
                 ResultCode.DEADLINE_PASSED, "The deadline passed in the queue."
             )
-        refused = self._gate.take(call)
+        refused = self._gate.try_send(call)
         if refused is not None:
             return refused
         return await self._exchange.send(call, view, ticket.alone)
 
-    def _expected_run(self, call: Call) -> ExpectedRun:
+    def _expected_run(self, call: Call) -> RunTimeEstimate:
         if self._run_times is None:
-            return UNKNOWN_RUN
-        return self._run_times.expected(call.route)
+            return UNKNOWN_RUN_TIME
+        return self._run_times.estimate(call.route)
 
     def _learn_run(
         self, call: Call, outcome: Outcome | None, began: float
@@ -280,7 +282,7 @@
         )
         if self._run_times is not None and (cut or _ran_well(outcome)):
             run_s = self._clock.monotonic() - began
-            self._run_times.took(call.route, run_s)
+            self._run_times.record_run(call.route, run_s)
 
     def _too_late(self, call: Call) -> bool:
         """Returns whether the time here or the wall clock is past the call's.
--- a/src/radishwind/target/registered.py
+++ b/src/radishwind/target/registered_server.py
@@ -14,10 +14,10 @@
 from radishwind.core.codes import ResultCode
 from radishwind.http.types import Address
 from radishwind.outcomes.model import NotRun
-from radishwind.target.life import Life
-from radishwind.target.server import ServerBeside
-from radishwind.target.server import ServerState
-from radishwind.target.server import ServerView
+from radishwind.target.backend_server import BackendServer
+from radishwind.target.backend_server import ServerState
+from radishwind.target.backend_server import ServerView
+from radishwind.target.server_process import ServerProcess
 from radishwind.telemetry.logs import PartLogger
 
 #: Lives remembered that ended or leave; one instance has few in a day.
@@ -48,8 +48,8 @@
       address: where it receives requests.
       slots: requests it runs at once.
       leaving: whether it takes no new work any more.
-      cold_s: how long it is still slow after its start (s).
-      order: grows with each heartbeat of one life.
+      warmup_left_s: how long it is still slow after its start (s).
+      sequence: grows with each heartbeat of one life.
       started_ms: when it started, by its own clock (ms since the epoch, UTC); 0
         where that was not told.
     """
@@ -59,17 +59,17 @@
     address: Address | None
     slots: int
     leaving: bool
-    cold_s: float
-    order: int
+    warmup_left_s: float
+    sequence: int
     started_ms: int = 0
 
     @property
-    def life(self) -> Life:
+    def process(self) -> ServerProcess:
         """The life that tells it."""
-        return Life(self.incarnation, self.started_ms)
+        return ServerProcess(self.incarnation, self.started_ms)
 
 
-class RegisteredServer(ServerBeside):
+class RegisteredServer(BackendServer):
     """The server beside as its heartbeats and answers tell."""
 
     def __init__(
@@ -90,7 +90,7 @@
           ready_changed: told whenever `ready` changes.
         """
         super().__init__(target, None, ready_changed)
-        self.list(True)
+        self.set_listed(True)
         self._clock = clock
         self._log = PartLogger("target", clock)
         self._address = address
@@ -99,13 +99,13 @@
         self._cold_until = 0.0
         self._down_since: float | None = None
         self._emptied = False
-        self._life = Life("")
+        self._life = ServerProcess("")
         # When the believed life last told of itself (monotonic s).
         self._told_at = 0.0
         # Those that ended or leave, the oldest first.
-        self._ended: dict[Life, None] = {}
+        self._ended: dict[ServerProcess, None] = {}
         # Lives believed so far; tells peers when one begins.
-        self.lives = 0
+        self.process_count = 0
         self.service = service
         self.slots = 0
 
@@ -124,42 +124,42 @@
         return self._health_path
 
     @property
-    def down(self) -> bool:
+    def is_down(self) -> bool:
         """Whether the server took no connection when it was last tried."""
         return self._down_since is not None
 
     @property
-    def emptied(self) -> bool:
+    def is_domain_evacuated(self) -> bool:
         """Whether the operator empties the failure domain."""
         return self._emptied
 
     @property
-    def life(self) -> Life:
+    def process(self) -> ServerProcess:
         """The life believed to answer; of no incarnation if none is."""
         return self._life
 
     def register(self, told: Registration) -> bool:
         """Takes a heartbeat; returns whether it changed what is believed."""
         if told.leaving:
-            return self.leave(told.life)
-        if self._is_over(told.life):
+            return self.mark_leaving(told.process)
+        if self._is_over(told.process):
             return False
-        if self._view is not None and told.life.may_be(self._life):
+        if self._view is not None and told.process.may_equal(self._life):
             return self._again(told)
-        if self._is_late(told.life):
+        if self._is_late(told.process):
             self._log.info(
                 "A heartbeat of an earlier life is left out.",
                 believed=self._life.key,
-                told=told.life.key,
+                told=told.process.key,
             )
             return False
         self._replace(told)
         return True
 
-    def leave(self, life: Life) -> bool:
+    def mark_leaving(self, life: ServerProcess) -> bool:
         """Takes that `life` takes no new work any more, for good."""
-        life = self.meant_by(life)
-        if life.may_be(self._life):
+        life = self.resolve(life)
+        if life.may_equal(self._life):
             # An answer named the incarnation only.
             self._life = life
         known = life in self._ended
@@ -176,12 +176,12 @@
             self._log.change(
                 "The server leaves; it gets nothing new.", life=life.key
             )
-        self._tell_ready()
+        self._notify_ready()
         return not known
 
-    def meant_by(self, life: Life) -> Life:
+    def resolve(self, life: ServerProcess) -> ServerProcess:
         """Returns `life`, or the believed one where no start was told."""
-        if life.started_ms or not life.may_be(self._life):
+        if life.started_ms or not life.may_equal(self._life):
             return life
         return self._life
 
@@ -193,7 +193,9 @@
         """
         return any(life.incarnation == incarnation for life in self._ended)
 
-    def answered_by(self, meant: str, incarnation: str) -> None:
+    def record_answering_incarnation(
+        self, meant: str, incarnation: str
+    ) -> None:
         """Takes that `incarnation` answered where `meant` was to."""
         if meant != self.incarnation or not incarnation:
             return
@@ -207,21 +209,21 @@
         self._view = msgspec.structs.replace(
             view, instance=incarnation, state=state
         )
-        self._begin(Life(incarnation), 0)
+        self._begin(ServerProcess(incarnation), 0)
         self._log.change(
             "Another incarnation answers at the server's address.",
             meant=meant,
             answered=incarnation,
         )
-        self._tell_ready()
+        self._notify_ready()
 
-    def check_at(self, path: str) -> None:
+    def set_health_path(self, path: str) -> None:
         """Takes the path of health checks of the service."""
         self._health_path = path
         if self._view is not None:
             self._view = msgspec.structs.replace(self._view, health_path=path)
 
-    def move(self, address: Address, service: str) -> None:
+    def apply_settings(self, address: Address, service: str) -> None:
         """Takes what the settings say anew."""
         if address != self._address or service != self.service:
             self._log.change(
@@ -232,7 +234,7 @@
         self._address = address
         self.service = service
 
-    def unreachable(self) -> None:
+    def mark_unreachable(self) -> None:
         """Takes that the server accepts no connection."""
         if self._down_since is None:
             self._down_since = self._clock.monotonic()
@@ -240,9 +242,9 @@
                 "The server takes no connections.",
                 incarnation=self.incarnation,
             )
-            self._tell_ready()
+            self._notify_ready()
 
-    def reachable(self) -> None:
+    def mark_reachable(self) -> None:
         """Takes that the server accepted a connection."""
         if self._down_since is None:
             return
@@ -253,9 +255,9 @@
             incarnation=self.incarnation,
             down_s=round(down_s, 3),
         )
-        self._tell_ready()
+        self._notify_ready()
 
-    def empty(self, emptied: bool) -> None:
+    def set_domain_evacuated(self, emptied: bool) -> None:
         """Takes whether the operator empties the failure domain."""
         if emptied == self._emptied:
             return
@@ -282,7 +284,7 @@
             )
         return refused
 
-    def warm(self, now: float) -> float:
+    def warm_fraction(self, now: float) -> float:
         if self._view is None:
             return 0.0
         return 0.5 if now < self._cold_until else 1.0
@@ -291,18 +293,21 @@
         """Takes a further heartbeat of the life that is believed."""
         if told.started_ms and not self._life.started_ms:
             # An answer named the incarnation only.
-            self._life = told.life
-        if told.order <= self._order:
+            self._life = told.process
+        if told.sequence <= self._order:
             return False
-        self._order = told.order
+        self._order = told.sequence
         self._note(told)
         return False
 
-    def _is_over(self, life: Life) -> bool:
+    def _is_over(self, life: ServerProcess) -> bool:
         """Returns whether `life` ended or leaves, as far as was told."""
-        return life in self._ended or Life(life.incarnation) in self._ended
+        return (
+            life in self._ended
+            or ServerProcess(life.incarnation) in self._ended
+        )
 
-    def _is_late(self, life: Life) -> bool:
+    def _is_late(self, life: ServerProcess) -> bool:
         """Returns whether `life` is one from before the believed one."""
         believed = self._life
         if life.incarnation != believed.incarnation:
@@ -313,9 +318,9 @@
 
     def _replace(self, told: Registration) -> None:
         before = self._life
-        if before.incarnation and not _started_before(told.life, before):
+        if before.incarnation and not _started_before(told.process, before):
             self._remember(before)
-        self._begin(told.life, told.order)
+        self._begin(told.process, told.sequence)
         self._note(told)
         self._view = ServerView(
             told.address or self._address,
@@ -328,35 +333,35 @@
         self._down_since = None
         self._log.change(
             "The server registered.",
-            life=told.life.key,
+            life=told.process.key,
             before=before.key,
             service=told.service,
             slots=told.slots,
         )
-        self._tell_ready()
+        self._notify_ready()
 
-    def _begin(self, life: Life, order: int) -> None:
+    def _begin(self, life: ServerProcess, order: int) -> None:
         self._life = life
         self._order = order
         self._told_at = self._clock.monotonic()
-        self.lives += 1
+        self.process_count += 1
 
     def _note(self, told: Registration) -> None:
         now = self._clock.monotonic()
         self._told_at = now
-        self._cold_until = now + told.cold_s
+        self._cold_until = now + told.warmup_left_s
         if told.slots:
             self.slots = told.slots
         if told.service:
             self.service = told.service
 
-    def _remember(self, life: Life) -> None:
+    def _remember(self, life: ServerProcess) -> None:
         self._ended[life] = None
         while len(self._ended) > MOST_REMEMBERED:
             del self._ended[next(iter(self._ended))]
 
 
-def _started_before(life: Life, other: Life) -> bool:
+def _started_before(life: ServerProcess, other: ServerProcess) -> bool:
     """Returns whether `life` started before `other`, a life of the same."""
     if life.incarnation != other.incarnation:
         return False
--- a/src/radishwind/target/run_times.py
+++ b/src/radishwind/target/run_time_estimator.py
@@ -20,7 +20,7 @@
 LEAST_RUNS = 8
 
 
-class ExpectedRun(NamedTuple):
+class RunTimeEstimate(NamedTuple):
     """What a run is expected to take; 0 where not known.
 
     Attributes:
@@ -32,7 +32,7 @@
     likely_s: float
 
 
-UNKNOWN_RUN = ExpectedRun(0.0, 0.0)
+UNKNOWN_RUN_TIME = RunTimeEstimate(0.0, 0.0)
 
 
 class _Taken(msgspec.Struct):
@@ -49,13 +49,13 @@
     runs: int = 1
 
 
-class RunTimes:
+class RunTimeEstimator:
     """Learns them by route."""
 
     def __init__(self) -> None:
         self._taken: dict[str, _Taken] = {}
 
-    def took(self, route: str, run_s: float) -> None:
+    def record_run(self, route: str, run_s: float) -> None:
         """Takes that a run of `route` took so long, or was cut then (s)."""
         taken = self._taken.get(route)
         if taken is None:
@@ -67,9 +67,9 @@
         taken.off_s += _WEIGHT * (abs(run_s - taken.mean_s) - taken.off_s)
         taken.mean_s += _WEIGHT * (run_s - taken.mean_s)
 
-    def expected(self, route: str) -> "ExpectedRun":
+    def estimate(self, route: str) -> "RunTimeEstimate":
         """Returns what a run of `route` is expected to take."""
         taken = self._taken.get(route)
         if taken is None or taken.runs < LEAST_RUNS:
-            return UNKNOWN_RUN
-        return ExpectedRun(taken.mean_s, taken.mean_s + taken.off_s)
+            return UNKNOWN_RUN_TIME
+        return RunTimeEstimate(taken.mean_s, taken.mean_s + taken.off_s)
--- a/src/radishwind/target/exchange.py
+++ b/src/radishwind/target/server_exchange.py
@@ -20,10 +20,10 @@
 from radishwind.outcomes.model import NotRun
 from radishwind.outcomes.model import Outcome
 from radishwind.outcomes.model import Unknown
-from radishwind.target.answers import without_node_fields
+from radishwind.target.backend_server import ServerView
 from radishwind.target.exchange_base import Exchange
-from radishwind.target.server import ServerView
-from radishwind.target.watch import ServerWatch
+from radishwind.target.exchange_recorder import ExchangeRecorder
+from radishwind.target.node_fields import without_node_fields
 
 #: How long a new connection to the server may take (s).
 CONNECT_TIMEOUT_S = 1.0
@@ -44,7 +44,7 @@
     """Sends calls to the server and tells the watch what became of them."""
 
     def __init__(
-        self, clock: Clock, sender: Sender, watch: ServerWatch
+        self, clock: Clock, sender: Sender, watch: ExchangeRecorder
     ) -> None:
         self._clock = clock
         self._sender = sender
@@ -58,14 +58,14 @@
                     view.address, server_request(call, now), CONNECT_TIMEOUT_S
                 )
         except ConnectFailedError:
-            self._watch.refused()
+            self._watch.record_connect_failure()
             return NotRun(
                 ResultCode.CONNECT_FAILED,
                 "The server takes no connection.",
                 _RETRY_S,
             )
         except ExchangeBrokenError:
-            self._watch.broke(call)
+            self._watch.record_broken_exchange(call)
             return Unknown(
                 ResultCode.EXCHANGE_BROKEN, "The server's answer broke off."
             )
@@ -85,10 +85,10 @@
                 _RETRY_S,
             )
         if not isinstance(response.body, BodyStream):
-            self._watch.answered(call, response.status, alone)
+            self._watch.record_answer(call, response.status, alone)
         return Done(without_node_fields(response))
 
-    def hold(
+    def wrap_stream(
         self,
         call: Call,
         response: Response,
@@ -96,13 +96,13 @@
         ended: Callable[[], None],
     ) -> Response:
         def whole() -> None:
-            self._watch.answered(call, response.status, alone)
+            self._watch.record_answer(call, response.status, alone)
 
         def broke() -> None:
-            self._watch.broke(call)
+            self._watch.record_broken_exchange(call)
 
         assert isinstance(response.body, BodyStream)
-        body = HeldStream(response.body, whole, broke, ended)
+        body = SlotHoldingStream(response.body, whole, broke, ended)
         return Response(
             response.status, response.headers, body, response.body_bytes
         )
@@ -114,7 +114,7 @@
     return header(response.headers, SHED_FIELD) is not None
 
 
-class HeldStream(NotifyingStream):
+class SlotHoldingStream(NotifyingStream):
     """The body of an answer that holds its slot until it ended.
 
     Args:
--- a/src/radishwind/target/life.py
+++ b/src/radishwind/target/server_process.py
@@ -10,7 +10,7 @@
 _START_MARK = "@"
 
 
-class Life(msgspec.Struct, frozen=True):
+class ServerProcess(msgspec.Struct, frozen=True):
     """One life of a server.
 
     Attributes:
@@ -30,14 +30,14 @@
         return f"{self.incarnation}{_START_MARK}{self.started_ms}"
 
     @classmethod
-    def of_key(cls, key: str) -> "Life":
+    def from_key(cls, key: str) -> "ServerProcess":
         """Returns the life that `key` names."""
         incarnation, mark, started = key.rpartition(_START_MARK)
         if mark and started.isascii() and started.isdigit():
             return cls(incarnation, int(started))
         return cls(key)
 
-    def may_be(self, other: "Life") -> bool:
+    def may_equal(self, other: "ServerProcess") -> bool:
         """Returns whether both may be the same life, by what was told."""
         if self.incarnation != other.incarnation:
             return False
--- a/src/radishwind/target/tests/test_server.py
+++ b/src/radishwind/target/tests/test_backend_server.py
@@ -4,73 +4,77 @@
 from radishwind.core import ResultCode
 from radishwind.http import Address
 from radishwind.http import Request
-from radishwind.target.announce import AnnouncementHandler
-from radishwind.target.server import Announcement
-from radishwind.target.server import AnnouncementRefusedError
-from radishwind.target.server import ServerBeside
-from radishwind.target.server import ServerState
+from radishwind.target.announcement_handler import AnnouncementHandler
+from radishwind.target.backend_server import Announcement
+from radishwind.target.backend_server import AnnouncementRefusedError
+from radishwind.target.backend_server import BackendServer
+from radishwind.target.backend_server import ServerState
 
 ADDRESS = "127.0.0.1:9000"
 
 
 def test_nothing_is_sent_before_the_server_is_listed_and_announced():
-    server = ServerBeside("a", None)
+    server = BackendServer("a", None)
     assert server.refusal().code is ResultCode.TARGET_UNLISTED
 
-    server.list(True)
+    server.set_listed(True)
     assert server.refusal().code is ResultCode.SERVER_UNANNOUNCED
 
-    assert server.announce(Announcement("a", ADDRESS, instance="1"), 0.0)
+    assert server.accept_announcement(
+        Announcement("a", ADDRESS, instance="1"), 0.0
+    )
     assert server.refusal() is None
     assert server.view.address == Address("127.0.0.1", 9000)
 
-    server.list(False)
+    server.set_listed(False)
     assert server.refusal().code is ResultCode.TARGET_UNLISTED
 
 
 def test_ready_is_told_once_at_each_change():
     told = []
-    server = ServerBeside("a", None, told.append)
+    server = BackendServer("a", None, told.append)
     assert not server.ready
 
-    server.announce(Announcement("a", ADDRESS), 0.0)
-    server.announce(Announcement("a", ADDRESS), 1.0)
-    server.health(ServerState.DRAINING, None)
-    server.health(ServerState.READY, None)
+    server.accept_announcement(Announcement("a", ADDRESS), 0.0)
+    server.accept_announcement(Announcement("a", ADDRESS), 1.0)
+    server.record_health(ServerState.DRAINING, None)
+    server.record_health(ServerState.READY, None)
 
     assert told == [True, False, True]
 
 
 def test_announced_draining_outweighs_a_health_answer_of_ready():
-    server = ServerBeside("a", None)
-    server.list(True)
-    server.announce(Announcement("a", ADDRESS, ServerState.DRAINING), 0.0)
-    server.health(ServerState.READY, 1.0)
+    server = BackendServer("a", None)
+    server.set_listed(True)
+    server.accept_announcement(
+        Announcement("a", ADDRESS, ServerState.DRAINING), 0.0
+    )
+    server.record_health(ServerState.READY, 1.0)
     assert server.refusal().code is ResultCode.LEAVING
 
-    server.announce(Announcement("a", ADDRESS), 1.0)
+    server.accept_announcement(Announcement("a", ADDRESS), 1.0)
     assert server.refusal() is None
 
-    server.health(ServerState.DRAINING, None)
+    server.record_health(ServerState.DRAINING, None)
     assert server.draining
 
 
 def test_a_new_start_is_cold_and_warms_up():
-    server = ServerBeside("a", None)
+    server = BackendServer("a", None)
     for instance, fresh in (("1", True), ("1", False), ("2", True)):
         told = Announcement("a", ADDRESS, instance=instance, uptime_s=0.0)
-        assert server.announce(told, 100.0) is fresh
+        assert server.accept_announcement(told, 100.0) is fresh
 
-    assert server.warm(100.0) == pytest.approx(0.1)
-    assert server.warm(105.0) == pytest.approx(0.5)
-    server.health(ServerState.READY, 0.9)
-    assert server.warm(105.0) == pytest.approx(0.9)
+    assert server.warm_fraction(100.0) == pytest.approx(0.1)
+    assert server.warm_fraction(105.0) == pytest.approx(0.5)
+    server.record_health(ServerState.READY, 0.9)
+    assert server.warm_fraction(105.0) == pytest.approx(0.9)
 
 
 def test_an_announcement_for_another_target_is_refused():
-    server = ServerBeside("a", None)
+    server = BackendServer("a", None)
     with pytest.raises(AnnouncementRefusedError, match="expected target 'a'"):
-        server.announce(Announcement("b", ADDRESS), 0.0)
+        server.accept_announcement(Announcement("b", ADDRESS), 0.0)
     assert server.view is None
 
 
@@ -81,7 +85,7 @@
 async def test_a_malformed_announcement_gets_a_numbered_error(body):
     started = []
     handler = AnnouncementHandler(
-        ManualClock(), ServerBeside("a", None), lambda: started.append(1)
+        ManualClock(), BackendServer("a", None), lambda: started.append(1)
     )
 
     answer = await handler.handle(
--- a/src/radishwind/target/tests/test_held.py
+++ b/src/radishwind/target/tests/test_buffered_body.py
@@ -12,11 +12,11 @@
 from radishwind.http import ServerLimits
 from radishwind.http.httptools_server import HttptoolsServer
 from radishwind.http.types import whole_body
-from radishwind.target.held import HeldBody
-from radishwind.target.held import HeldRoom
-from radishwind.target.held import PIECE_BYTES
-from radishwind.target.tests.test_confirmed import OWN
-from radishwind.target.tests.test_confirmed import Setup
+from radishwind.target.buffered_body import BufferBudget
+from radishwind.target.buffered_body import BufferedBody
+from radishwind.target.buffered_body import PIECE_BYTES
+from radishwind.target.tests.test_verifying_exchange import OWN
+from radishwind.target.tests.test_verifying_exchange import Setup
 
 pytestmark = pytest.mark.anyio
 
@@ -47,55 +47,55 @@
 async def answer(room, source):
     length = (("Content-Length", str(len(BODY))),)
     setup = Setup(Response(200, (*OWN, *length), source, len(BODY)))
-    setup.exchange.room = room
+    setup.exchange.buffer_budget = room
     return (await setup.send()).response
 
 
 async def test_a_large_answer_is_whole_and_takes_room_until_it_is_read():
-    room, source = HeldRoom(), Source()
+    room, source = BufferBudget(), Source()
     response = await answer(room, source)
     assert response.body.is_whole
-    assert source.read == room.used == len(BODY)
+    assert source.read == room.used_bytes == len(BODY)
 
     assert await whole_body(response.body) == BODY
-    assert room.used == 0
+    assert room.used_bytes == 0
 
 
 async def test_beyond_the_room_an_answer_is_read_as_its_reader_reads():
-    room, source = HeldRoom(len(BODY) + 10), Source()
+    room, source = BufferBudget(len(BODY) + 10), Source()
     first = await answer(room, source)
     second = await answer(room, late := Source())
     assert not second.body.is_whole
     assert late.read == 0
-    assert room.used == len(BODY)
+    assert room.used_bytes == len(BODY)
     first.body.abort()
 
-    assert room.used == 0
+    assert room.used_bytes == 0
     assert (await answer(room, Source())).body.is_whole
 
 
 async def test_room_comes_back_once_however_an_answer_ends():
-    room = HeldRoom()
-    body = HeldBody(BODY, room)
+    room = BufferBudget()
+    body = BufferedBody(BODY, room)
     pieces = aiter(body)
     await anext(pieces)
     body.abort()
     await pieces.aclose()
     body.abort()
     del body, pieces
-    unread = HeldBody(BODY, room)
-    assert room.used == len(BODY)
+    unread = BufferedBody(BODY, room)
+    assert room.used_bytes == len(BODY)
     del unread
 
-    assert room.used == 0
+    assert room.used_bytes == 0
 
 
 async def test_a_reader_that_stops_holds_what_is_left_until_it_leaves():
-    room = HeldRoom()
+    room = BufferBudget()
 
     async def handle(request):
         length = (("Content-Length", str(64 * len(BODY))),)
-        body = HeldBody(64 * BODY, room)
+        body = BufferedBody(64 * BODY, room)
         return Response(200, length, body, 64 * len(BODY))
 
     server = HttptoolsServer(ServerLimits())
@@ -106,8 +106,8 @@
             await stack.enter_async_context(stream)
             await stream.send(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
             await stream.receive(100)
-            assert room.used > 0
+            assert room.used_bytes > 0
             await stream.aclose()
-            while room.used:  # noqa: ASYNC110
+            while room.used_bytes:  # noqa: ASYNC110
                 await anyio.sleep(0.01)
     await server.close(0.0)
--- a/src/radishwind/target/tests/test_leaving_records.py
+++ b/src/radishwind/target/tests/test_leaving_records.py
@@ -14,11 +14,11 @@
 from radishwind.peers.client import HttpPeerClient
 from radishwind.store.base import StoreUnavailableError
 from radishwind.target.leaving import LeavingRecords
-from radishwind.target.life import Life
+from radishwind.target.server_process import ServerProcess
 
 pytestmark = pytest.mark.anyio
 
-LIFE = Life("i-1", 1_000_000)
+LIFE = ServerProcess("i-1", 1_000_000)
 
 
 class StoreAway:
@@ -79,7 +79,7 @@
     for port, board in enumerate(boards):
         network.peers[port] = records(network, board, 0)
 
-    assert await records(network, Board(), 3).keep(LIFE, 5.0)
+    assert await records(network, Board(), 3).persist(LIFE, 5.0)
 
     assert sum(board.told == [LIFE.key] for board in boards) >= 2
 
@@ -88,7 +88,7 @@
     network = Network()
     network.peers[0] = records(network, Board(), 0)
 
-    assert not await records(network, Board(), 1).keep(LIFE, 0.1)
+    assert not await records(network, Board(), 1).persist(LIFE, 0.1)
 
 
 async def test_bytes_that_are_no_word_are_refused():
--- a/src/radishwind/target/tests/test_pulse.py
+++ b/src/radishwind/target/tests/test_load_monitor.py
@@ -4,12 +4,12 @@
 
 from radishwind.core import ManualClock
 from radishwind.target.dialect import ServerLoad
-from radishwind.target.pulse import FORGET_S
-from radishwind.target.pulse import IDLE_SILENCE_S
-from radishwind.target.pulse import LEARN_S
-from radishwind.target.pulse import LEARN_SILENCE_S
-from radishwind.target.pulse import SEARCH_SILENCE_S
-from radishwind.target.pulse import ServerPulse
+from radishwind.target.load_monitor import FORGET_S
+from radishwind.target.load_monitor import IDLE_SILENCE_S
+from radishwind.target.load_monitor import LEARN_S
+from radishwind.target.load_monitor import LEARN_SILENCE_S
+from radishwind.target.load_monitor import LoadMonitor
+from radishwind.target.load_monitor import SEARCH_SILENCE_S
 
 PERIOD_S = 0.15
 
@@ -22,7 +22,7 @@
 
     def __init__(self, learns=False, callers_come_at_once=False):
         self.clock = ManualClock()
-        self.pulse = ServerPulse(
+        self.pulse = LoadMonitor(
             self.clock, lambda: learns, callers_come_at_once
         )
         self.checks = 0
@@ -33,15 +33,15 @@
 
     def look(self):
         self.checks += 1
-        self.pulse.looked()
+        self.pulse.record_check_sent()
         asked = self.clock.monotonic()
         self.clock.advance(LOOK_TAKES_S)
-        self.pulse.told(ServerLoad(0, 0, 3, self.pace()), asked)
+        self.pulse.record_load(ServerLoad(0, 0, 3, self.pace()), asked)
 
     def run(self, for_s):
         until = self.clock.monotonic() + for_s
         while self.clock.monotonic() < until:
-            wait_s = self.pulse.check_in_s()
+            wait_s = self.pulse.next_check_s()
             if wait_s <= 0:
                 self.look()
             self.clock.advance(max(wait_s, 0.001))
@@ -53,7 +53,7 @@
 
 
 def test_an_unknown_server_is_looked_for(spared):
-    assert spared.pulse.check_in_s() <= SEARCH_SILENCE_S
+    assert spared.pulse.next_check_s() <= SEARCH_SILENCE_S
 
 
 def test_a_server_that_nobody_uses_is_looked_at_once(spared):
@@ -65,24 +65,26 @@
 def test_its_first_request_begins_the_looks(spared):
     spared.run(12.0)
     woken = []
-    spared.pulse.listen_for_use(lambda: woken.append(True))
+    spared.pulse.subscribe_use(lambda: woken.append(True))
 
-    spared.pulse.used()
+    spared.pulse.record_request()
 
     assert woken == [True]
-    assert spared.pulse.check_in_s() <= LEARN_SILENCE_S
+    assert spared.pulse.next_check_s() <= LEARN_SILENCE_S
 
 
 def test_what_others_found_is_seen_by_few_looks(spared):
     spared.run(5.0)
-    spared.pulse.expect(PERIOD_S)
+    spared.pulse.expect_interval(PERIOD_S)
     spared.run(5.0)
     assert spared.checks == 1
-    spared.pulse.used()
+    spared.pulse.record_request()
 
     spared.run(1.0)
 
-    assert spared.pulse.spells.period_s == pytest.approx(PERIOD_S, abs=0.002)
+    assert spared.pulse.change_grid.interval_s == pytest.approx(
+        PERIOD_S, abs=0.002
+    )
     assert spared.checks <= 45
 
 
@@ -91,7 +93,7 @@
 
     learner.run(3.0)
 
-    found_s = learner.pulse.spells.period_s
+    found_s = learner.pulse.change_grid.interval_s
     assert found_s == pytest.approx(PERIOD_S, abs=0.002)
 
 
@@ -102,7 +104,7 @@
 
     started.run(10.0)
 
-    assert started.pulse.spells.period_s == 0.0
+    assert started.pulse.change_grid.interval_s == 0.0
     assert started.checks - before <= 10.0 / IDLE_SILENCE_S + 1
 
 
@@ -112,7 +114,7 @@
 
     joined.run(3.0)
 
-    found_s = joined.pulse.spells.period_s
+    found_s = joined.pulse.change_grid.interval_s
     assert found_s == pytest.approx(PERIOD_S, abs=0.002)
 
 
@@ -120,10 +122,10 @@
     spared.run(12.0)
     assert spared.checks == 1
 
-    spared.pulse.callers_came()
+    spared.pulse.record_callers_present()
     spared.run(3.0)
 
-    found_s = spared.pulse.spells.period_s
+    found_s = spared.pulse.change_grid.interval_s
     assert found_s == pytest.approx(PERIOD_S, abs=0.002)
 
 
@@ -134,7 +136,7 @@
     steady.run(LEARN_S + 1.0)
     before = steady.checks
 
-    steady.pulse.expect(0.0)
+    steady.pulse.expect_interval(0.0)
     steady.run(2.0)
 
     assert steady.checks - before <= 2.0 / IDLE_SILENCE_S + 1
--- a/src/radishwind/target/tests/test_pace_gate.py
+++ b/src/radishwind/target/tests/test_pace_gate.py
@@ -5,12 +5,12 @@
 from radishwind.admission.gate import Ticket
 from radishwind.core import ManualClock
 from radishwind.target.dialect import ServerLoad
+from radishwind.target.load_monitor import BUSY_SILENCE_S
+from radishwind.target.load_monitor import IDLE_SILENCE_S
+from radishwind.target.load_monitor import LEARN_S
+from radishwind.target.load_monitor import LEARN_SILENCE_S
+from radishwind.target.load_monitor import LoadMonitor
 from radishwind.target.pace_gate import PaceGate
-from radishwind.target.pulse import BUSY_SILENCE_S
-from radishwind.target.pulse import IDLE_SILENCE_S
-from radishwind.target.pulse import LEARN_S
-from radishwind.target.pulse import LEARN_SILENCE_S
-from radishwind.target.pulse import ServerPulse
 
 PERIOD_S = 0.15
 
@@ -24,14 +24,14 @@
 
     def __init__(self):
         self.clock = ManualClock()
-        self.pulse = ServerPulse(self.clock)
-        self.pulse.told(load(1.0))
-        self.pulse.spells.period_s = PERIOD_S
+        self.pulse = LoadMonitor(self.clock)
+        self.pulse.record_load(load(1.0))
+        self.pulse.change_grid.interval_s = PERIOD_S
         self.gate = PaceGate(self.clock, self.pulse)
 
     def at(self, offset_s, pace, in_flight=0):
         self.clock.advance(PERIOD_S + offset_s)
-        self.pulse.told(load(pace, in_flight))
+        self.pulse.record_load(load(pace, in_flight))
 
     def holds(self, work_s, aim_s=0.3, deadline_s=1.0):
         now = self.clock.monotonic()
@@ -90,13 +90,13 @@
     setup.clock.advance(PERIOD_S - 0.005)
 
     assert setup.holds(0.09)
-    setup.pulse.told(load(1.0))
+    setup.pulse.record_load(load(1.0))
 
     assert not setup.holds(0.09)
 
 
 def test_without_a_grid_nothing_waits(setup):
-    setup.pulse.spells.period_s = 0.0
+    setup.pulse.change_grid.interval_s = 0.0
     setup.at(0.01, 5.0)
 
     assert not setup.holds(0.09)
@@ -104,24 +104,24 @@
 
 def test_a_server_is_asked_into_silence_only():
     clock = ManualClock()
-    pulse = ServerPulse(clock)
-    pulse.told(load(1.0))
-    assert pulse.check_in_s() == pytest.approx(LEARN_SILENCE_S)
+    pulse = LoadMonitor(clock)
+    pulse.record_load(load(1.0))
+    assert pulse.next_check_s() == pytest.approx(LEARN_SILENCE_S)
     clock.advance(LEARN_S)
-    pulse.told(load(1.0))
-    assert pulse.check_in_s() == pytest.approx(IDLE_SILENCE_S)
+    pulse.record_load(load(1.0))
+    assert pulse.next_check_s() == pytest.approx(IDLE_SILENCE_S)
 
-    pulse.used()
+    pulse.record_request()
 
-    assert pulse.check_in_s() == pytest.approx(BUSY_SILENCE_S)
+    assert pulse.next_check_s() == pytest.approx(BUSY_SILENCE_S)
 
 
 def test_with_a_grid_a_server_in_use_is_asked_once_a_moment(setup):
     setup.at(0.01, 1.0)
-    setup.pulse.used()
+    setup.pulse.record_request()
 
-    due_s = setup.pulse.check_in_s()
+    due_s = setup.pulse.next_check_s()
     setup.clock.advance(due_s)
 
     assert due_s == pytest.approx(PERIOD_S - 0.01 + 0.003)
-    assert setup.pulse.check_in_s() < 1e-6
+    assert setup.pulse.next_check_s() < 1e-6
--- a/src/radishwind/target/tests/test_pipeline.py
+++ b/src/radishwind/target/tests/test_pipeline.py
@@ -19,7 +19,7 @@
 from radishwind.outcomes import Done
 from radishwind.outcomes import NotRun
 from radishwind.outcomes import Unknown
-from radishwind.target.server import ServerState
+from radishwind.target.backend_server import ServerState
 
 ADDRESS = Address("127.0.0.1", 9000)
 
@@ -109,7 +109,7 @@
     outcome.response.body.abort()
 
     assert target.admission.in_flight == 0
-    await target.pipeline.drained()
+    await target.pipeline.wait_drained()
 
 
 @pytest.mark.parametrize("cut", [True, False])
@@ -158,7 +158,7 @@
     assert outcome.code is ResultCode.SERVER_SHED
     assert isinstance(outcome, NotRun)
     assert stream.aborted
-    assert target.pipeline.load().service_ms == 0
+    assert target.pipeline.load_report().service_ms == 0
 
 
 async def test_a_failing_server_is_told_as_cold():
@@ -166,7 +166,7 @@
     target.response = Response(500, (), b"")
     for _ in range(10):
         await target.run()
-    assert target.pipeline.load().warm < 0.2
+    assert target.pipeline.load_report().warm < 0.2
 
 
 async def test_what_waited_is_not_sent_to_a_server_that_drains_meanwhile():
@@ -181,12 +181,12 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(waits)
         await anyio.lowlevel.checkpoint()
-        target.server.health(ServerState.DRAINING, None)
+        target.server.record_health(ServerState.DRAINING, None)
         held.response.body.abort()
 
     assert outcomes[0].code is ResultCode.LEAVING
     assert len(target.sender.sent) == 1
-    assert target.pipeline.load().leaving
+    assert target.pipeline.load_report().leaving
 
 
 async def test_a_crash_makes_a_suspect_that_runs_alone_until_cleared():
@@ -218,6 +218,6 @@
     target.admission.offer(probe, 0.0)
     with anyio.fail_after(10):
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(target.pipeline.drained)
+            tasks.start_soon(target.pipeline.wait_drained)
             await anyio.wait_all_tasks_blocked()
             target.admission.release(probe, 1.0, 0.0)
--- a/src/radishwind/target/tests/test_registered.py
+++ b/src/radishwind/target/tests/test_registered_server.py
@@ -7,8 +7,8 @@
 
 from radishwind.core import ManualClock
 from radishwind.core.codes import ResultCode
-from radishwind.target.life import Life
-from radishwind.target.registered import Registration
+from radishwind.target.registered_server import Registration
+from radishwind.target.server_process import ServerProcess
 
 
 def told(incarnation, order=1, leaving=False, service="s", slots=6, cold_s=0.0):
@@ -53,7 +53,7 @@
 
 def test_one_that_deregisters_first_gets_nothing_new(server):
     server.register(told("i-1", 3))
-    server.leave(Life("i-1"))
+    server.mark_leaving(ServerProcess("i-1"))
 
     server.register(told("i-1", 9))
 
@@ -61,7 +61,7 @@
 
 
 def test_a_record_of_before_a_restart_binds(server):
-    server.leave(Life("i-1"))
+    server.mark_leaving(ServerProcess("i-1"))
 
     assert not server.register(told("i-1", 5))
     assert code(server) is ResultCode.SERVER_UNANNOUNCED
@@ -69,7 +69,7 @@
 
 def test_a_new_incarnation_takes_work_after_one_that_left(server):
     server.register(told("i-1"))
-    server.leave(Life("i-1"))
+    server.mark_leaving(ServerProcess("i-1"))
     server.register(told("i-2"))
 
     assert code(server) is None
@@ -78,17 +78,17 @@
 def test_the_incarnation_that_answers_is_believed(server):
     server.register(told("i-1"))
 
-    server.answered_by("i-1", "i-2")
+    server.record_answering_incarnation("i-1", "i-2")
     server.register(told("i-1", 9))
 
     assert server.incarnation == "i-2"
 
 
 def test_one_that_answers_but_left_gets_nothing(server):
-    server.leave(Life("i-2"))
+    server.mark_leaving(ServerProcess("i-2"))
     server.register(told("i-1"))
 
-    server.answered_by("i-1", "i-2")
+    server.record_answering_incarnation("i-1", "i-2")
 
     assert code(server) is ResultCode.LEAVING
 
@@ -96,10 +96,10 @@
 def test_a_server_that_takes_no_connection_is_down_until_it_does(server):
     server.register(told("i-1"))
 
-    server.unreachable()
+    server.mark_unreachable()
     assert code(server) is ResultCode.SERVER_DOWN
     assert not server.ready
-    server.reachable()
+    server.mark_reachable()
 
     assert code(server) is None
 
@@ -107,9 +107,9 @@
 def test_a_cold_server_is_told_as_such(server, clock):
     server.register(told("i-1", cold_s=3.0))
 
-    assert server.warm(clock.monotonic()) < 1
+    assert server.warm_fraction(clock.monotonic()) < 1
     clock.advance(3.1)
-    assert server.warm(clock.monotonic()) == 1.0
+    assert server.warm_fraction(clock.monotonic()) == 1.0
 
 
 def test_an_address_used_by_another_service_is_told(server):
--- a/src/radishwind/target/tests/test_lives.py
+++ b/src/radishwind/target/tests/test_server_processes.py
@@ -7,9 +7,9 @@
 
 from radishwind.core import ManualClock
 from radishwind.core.codes import ResultCode
-from radishwind.target.life import Life
-from radishwind.target.registered import OLDER_AFTER_S
-from radishwind.target.registered import Registration
+from radishwind.target.registered_server import OLDER_AFTER_S
+from radishwind.target.registered_server import Registration
+from radishwind.target.server_process import ServerProcess
 
 FIRST, SECOND, THIRD = 1_000_000, 1_060_000, 1_120_000
 
@@ -38,17 +38,17 @@
     assert server.register(told(SECOND, 1))
 
     assert code(server) is None
-    assert server.life == Life("i-1", SECOND)
+    assert server.process == ServerProcess("i-1", SECOND)
 
 
 def test_its_heartbeats_count_anew(server, clock):
     server.register(told(FIRST, 500))
     server.register(told(SECOND, 1, cold_s=3.0))
-    assert server.warm(clock.monotonic()) < 1.0
+    assert server.warm_fraction(clock.monotonic()) < 1.0
 
     server.register(told(SECOND, 2, cold_s=0.0))
 
-    assert server.warm(clock.monotonic()) == 1.0
+    assert server.warm_fraction(clock.monotonic()) == 1.0
 
 
 @pytest.mark.parametrize("leaving", [False, True])
@@ -58,7 +58,7 @@
 
     server.register(told(FIRST, 6, leaving=leaving))
 
-    assert server.life == Life("i-1", SECOND)
+    assert server.process == ServerProcess("i-1", SECOND)
     assert code(server) is None
 
 
@@ -67,7 +67,7 @@
 
     server.register(told(FIRST, 90))
 
-    assert server.life == Life("i-1", SECOND)
+    assert server.process == ServerProcess("i-1", SECOND)
 
 
 def test_a_clock_that_stepped_back_shuts_nobody_out_for_good(server, clock):
@@ -75,11 +75,11 @@
     clock.advance(OLDER_AFTER_S + 0.1)
 
     assert server.register(told(FIRST, 3))
-    assert server.life == Life("i-1", FIRST)
+    assert server.process == ServerProcess("i-1", FIRST)
 
     # Should it have been a late word after all, the later life comes back.
     assert server.register(told(SECOND, 31))
-    assert server.life == Life("i-1", SECOND)
+    assert server.process == ServerProcess("i-1", SECOND)
 
 
 def test_a_later_life_that_leaves_at_once_gets_nothing(server):
@@ -97,21 +97,21 @@
 ):
     server.register(told(FIRST, 5))
 
-    server.leave(Life("i-1"))
+    server.mark_leaving(ServerProcess("i-1"))
 
     assert code(server) is ResultCode.LEAVING
     assert server.register(told(SECOND, 1))
 
 
 def test_a_record_binds_one_life(server):
-    server.leave(Life.of_key(Life("i-1", FIRST).key))
+    server.mark_leaving(ServerProcess.from_key(ServerProcess("i-1", FIRST).key))
 
     assert not server.register(told(FIRST, 8))
     assert server.register(told(SECOND, 1))
 
 
 def test_a_record_without_start_binds_whoever_has_the_incarnation(server):
-    server.leave(Life.of_key("i-1"))
+    server.mark_leaving(ServerProcess.from_key("i-1"))
 
     assert not server.register(told(FIRST, 8))
 
@@ -121,16 +121,22 @@
 
     assert not server.register(told(FIRST, 2))
 
-    assert server.life == Life("i-1", FIRST)
-    assert server.lives == 1
+    assert server.process == ServerProcess("i-1", FIRST)
+    assert server.process_count == 1
 
 
 @pytest.mark.parametrize(
     "life",
-    [Life("i-1"), Life("i-1", 5), Life("a@b", 7), Life("a@b"), Life("a@5")],
+    [
+        ServerProcess("i-1"),
+        ServerProcess("i-1", 5),
+        ServerProcess("a@b", 7),
+        ServerProcess("a@b"),
+        ServerProcess("a@5"),
+    ],
 )
 def test_a_key_names_its_life(life):
-    assert Life.of_key(life.key) == life
+    assert ServerProcess.from_key(life.key) == life
 
 
 def test_one_known_by_its_answers_that_leaves_may_start_again(server):
--- a/src/radishwind/target/tests/test_confirmed.py
+++ b/src/radishwind/target/tests/test_verifying_exchange.py
@@ -19,9 +19,9 @@
 from radishwind.outcomes import NotRun
 from radishwind.outcomes import Unknown
 from radishwind.platform import PlatformDialect
-from radishwind.target.confirmed import ConfirmedExchange
-from radishwind.target.pulse import ServerPulse
-from radishwind.target.server import ServerView
+from radishwind.target.backend_server import ServerView
+from radishwind.target.load_monitor import LoadMonitor
+from radishwind.target.verifying_exchange import VerifyingExchange
 
 pytestmark = pytest.mark.anyio
 
@@ -70,11 +70,11 @@
 class Setup:
     def __init__(self, answer):
         self.clock = ManualClock()
-        self.pulse = ServerPulse(self.clock)
+        self.pulse = LoadMonitor(self.clock)
         self.watch = Watch()
         self.replaced = []
         self.server = Server(answer)
-        self.exchange = ConfirmedExchange(
+        self.exchange = VerifyingExchange(
             clock=self.clock,
             sender=self.server,
             dialect=PlatformDialect(),
@@ -103,7 +103,7 @@
     assert outcome.response.body == b"ab"
     assert outcome.response.headers == OWN
     assert setup.pulse.load.pace == 5.0
-    assert setup.watch.heard == ["answered"]
+    assert setup.watch.heard == ["record_answer"]
 
 
 @pytest.mark.parametrize(
--- a/src/radishwind/target/tests/test_warmup.py
+++ b/src/radishwind/target/tests/test_warmup_limiter.py
@@ -10,13 +10,15 @@
 
 from radishwind.core import ManualClock
 from radishwind.core.codes import ResultCode
-from radishwind.target.warmup import MOST_COUNTED
-from radishwind.target.warmup import WarmupGate
-from radishwind.target.warmup import WarmupLaw
-from radishwind.target.warmup import WINDOW_S
+from radishwind.target.warmup_limiter import MOST_COUNTED
+from radishwind.target.warmup_limiter import WarmupLimit
+from radishwind.target.warmup_limiter import WarmupLimiter
+from radishwind.target.warmup_limiter import WINDOW_S
 from radishwind.telemetry import logs
 
-LAW = WarmupLaw(per_s=7.0, over=1.5, slack=8.0, cold_s=3.0)
+LAW = WarmupLimit(
+    rate_per_s=7.0, burst_factor=1.5, burst_allowance=8.0, warmup_s=3.0
+)
 
 
 def call(rank=0):
@@ -24,8 +26,8 @@
 
 
 def gate(clock, law=LAW, running_s=WINDOW_S):
-    made = WarmupGate(clock, running_s)
-    made.follow(law)
+    made = WarmupLimiter(clock, running_s)
+    made.configure(law)
     return made
 
 
@@ -46,14 +48,14 @@
 def test_no_second_brings_more_than_the_bound(seed, per_s, over, slack):
     rng = random.Random(seed)
     clock = ManualClock()
-    law = WarmupLaw(per_s, over, slack, 3.0)
+    law = WarmupLimit(per_s, over, slack, 3.0)
     made = gate(clock, law)
-    made.began(60.0)
+    made.record_start(60.0)
     sent = []
     for _ in range(400):
         clock.advance(rng.expovariate(120.0))
         one = call(rng.randrange(3))
-        if made.refusal(one, 0) is None and made.take(one) is None:
+        if made.refusal(one, 0) is None and made.try_send(one) is None:
             sent.append(clock.monotonic())
 
     assert densest(sent) <= max(1 if per_s else 0, per_s * over + slack)
@@ -62,40 +64,40 @@
 def test_the_bound_slides_and_is_not_one_of_calendar_seconds():
     clock = ManualClock()
     made = gate(clock)
-    made.began(3.0)
+    made.record_start(3.0)
     clock.advance(0.9)
-    first = [made.take(call()) for _ in range(LAW.most)]
+    first = [made.try_send(call()) for _ in range(LAW.max_per_window)]
     clock.advance(0.2)
 
-    assert first == [None] * LAW.most
-    assert made.take(call()).code is ResultCode.SERVER_COLD
+    assert first == [None] * LAW.max_per_window
+    assert made.try_send(call()).code is ResultCode.SERVER_COLD
     clock.advance(WINDOW_S - 0.2)
-    assert made.take(call()) is None
+    assert made.try_send(call()) is None
 
 
 def test_what_was_sent_while_warm_counts_when_it_turns_cold():
     clock = ManualClock()
     made = gate(clock)
-    made.began(0.0)
+    made.record_start(0.0)
     for _ in range(100):
-        assert made.take(call()) is None
+        assert made.try_send(call()) is None
 
-    made.told(3.0)
+    made.record_heartbeat(3.0)
 
-    assert made.take(call()) is not None
+    assert made.try_send(call()) is not None
 
 
 def test_a_warm_server_is_not_bounded_and_one_without_a_law_never_is():
     clock = ManualClock()
     made = gate(clock)
-    made.began(0.0)
-    assert made.left() is None
-    assert [made.refusal(call(), 500), made.take(call())] == [None, None]
+    made.record_start(0.0)
+    assert made.remaining() is None
+    assert [made.refusal(call(), 500), made.try_send(call())] == [None, None]
 
     unbound = gate(clock, None)
-    assert unbound.left() is None
+    assert unbound.remaining() is None
     for _ in range(100):
-        assert unbound.take(call()) is None
+        assert unbound.try_send(call()) is None
 
 
 def test_unknown_counts_as_cold_until_the_server_tells():
@@ -103,7 +105,7 @@
     made = gate(clock)
     assert made.is_cold
 
-    made.looked(0.0, clock.monotonic())
+    made.record_check(0.0, clock.monotonic())
 
     assert not made.is_cold
 
@@ -111,24 +113,24 @@
 def test_an_answer_asked_for_before_says_nothing_of_what_came_after():
     clock = ManualClock()
     made = gate(clock)
-    made.looked(0.0, clock.monotonic())
+    made.record_check(0.0, clock.monotonic())
     asked = clock.monotonic()
     clock.advance(0.1)
-    made.forget(clock.monotonic())
+    made.mark_unknown(clock.monotonic())
 
-    made.looked(0.0, asked)
+    made.record_check(0.0, asked)
     assert made.is_cold
-    made.looked(0.0, clock.monotonic())
+    made.record_check(0.0, clock.monotonic())
     assert not made.is_cold
 
 
 def test_a_late_heartbeat_warms_nothing():
     clock = ManualClock()
     made = gate(clock)
-    made.began(3.0)
+    made.record_start(3.0)
     clock.advance(1.0)
 
-    made.told(0.0)
+    made.record_heartbeat(0.0)
 
     assert made.is_cold
     clock.advance(2.0)
@@ -138,10 +140,10 @@
 def test_it_may_turn_cold_again_at_any_moment():
     clock = ManualClock()
     made = gate(clock)
-    made.looked(0.0, clock.monotonic())
+    made.record_check(0.0, clock.monotonic())
     clock.advance(60.0)
 
-    made.looked(2.5, clock.monotonic())
+    made.record_check(2.5, clock.monotonic())
 
     assert made.is_cold
     clock.advance(2.5)
@@ -151,7 +153,7 @@
 def test_a_server_of_which_nobody_tells_is_cold_no_longer_than_one_can_be():
     clock = ManualClock()
     made = gate(clock)
-    clock.advance(LAW.cold_s)
+    clock.advance(LAW.warmup_s)
 
     assert not made.is_cold
 
@@ -159,40 +161,40 @@
 def test_what_the_process_before_sent_counts_for_a_window():
     clock = ManualClock()
     made = gate(clock, running_s=0.0)
-    assert made.left() == 0
-    assert made.take(call()) is not None
+    assert made.remaining() == 0
+    assert made.try_send(call()) is not None
 
     clock.advance(WINDOW_S)
 
-    assert made.left() == LAW.most
+    assert made.remaining() == LAW.max_per_window
 
 
 def test_a_server_younger_than_the_node_was_sent_nothing_before():
     clock = ManualClock()
     made = gate(clock, running_s=0.0)
     clock.advance(0.5)
-    made.began(LAW.cold_s - 0.2)
+    made.record_start(LAW.warmup_s - 0.2)
 
-    assert made.left() == LAW.most
+    assert made.remaining() == LAW.max_per_window
 
 
 def test_a_rate_of_zero_lets_nothing_through_while_cold():
     clock = ManualClock()
-    made = gate(clock, WarmupLaw(0.0, 1.5, 8.0, 3.0))
-    made.began(3.0)
+    made = gate(clock, WarmupLimit(0.0, 1.5, 8.0, 3.0))
+    made.record_start(3.0)
 
-    assert made.take(call()).code is ResultCode.SERVER_COLD
+    assert made.try_send(call()).code is ResultCode.SERVER_COLD
     clock.advance(3.0)
-    assert made.take(call()) is None
+    assert made.try_send(call()) is None
 
 
 def test_what_waits_already_has_its_place_in_the_bound():
     clock = ManualClock()
     made = gate(clock)
-    made.began(3.0)
+    made.record_start(3.0)
 
-    assert made.refusal(call(), LAW.most - 1) is None
-    assert made.refusal(call(), LAW.most) is not None
+    assert made.refusal(call(), LAW.max_per_window - 1) is None
+    assert made.refusal(call(), LAW.max_per_window) is not None
 
 
 @pytest.mark.parametrize("others_per_s", [30, 120, 400])
@@ -202,7 +204,7 @@
     """A fleet's calls ask for twice what cold servers of a service stand."""
     clock = ManualClock()
     made = gate(clock)
-    made.began(30.0)
+    made.record_start(30.0)
     rng = random.Random(1)
     served = {0: 0, 1: 0}
     offered = {0: 0, 1: 0}
@@ -211,7 +213,7 @@
         rank = 0 if rng.random() < 5.0 / (others_per_s + 5.0) else 1
         one = call(rank)
         offered[rank] += 1
-        if made.refusal(one, 0) is None and made.take(one) is None:
+        if made.refusal(one, 0) is None and made.try_send(one) is None:
             served[rank] += 1
 
     assert served[0] >= 0.9 * offered[0]
@@ -220,12 +222,12 @@
 def test_a_refusal_says_when_the_next_may_come():
     clock = ManualClock()
     made = gate(clock)
-    made.began(3.0)
-    for _ in range(LAW.most):
-        made.take(call())
+    made.record_start(3.0)
+    for _ in range(LAW.max_per_window):
+        made.try_send(call())
     clock.advance(0.5)
 
-    refused = made.take(call())
+    refused = made.try_send(call())
 
     assert refused.retry_after_s == pytest.approx(WINDOW_S - 0.5)
 
@@ -236,7 +238,7 @@
     clock = ManualClock()
     gates = [gate(clock), gate(clock)]
     for made in gates:
-        made.began(30.0)
+        made.record_start(30.0)
     rng = random.Random(3)
     both = one = 0
     for i in range(1200):
@@ -245,13 +247,15 @@
         served = []
         for made in gates:
             call = make_call(call_id=f"{i}.1", priority=1, group_rank=lot)
-            refused = made.refusal(call, 0) or made.take(call)
+            refused = made.refusal(call, 0) or made.try_send(call)
             served.append(refused is None)
         both += all(served)
         one += any(served) and not all(served)
 
     assert one <= 0.1 * (both + one)
-    assert both >= 0.7 * (LAW.most / 1.5 / WINDOW_S) * (1200 / asked_per_s)
+    assert both >= 0.7 * (LAW.max_per_window / 1.5 / WINDOW_S) * (
+        1200 / asked_per_s
+    )
 
 
 @pytest.mark.parametrize("law", [LAW, None])
@@ -260,11 +264,11 @@
     monkeypatch.setattr(logs, "_takers", [lines.append])
     clock = ManualClock()
     made = gate(clock, law)
-    made.began(0.0)
+    made.record_start(0.0)
     for i in range(20):
         clock.advance(0.1)
-        made.looked(3.0 - 0.1 * i, clock.monotonic())
-        made.told(3.0 - 0.1 * i)
+        made.record_check(3.0 - 0.1 * i, clock.monotonic())
+        made.record_heartbeat(3.0 - 0.1 * i)
 
     assert [line["text"] for line in lines] == ["target: The server is cold."]
 
@@ -272,12 +276,12 @@
 def test_what_is_remembered_is_bounded():
     clock = ManualClock()
     made = gate(clock)
-    made.began(60.0)
+    made.record_start(60.0)
     for i in range(3000):
         clock.advance(0.0001)
         one = make_call(call_id=f"{i}.1", group_rank=0.1)
         made.refusal(one, 0)
-        made.take(one)
+        made.try_send(one)
 
     assert len(made._urgent) <= MOST_COUNTED
     assert len(made._sent) <= MOST_COUNTED
--- a/src/radishwind/target/confirmed.py
+++ b/src/radishwind/target/verifying_exchange.py
@@ -24,15 +24,15 @@
 from radishwind.outcomes.model import NotRun
 from radishwind.outcomes.model import Outcome
 from radishwind.outcomes.model import Unknown
-from radishwind.target.dialect import ServerAnswer
+from radishwind.target.backend_server import ServerView
+from radishwind.target.buffered_body import BufferBudget
+from radishwind.target.buffered_body import BufferedBody
+from radishwind.target.dialect import ResponseMetadata
 from radishwind.target.dialect import ServerDialect
-from radishwind.target.exchange import HeldStream
 from radishwind.target.exchange_base import Exchange
-from radishwind.target.held import HeldBody
-from radishwind.target.held import HeldRoom
-from radishwind.target.pulse import ServerPulse
-from radishwind.target.server import ServerView
-from radishwind.target.watch import ServerWatch
+from radishwind.target.exchange_recorder import ExchangeRecorder
+from radishwind.target.load_monitor import LoadMonitor
+from radishwind.target.server_exchange import SlotHoldingStream
 
 #: How long a new connection to the server may take (s): it stands on the same
 #: instance, so one that takes longer meets a full accept queue.
@@ -49,11 +49,11 @@
 _REPLACED_RETRY_S = 0.05
 
 
-class ConfirmedExchange(Exchange):
+class VerifyingExchange(Exchange):
     """Holds each answer until it is known to be whole and the right one.
 
     Attributes:
-      room: what the answers that are held may take in all.
+      buffer_budget: what the answers that are held may take in all.
     """
 
     def __init__(
@@ -62,8 +62,8 @@
         clock: Clock,
         sender: Sender,
         dialect: ServerDialect,
-        watch: ServerWatch,
-        pulse: ServerPulse,
+        watch: ExchangeRecorder,
+        pulse: LoadMonitor,
         replaced: Callable[[str, str], None],
     ) -> None:
         """Wires an exchange.
@@ -82,12 +82,12 @@
         self._watch = watch
         self._pulse = pulse
         self._replaced = replaced
-        self.room = HeldRoom()
+        self.buffer_budget = BufferBudget()
 
     async def send(self, call: Call, view: ServerView, alone: bool) -> Outcome:
-        self._pulse.used()
+        self._pulse.record_request()
         left_s = call.deadline - self._clock.monotonic()
-        request = self._dialect.request(call, view.instance, left_s)
+        request = self._dialect.build_request(call, view.instance, left_s)
         try:
             with TimeLimit(left_s):
                 response = await self._sender.send(
@@ -95,22 +95,22 @@
                 )
                 body = await self._held(response)
         except ConnectFailedError:
-            self._watch.refused()
+            self._watch.record_connect_failure()
             return NotRun(
                 ResultCode.CONNECT_FAILED, "The server takes no connection."
             )
         except ExchangeBrokenError as exc:
-            self._watch.broke(call)
+            self._watch.record_broken_exchange(call)
             return Unknown(ResultCode.EXCHANGE_BROKEN, str(exc.args[0])[:160])
         except TimeoutError:
-            self._watch.late()
+            self._watch.record_timeout()
             return Unknown(
                 ResultCode.EXCHANGE_TIMEOUT,
                 "The server did not answer in time.",
             )
         return self._confirmed(call, view, response, body, alone)
 
-    def hold(
+    def wrap_stream(
         self,
         call: Call,
         response: Response,
@@ -118,13 +118,13 @@
         ended: Callable[[], None],
     ) -> Response:
         def whole() -> None:
-            self._watch.answered(call, response.status, alone)
+            self._watch.record_answer(call, response.status, alone)
 
         def broke() -> None:
-            self._watch.broke(call)
+            self._watch.record_broken_exchange(call)
 
         assert not isinstance(response.body, bytes)
-        body = HeldStream(response.body, whole, broke, ended)
+        body = SlotHoldingStream(response.body, whole, broke, ended)
         return Response(
             response.status, response.headers, body, response.body_bytes
         )
@@ -137,17 +137,17 @@
         body: Body,
         alone: bool,
     ) -> Outcome:
-        answer = self._dialect.read(call, response)
-        if not answer.ours or not answer.genuine:
+        answer = self._dialect.parse_response(call, response)
+        if not answer.matches_request or not answer.is_authentic:
             abort_body(body)
-            self._watch.broke(call)
+            self._watch.record_broken_exchange(call)
             return Unknown(
                 ResultCode.ANSWER_MISMATCH,
                 "The answer was not the server's own to this request.",
             )
         if answer.load is not None:
-            self._pulse.told(answer.load)
-        if answer.not_run:
+            self._pulse.record_load(answer.load)
+        if answer.is_not_run:
             abort_body(body)
             return self._refused(answer, view)
         headers = end_to_end(answer.headers)
@@ -155,24 +155,24 @@
             return Done(
                 Response(response.status, headers, body, response.body_bytes)
             )
-        self._watch.answered(call, response.status, alone)
+        self._watch.record_answer(call, response.status, alone)
         size = len(body)
         if size <= SMALL_BODY_BYTES:
             return Done(Response(response.status, headers, body, size))
         if header(headers, "content-length") is None:
             headers += (("Content-Length", str(size)),)
-        held = HeldBody(body, self.room)
+        held = BufferedBody(body, self.buffer_budget)
         return Done(Response(response.status, headers, held, size))
 
-    def _refused(self, answer: ServerAnswer, view: ServerView) -> NotRun:
-        if answer.another:
+    def _refused(self, answer: ResponseMetadata, view: ServerView) -> NotRun:
+        if answer.is_other_incarnation:
             self._replaced(view.instance, answer.incarnation)
             return NotRun(
                 ResultCode.SERVER_REPLACED,
                 "Another incarnation of the server answers.",
                 _REPLACED_RETRY_S,
             )
-        self._watch.shed()
+        self._watch.record_shed()
         return NotRun(
             ResultCode.SERVER_SHED,
             "The server shed the request.",
@@ -186,7 +186,7 @@
             return body
         length = response.body_bytes
         if length is not None and (
-            length > HELD_BYTES or not self.room.fits(length)
+            length > HELD_BYTES or not self.buffer_budget.fits(length)
         ):
             return body
         pieces = []
--- a/src/radishwind/target/warmup.py
+++ b/src/radishwind/target/warmup_limiter.py
@@ -37,31 +37,36 @@
 _LEAST_RETRY_S = 0.05
 
 
-class WarmupLaw(msgspec.Struct, frozen=True):
+class WarmupLimit(msgspec.Struct, frozen=True):
     """What a cold server of a service stands.
 
     Attributes:
-      per_s: requests a second that it stands; 0 for none at all.
-      over: so many times that is still allowed in any second.
-      slack: requests beyond it that are allowed in any second.
-      cold_s: how long one is cold after its start (s).
+      rate_per_s: requests a second that it stands; 0 for none at all.
+      burst_factor: so many times that is still allowed in any second.
+      burst_allowance: requests beyond it that are allowed in any second.
+      warmup_s: how long one is cold after its start (s).
     """
 
-    per_s: float
-    over: float = 1.0
-    slack: float = 0.0
-    cold_s: float = 0.0
+    rate_per_s: float
+    burst_factor: float = 1.0
+    burst_allowance: float = 0.0
+    warmup_s: float = 0.0
 
     @property
-    def most(self) -> int:
+    def max_per_window(self) -> int:
         """Requests that may be sent in any window."""
-        if self.per_s <= 0:
+        if self.rate_per_s <= 0:
             return 0
-        most = math.floor(self.per_s * self.over + self.slack) - 1
+        most = (
+            math.floor(
+                self.rate_per_s * self.burst_factor + self.burst_allowance
+            )
+            - 1
+        )
         return min(max(1, most), MOST_COUNTED)
 
 
-class SendGate(abc.ABC):
+class SendLimiter(abc.ABC):
     """Says whether the server beside may be sent one more request."""
 
     @abc.abstractmethod
@@ -74,28 +79,28 @@
         """
 
     @abc.abstractmethod
-    def take(self, call: Call) -> NotRun | None:
+    def try_send(self, call: Call) -> NotRun | None:
         """Counts `call` as sent now, or returns why it must not be."""
 
     @abc.abstractmethod
-    def left(self) -> int | None:
+    def remaining(self) -> int | None:
         """Returns how many may be sent now; `None` where nothing bounds it."""
 
 
-class OpenSendGate(SendGate):
+class NoSendLimiter(SendLimiter):
     """Bounds nothing."""
 
     def refusal(self, call: Call, waiting: int) -> NotRun | None:
         return None
 
-    def take(self, call: Call) -> NotRun | None:
+    def try_send(self, call: Call) -> NotRun | None:
         return None
 
-    def left(self) -> int | None:
+    def remaining(self) -> int | None:
         return None
 
 
-class WarmupGate(SendGate):
+class WarmupLimiter(SendLimiter):
     """Counts what a cold server gets in any window.
 
     A server of unknown warmth counts as cold, for as long as one can be that
@@ -113,7 +118,7 @@
             before it sent counts until the first window is over.
         """
         self._clock = clock
-        self._law: WarmupLaw | None = None
+        self._law: WarmupLimit | None = None
         self._log = PartLogger("target", clock)
         self._began = clock.monotonic() - running_s
         # Since when its warmth is not known, if it isn't (monotonic s).
@@ -140,21 +145,21 @@
             return False
         now = self._clock.monotonic()
         since = self._unknown_since
-        if since is not None and now < since + law.cold_s:
+        if since is not None and now < since + law.warmup_s:
             return True
         return now < self._cold_until
 
-    def follow(self, law: WarmupLaw | None) -> None:
+    def configure(self, law: WarmupLimit | None) -> None:
         """Takes what is configured; `None` where nothing bounds it."""
         if law == self._law:
             return
         self._law = law
-        if law is not None and not law.per_s:
+        if law is not None and not law.rate_per_s:
             self._log.warning(
                 "The configuration lets cold servers have no requests."
             )
 
-    def forget(self, since: float) -> None:
+    def mark_unknown(self, since: float) -> None:
         """Takes that the server may have turned cold and has not told yet.
 
         Args:
@@ -162,7 +167,7 @@
         """
         self._unknown_since = since
 
-    def began(self, left_s: float) -> None:
+    def record_start(self, left_s: float) -> None:
         """Takes what a server tells that just began a new life.
 
         Args:
@@ -172,12 +177,12 @@
         self._unknown_since = None
         self._cold_until = now + left_s
         law = self._law
-        if law is not None and now - (law.cold_s - left_s) >= self._began:
+        if law is not None and now - (law.warmup_s - left_s) >= self._began:
             # It is younger than this node, so nobody else sent it anything.
             self._began = -math.inf
         self._log_cold(left_s)
 
-    def told(self, left_s: float) -> None:
+    def record_heartbeat(self, left_s: float) -> None:
         """Takes what a heartbeat tells, which may be late.
 
         Args:
@@ -185,7 +190,7 @@
         """
         self._lengthen(left_s)
 
-    def looked(self, left_s: float, asked: float) -> None:
+    def record_check(self, left_s: float, asked: float) -> None:
         """Takes what the server answered to a look.
 
         Args:
@@ -212,7 +217,7 @@
         self._log.change(
             "The server is cold.",
             left_s=round(left_s, 3),
-            most=self._law.most if self._law else None,
+            most=self._law.max_per_window if self._law else None,
         )
 
     def refusal(self, call: Call, waiting: int) -> NotRun | None:
@@ -227,34 +232,40 @@
             return None
         return self._refused(law, now)
 
-    def take(self, call: Call) -> NotRun | None:
+    def try_send(self, call: Call) -> NotRun | None:
         law = self._law
         now = self._clock.monotonic()
         # What was let wait is refused by the bound alone.
         is_cold = law is not None and self.is_cold
-        if law is not None and is_cold and self._count(law, now) >= law.most:
+        if (
+            law is not None
+            and is_cold
+            and self._count(law, now) >= law.max_per_window
+        ):
             return self._refused(law, now)
         self._sent.append((now, call.priority))
         return None
 
-    def left(self) -> int | None:
+    def remaining(self) -> int | None:
         law = self._law
         if law is None or not self.is_cold:
             return None
-        return max(0, law.most - self._count(law, self._clock.monotonic()))
+        return max(
+            0, law.max_per_window - self._count(law, self._clock.monotonic())
+        )
 
-    def _room(self, law: WarmupLaw, rank: int, now: float) -> int:
+    def _room(self, law: WarmupLimit, rank: int, now: float) -> int:
         """Returns how many of `rank` may be sent now."""
-        left = law.most - self._count(law, now)
+        left = law.max_per_window - self._count(law, now)
         if self._is_highest(rank):
             return left
         others = sum(sent != self._highest_rank for _, sent in self._sent)
-        return min(left, law.most - self._kept(law, now) - others)
+        return min(left, law.max_per_window - self._kept(law, now) - others)
 
     def _is_highest(self, rank: int) -> bool:
         return self._highest_rank is None or rank <= self._highest_rank
 
-    def _draws_a_blank(self, law: WarmupLaw, call: Call, now: float) -> bool:
+    def _draws_a_blank(self, law: WarmupLimit, call: Call, now: float) -> bool:
         """Returns whether the lot of `call` says that it is not served.
 
         Of calls that belong together all are served or none, at whichever
@@ -268,17 +279,19 @@
         while now - next(iter(self._asked.values())) >= WINDOW_S:
             del self._asked[next(iter(self._asked))]
         kept = 0 if self._is_highest(call.priority) else self._kept(law, now)
-        return call.group_rank + 0.5 > (law.most - kept) / len(self._asked)
+        return call.group_rank + 0.5 > (law.max_per_window - kept) / len(
+            self._asked
+        )
 
-    def _count(self, law: WarmupLaw, now: float) -> int:
+    def _count(self, law: WarmupLimit, now: float) -> int:
         """Returns how many count as sent in the window that ends now."""
         if now - self._began < WINDOW_S:
-            return law.most
+            return law.max_per_window
         while self._sent and now - self._sent[0][0] >= WINDOW_S:
             self._sent.popleft()
         return len(self._sent)
 
-    def _kept(self, law: WarmupLaw, now: float) -> int:
+    def _kept(self, law: WarmupLimit, now: float) -> int:
         """Returns how many are kept for the highest rank.
 
         As many as came lately, and what their number usually varies by: first
@@ -289,7 +302,7 @@
         while self._urgent and self._urgent[0] < since:
             self._urgent.popleft()
         if now - since < WINDOW_S:
-            return math.ceil(law.most * FIRST_KEPT)
+            return math.ceil(law.max_per_window * FIRST_KEPT)
         expected = len(self._urgent) * WINDOW_S / (now - since)
         return math.ceil(expected + math.sqrt(expected))
 
@@ -301,11 +314,11 @@
         if rank == self._highest_rank:
             self._urgent.append(now)
 
-    def _refused(self, law: WarmupLaw, now: float) -> NotRun:
+    def _refused(self, law: WarmupLimit, now: float) -> NotRun:
         until = self._began + WINDOW_S
         if self._sent:
             until = max(until, self._sent[0][0] + WINDOW_S)
-        if not law.most:
+        if not law.max_per_window:
             until = self._cold_until
         wait_s = min(max(_LEAST_RETRY_S, until - now), WINDOW_S)
         return NotRun(
--- a/tests/proofs/test_leaving.py
+++ b/tests/proofs/test_leaving.py
@@ -18,8 +18,8 @@
 from radishwind.membership import Announced
 from radishwind.membership import GossipDirectory
 from radishwind.membership.listing import InventoryListing
-from radishwind.target.server import Announcement
-from radishwind.target.server import ServerState
+from radishwind.target.backend_server import Announcement
+from radishwind.target.backend_server import ServerState
 from tests.proofs.failures import FAILURES
 from tests.proofs.stage import quiet
 from tests.proofs.stage import Stage
@@ -91,11 +91,11 @@
         async with stage.open():
             stage.note(target, how)
             if how == "leaves":
-                pipeline.leave()
+                pipeline.refuse_new_work()
             if "drains" in how:
                 address = f"10.0.1.{number}:80"
                 told = Announcement(target, address, ServerState.DRAINING)
-                pipeline._server.announce(told, 0.0)
+                pipeline._server.accept_announcement(told, 0.0)
             for n in range(6):
                 entry = ("entry-a", "entry-b")[n % 2]
                 body = b"tavola %d" % n
@@ -154,7 +154,7 @@
                 await self._fail(requests)
                 stage.note("node prenota-1", "stops")
                 if draining:
-                    pipeline.leave()
+                    pipeline.refuse_new_work()
                     requests.start_soon(self._ends, pipeline)
                 else:
                     stage.servers[0].always = None
@@ -179,14 +179,14 @@
             stage.cluster.store.down = True
         if self.failure == "the server drains":
             told = Announcement("prenota-1", "10.0.1.1:80", "draining")
-            stage.cluster.targets[0]._server.announce(told, 0.0)
+            stage.cluster.targets[0]._server.accept_announcement(told, 0.0)
         if self.failure == "a second request is cut":
             failure = FAILURES["the server's connection is cut"]
             send = functools.partial(stage.send, "entry-b", "c", b"cut")
             await failure(stage, "entry-b", send)
 
     async def _ends(self, pipeline) -> None:
-        await pipeline.drained()
+        await pipeline.wait_drained()
         self.stage.note("node prenota-1", "ends")
 
 
--- a/tests/proofs/test_measuring.py
+++ b/tests/proofs/test_measuring.py
@@ -23,7 +23,7 @@
 from radishwind.probing import prober as prober_module
 from radishwind.probing.prober import POLL_INTERVAL_S
 from radishwind.probing.prober import PROBE_TIMEOUT_S
-from radishwind.target.server import Announcement
+from radishwind.target.backend_server import Announcement
 from tests.support.direct import DirectSender
 from tests.support.targets import make_parts
 
@@ -75,7 +75,7 @@
             uptime_s=0.0,
             health_path="/healthz",
         )
-        self.parts.server.announce(told, self.clock.monotonic())
+        self.parts.server.accept_announcement(told, self.clock.monotonic())
 
     async def _handle(self, request) -> Response:
         self.joined_full |= self.parts.admission.in_flight > SLOTS
--- a/tests/support/registered.py
+++ b/tests/support/registered.py
@@ -3,7 +3,7 @@
 from radishwind.core import ManualClock
 from radishwind.core.codes import ResultCode
 from radishwind.http.types import Address
-from radishwind.target.registered import RegisteredServer
+from radishwind.target.registered_server import RegisteredServer
 
 #: Where it receives requests.
 HERE = Address("10.0.0.1", 80)
--- a/tests/support/targets.py
+++ b/tests/support/targets.py
@@ -13,8 +13,8 @@
 from radishwind.membership import SilentBoard
 from radishwind.probing import HealthEstimator
 from radishwind.quarantine import Quarantine
-from radishwind.target import ServerBeside
-from radishwind.target import ServerWatch
+from radishwind.target import BackendServer
+from radishwind.target import ExchangeRecorder
 from radishwind.target import TargetPipeline
 
 
@@ -42,7 +42,7 @@
     """A pipeline and what it decides by."""
 
     pipeline: TargetPipeline
-    server: ServerBeside
+    server: BackendServer
     admission: Admission
     health: HealthEstimator
     quarantine: Quarantine
@@ -74,8 +74,8 @@
     board: RumorBoard | None = None,
 ) -> TargetParts:
     """Returns the parts of a target that the inventory lists."""
-    server = ServerBeside(name, address)
-    server.list(True)
+    server = BackendServer(name, address)
+    server.set_listed(True)
     admission = FairAdmission(limits)
     health = HealthEstimator()
     quarantine = Quarantine(
@@ -89,6 +89,6 @@
         admission=admission,
         sender=sender,
         server=server,
-        watch=ServerWatch(clock, health, quarantine),
+        watch=ExchangeRecorder(clock, health, quarantine),
     )
     return TargetParts(pipeline, server, admission, health, quarantine)
