--- a/src/radishwind/entry/call.py
+++ b/src/radishwind/entry/call.py
@@ -1,4 +1,4 @@
-"""A classified request: what the decisions need to know of it."""
+"""Classified requests: the attributes that decide how a request is handled."""
 
 import dataclasses
 import math
@@ -12,14 +12,14 @@
 from radishwind.http.hygiene import NODE_FIELD_PREFIX
 from radishwind.http.types import Request
 
-#: Fields that callers may send; `docs/callers.md` describes them.
+#: Header fields that callers may send; described in `docs/callers.md`.
 TIMEOUT_FIELD = "radishwind-timeout-ms"
 DEPTH_FIELD = "radishwind-depth"
 KEY_FIELD = "idempotency-key"
 CALLER_FIELD = "radishwind-caller"
 
-_TOLD_ANEW = frozenset({TIMEOUT_FIELD, DEPTH_FIELD})
-_DECIDING = frozenset(
+_REWRITTEN_FIELDS = frozenset({TIMEOUT_FIELD, DEPTH_FIELD})
+_CLASSIFYING_FIELDS = frozenset(
     {"host", TIMEOUT_FIELD, DEPTH_FIELD, KEY_FIELD, CALLER_FIELD}
 )
 
@@ -27,7 +27,7 @@
 MAX_KEY_CHARS = 255
 MAX_CALLER_CHARS = 100
 
-#: Servers that a call may reach where nothing bounds them.
+#: Default of `Call.max_server_attempts`: no limit.
 NO_LIMIT = sys.maxsize
 
 
@@ -35,8 +35,10 @@
     """The request cannot be classified.
 
     Attributes:
-      call_id: names the request, for the log; empty where that was not read.
-      retry_after_s: when the cause is likely to be over (s), if it passes.
+      call_id: identifies the request in the log; empty if the id could not be
+        read.
+      retry_after_s: time after which a retry is likely to be accepted (s);
+        `None` if it is not known or a retry is of no use.
     """
 
     code = ResultCode.REQUEST_MALFORMED
@@ -45,41 +47,44 @@
 
 
 class ServiceUnknownError(CallRejectedError):
-    """No service of the configuration takes the request."""
+    """No service of the configuration matches the request."""
 
     code = ResultCode.SERVICE_UNKNOWN
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """A request with what the configuration says of it.
+    """A request with the treatment that the configuration gives it.
 
     Attributes:
-      call_id: unique; attempts are numbered below it.
-      service: the service it is for.
-      request: the request, free of fields that only nodes may send.
+      call_id: unique; the ids of its attempts are derived from it.
+      service: the service that it is for.
+      request: the request, without the fields that only nodes may send.
       rules: the rules of its service.
       idempotent: whether it may run more than once.
       deadline: monotonic time (s) by which it must be answered.
-      expires_ms: the same as wall-clock time (ms since the epoch, UTC), so
-        that a node that was paused can tell that it is too late.
-      caller: who asks, for the shares between callers.
+      expires_ms: the deadline as wall-clock time (ms since the epoch, UTC), so
+        that a node that was paused detects that the deadline has passed.
+      caller: who sent it; used for fair queueing between callers.
       key: the caller's idempotency key, if any.
-      depth: how many calls it is nested in; 0 for a caller outside.
-      suspect: whether an attempt before broke off, so that it runs alone.
-      aim: monotonic time (s) by which an answer earns its full worth.
-      priority: its rank among others that wait; 0 is the highest.
-      max_server_attempts: servers that its attempts may reach at most.
-      route: the route that took it; empty where services have none.
-      regions: where it may run; empty for anywhere.
-      work_s: its run time at the usual pace (s); 0 where not known.
-      group_rank: drawn with those that it belongs to, -0.5 to 0.5; the lower go
-        first where not all can be served. 0 where it belongs to no others.
-      account: the client account that asks; empty for none.
-      is_external: whether a caller surely sent it, and no server that runs
-        something.
-      is_retry: whether an attempt before came to a server, or may still.
-      steps: what was tried and what came of it, for the log; grows.
+      depth: nesting depth; 0 for a request of an external caller.
+      suspect: whether an earlier attempt broke off, so that it must run alone.
+      aim: soft deadline (monotonic s); a later response is worth less.
+      priority: priority among queued requests; 0 is the highest.
+      max_server_attempts: maximum number of attempts that may reach a server.
+      route: the route that it matched; empty for services without routes.
+      regions: regions where it may run; empty for anywhere.
+      normal_run_s: its run time at a server of normal speed (s); 0 if unknown.
+      group_rank: random rank, -0.5 to 0.5, shared by the calls of one fan-out;
+        if not all calls can be served, lower ranks are served first. 0 for a
+        call that is not part of a fan-out.
+      account: the client account that it belongs to; empty for none.
+      is_external: whether it is known to come from an external caller and not
+        from a backend server that processes another request.
+      is_retry: whether an earlier attempt or a hedge reached a server, or may
+        have.
+      steps: description of each attempt and its result, for the log; grows
+        with each attempt.
     """
 
     call_id: str
@@ -98,7 +103,7 @@
     max_server_attempts: int = NO_LIMIT
     route: str = ""
     regions: frozenset[str] = frozenset()
-    work_s: float = 0.0
+    normal_run_s: float = 0.0
     group_rank: float = 0.0
     account: str = ""
     is_external: bool = True
@@ -116,21 +121,21 @@
     """Classifies a caller's request.
 
     Args:
-      request: as received.
+      request: the request as received.
       index: the configuration in force.
       call_id: a new unique id.
       now: monotonic time (s).
       wall_ms: wall-clock time (ms since the epoch, UTC).
 
     Raises:
-      ServiceUnknownError: no service takes it.
-      CallRejectedError: a field that it carries is malformed.
+      ServiceUnknownError: no service matches it.
+      CallRejectedError: a header field is malformed.
     """
-    told = _told(request)
-    service = _service(request, told, index)
+    fields = _classifying_fields(request)
+    service = _service(request, fields, index)
     rules = index.cfg.rules.for_service(service)
-    timeout_ms = _timeout_ms(told, rules)
-    caller = _text(told, CALLER_FIELD, MAX_CALLER_CHARS)
+    timeout_ms = _timeout_ms(fields, rules)
+    caller = _text_field(fields, CALLER_FIELD, MAX_CALLER_CHARS)
     return Call(
         call_id=call_id,
         service=service,
@@ -140,21 +145,23 @@
         deadline=now + timeout_ms / 1000,
         expires_ms=wall_ms + timeout_ms,
         caller=caller or request.remote,
-        key=_text(told, KEY_FIELD, MAX_KEY_CHARS),
-        depth=_whole_number(told, DEPTH_FIELD, 0, MAX_DEPTH) or 0,
+        key=_text_field(fields, KEY_FIELD, MAX_KEY_CHARS),
+        depth=_int_field(fields, DEPTH_FIELD, 0, MAX_DEPTH) or 0,
     )
 
 
 def server_request(call: Call, now: float) -> Request:
-    """Returns the request as the server gets it.
+    """Returns the request as it is sent to the backend server.
 
-    It tells the time left and the depth of the calls that the server makes
-    for it, so that a server which passes both fields on carries the deadline
-    down. No field of nodes among themselves is in it.
+    Its header fields state the time left and the nesting depth of the calls
+    that the server makes to process it. A server that passes both fields on
+    propagates the deadline. Fields exchanged between nodes are removed.
     """
     request = call.request
     left_ms = max(1, int((call.deadline - now) * 1000))
-    kept = [item for item in request.headers if not _told_anew(item[0].lower())]
+    kept = [
+        item for item in request.headers if not _is_replaced(item[0].lower())
+    ]
     kept.append(("Radishwind-Timeout-Ms", str(left_ms)))
     kept.append(("Radishwind-Depth", str(call.depth + 1)))
     return Request(
@@ -167,28 +174,30 @@
     )
 
 
-def _told_anew(name: str) -> bool:
-    """Returns whether a server gets the field `name` from its node only."""
+def _is_replaced(name: str) -> bool:
+    """Returns whether the node removes or replaces the received field."""
     if not name.startswith("radishwind-"):
         return False
-    return name in _TOLD_ANEW or name.startswith(NODE_FIELD_PREFIX)
+    return name in _REWRITTEN_FIELDS or name.startswith(NODE_FIELD_PREFIX)
 
 
-def _told(request: Request) -> dict[str, str]:
-    """Returns the fields that decide on a call, by name in lower case."""
-    told: dict[str, str] = {}
+def _classifying_fields(request: Request) -> dict[str, str]:
+    """Returns the fields used for classification, by lower-case name."""
+    fields: dict[str, str] = {}
     for field, value in request.headers:
         name = field.lower()
-        if name not in _DECIDING:
+        if name not in _CLASSIFYING_FIELDS:
             continue
-        if name in told:
+        if name in fields:
             raise CallRejectedError(f"expected {name} at most once, got more")
-        told[name] = value
-    return told
+        fields[name] = value
+    return fields
 
 
-def _service(request: Request, told: dict[str, str], index: ConfigIndex) -> str:
-    host = told.get("host", "")
+def _service(
+    request: Request, fields: dict[str, str], index: ConfigIndex
+) -> str:
+    host = fields.get("host", "")
     service = index.service_for(host, request.path)
     if service is None:
         raise ServiceUnknownError(
@@ -208,37 +217,39 @@
 
 
 def _is_plain(path: str) -> bool:
-    """Returns whether a server reads `path` as it is written.
+    """Returns whether `path` is in normal form.
 
-    Dot segments and escapes could name another resource than the prefix that
-    the rules call idempotent.
+    A path with dot segments or escapes could denote a resource outside of the
+    prefix that the rules declare idempotent.
     """
     if "%" in path or "\\" in path or "//" in path:
         return False
     return not any(part in (".", "..") for part in path.split("/"))
 
 
-def _timeout_ms(told: dict[str, str], rules: ServiceRules) -> int:
-    asked = _whole_number(told, TIMEOUT_FIELD, 1, None)
-    return min(asked or rules.deadline_ms, rules.max_deadline_ms)
+def _timeout_ms(fields: dict[str, str], rules: ServiceRules) -> int:
+    requested = _int_field(fields, TIMEOUT_FIELD, 1, None)
+    return min(requested or rules.deadline_ms, rules.max_deadline_ms)
 
 
-def _text(told: dict[str, str], name: str, most: int) -> str | None:
-    text = told.get(name)
+def _text_field(
+    fields: dict[str, str], name: str, max_chars: int
+) -> str | None:
+    text = fields.get(name)
     if text is None:
         return None
-    if not 0 < len(text) <= most or not text.isprintable():
+    if not 0 < len(text) <= max_chars or not text.isprintable():
         raise CallRejectedError(
-            f"expected {name} of 1 to {most} printable characters, got "
+            f"expected {name} of 1 to {max_chars} printable characters, got "
             f"{text[:40]!r} of {len(text)} characters"
         )
     return text
 
 
-def _whole_number(
-    told: dict[str, str], name: str, least: int, most: int | None
+def _int_field(
+    fields: dict[str, str], name: str, min_value: int, max_value: int | None
 ) -> int | None:
-    text = told.get(name)
+    text = fields.get(name)
     if text is None:
         return None
     if not text.isascii() or not text.isdigit() or len(text) > 9:
@@ -246,7 +257,11 @@
             f"expected {name} as a whole number, got {text[:40]!r}"
         )
     value = int(text)
-    if value < least or (most is not None and value > most):
-        limits = f">= {least}" if most is None else f"{least} to {most}"
+    if value < min_value or (max_value is not None and value > max_value):
+        limits = (
+            f">= {min_value}"
+            if max_value is None
+            else f"{min_value} to {max_value}"
+        )
         raise CallRejectedError(f"expected {name} {limits}, got {value}")
     return value
--- a/src/radishwind/entry/routed_classifier.py
+++ b/src/radishwind/entry/routed_classifier.py
@@ -1,4 +1,4 @@
-"""Classifies requests by the routes in force."""
+"""Classifies requests by the current route configuration."""
 
 from collections.abc import Callable
 
@@ -21,26 +21,27 @@
 from radishwind.routes.in_force import RoutesInForce
 from radishwind.routes.model import Route
 
-#: Where no deadline is told as time of day: it may jump, so none hangs on it.
+#: `Call.expires_ms` of routed calls, which have no wall-clock deadline: the
+#: wall clock may jump, so that no deadline must depend on it.
 NO_WALL_DEADLINE_MS = 2**52
 
 
 class RoutesUnknownError(CallRejectedError):
-    """This node knows no configuration yet."""
+    """This node has received no route configuration yet."""
 
     code = ResultCode.ROUTES_UNKNOWN
 
 
 class CallerFields(msgspec.Struct, frozen=True):
-    """What a caller tells of its request in header fields, decoded.
+    """The decoded header fields of a caller's request.
 
     Attributes:
-      request_id: names this sending, unique.
-      timeout_ms: how long the caller waits (ms); `None` if it does not tell.
-      host: the host it asks for, lower case, without port.
-      headers: the fields that go on to the backend server.
-      keys: the keys that it carries, read only where there are accounts; an
-        empty text for one that is malformed.
+      request_id: unique id of this sending of the request.
+      timeout_ms: how long the caller waits (ms); `None` if it is not stated.
+      host: the requested host in lower case, without port.
+      headers: the fields that are forwarded to the backend server.
+      keys: the API keys of the request, read only if there are accounts; an
+        empty text for a malformed one.
     """
 
     request_id: str
@@ -51,7 +52,7 @@
 
 
 class RoutedClassifier(Classifier):
-    """Finds the route of a request and takes its treatment from there."""
+    """Classifies a request by the route that it matches."""
 
     def __init__(
         self,
@@ -60,36 +61,36 @@
         routes: RoutesInForce,
         rules: ServiceRules,
         decode_fields: Callable[[Headers], CallerFields],
-        work_s: Callable[[str], float],
+        normal_run_s: Callable[[str], float],
         keys: KeyAuthenticator,
         with_account: Callable[[Headers, str], Headers],
         retry_ages: RetryAgeEstimator | None = None,
         fan_outs: FanOutDetector | None = None,
         nested_routes: NestedRouteDetector | None = None,
     ) -> None:
-        """Makes a classifier.
+        """Creates a classifier.
 
         Args:
           clock: the clock.
-          routes: the routes in force.
-          rules: of every service, where its routes don't say.
-          decode_fields: decodes what a caller tells in header fields.
-          work_s: returns the usual run time of a route (s).
-          keys: finds the account of a request.
-          with_account: returns header fields that tell a backend server the
-            name of an account beside those given.
-          retry_ages: tells how long ago a caller first asked; by default each
-            request counts as its caller's first.
-          fan_outs: draws lots for those that belong together; by default none
-            do.
-          nested_routes: tells calls of the server beside from requests of
-            callers; by default none count as such.
+          routes: the current route configuration.
+          rules: the rules of every service, for what its routes don't set.
+          decode_fields: decodes the header fields of a caller.
+          normal_run_s: returns the run time of a route at a server of normal
+            speed (s).
+          keys: authenticates requests.
+          with_account: returns the given header fields and one with the name
+            of an account, for the backend server.
+          retry_ages: estimates how long ago a caller first sent a request; by
+            default each request counts as the first.
+          fan_outs: detects calls of one fan-out; by default there are none.
+          nested_routes: detects calls of the local backend server; by default
+            all requests count as requests of external callers.
         """
         self._clock = clock
         self._routes = routes
         self._rules = rules
         self._decode_fields = decode_fields
-        self._work_s = work_s
+        self._normal_run_s = normal_run_s
         self._keys = keys
         self._with_account = with_account
         self._retry_ages = retry_ages
@@ -97,63 +98,67 @@
         self._nested_routes = nested_routes
 
     def is_idempotent(self, request: Request) -> bool:
-        """Returns whether a route takes `request` and lets it run twice.
+        """Returns whether `request` matches an idempotent route.
 
-        Asked of pipelined requests only; one that is malformed waits for its
-        turn, where it is refused.
+        Used for pipelined requests only. Returns `False` for a malformed
+        request, which is then rejected when its turn comes.
         """
         try:
-            told = self._decode_fields(request.headers)
+            fields = self._decode_fields(request.headers)
         except CallRejectedError:
             return False
         if self._routes.cfg is None:
             return False
-        route = self._routes.table.match(told.host, request.path)
+        route = self._routes.table.match(fields.host, request.path)
         return route is not None and route.idempotent
 
     def classify(self, request: Request) -> Call:
-        told = self._decode_fields(request.headers)
+        fields = self._decode_fields(request.headers)
         try:
-            return self._classified(request, told)
+            return self._classify(request, fields)
         except CallRejectedError as exc:
-            exc.call_id = told.request_id
+            exc.call_id = fields.request_id
             raise
 
-    def _classified(self, request: Request, told: CallerFields) -> Call:
-        """Returns the call of a `request` that told what is read.
+    def _classify(self, request: Request, fields: CallerFields) -> Call:
+        """Returns the call of `request`, whose header fields are `fields`.
 
         Raises:
-          CallRejectedError: it has no route, or no key that it needs.
+          CallRejectedError: it matches no route, or lacks a required key.
         """
         if self._routes.cfg is None:
-            raise RoutesUnknownError("expected a configuration, got none yet")
-        route = self._routes.table.match(told.host, request.path)
+            raise RoutesUnknownError(
+                "expected a route configuration, got none yet"
+            )
+        route = self._routes.table.match(fields.host, request.path)
         if route is None:
             raise ServiceUnknownError(
                 f"expected a host and path of a route of version "
-                f"{self._routes.version}, got host {told.host[:80]!r} and "
+                f"{self._routes.version}, got host {fields.host[:80]!r} and "
                 f"path {request.path[:80]!r}"
             )
         now = self._clock.monotonic()
-        account = self._account(told, route, now)
+        account = self._account(fields, route, now)
         timeout_s = route.timeout_s
         age_s = group_rank = 0.0
-        if told.timeout_ms is not None:
-            told_s = told.timeout_ms / 1000
-            timeout_s = min(timeout_s, told_s)
+        if fields.timeout_ms is not None:
+            stated_timeout_s = fields.timeout_ms / 1000
+            timeout_s = min(timeout_s, stated_timeout_s)
             if self._retry_ages is not None:
-                age_s = self._retry_ages.age_s(route.name, told_s, now)
+                age_s = self._retry_ages.age_s(
+                    route.name, stated_timeout_s, now
+                )
             if self._fan_outs is not None:
                 group_rank = self._fan_outs.group_rank(
-                    route.name, told.timeout_ms, now
+                    route.name, fields.timeout_ms, now
                 )
-        headers, priority = told.headers, route.priority
+        headers, priority = fields.headers, route.priority
         if account is not None:
             headers = self._with_account(headers, account.name)
             if account.priority is not None:
                 priority = account.priority
         return Call(
-            call_id=told.request_id,
+            call_id=fields.request_id,
             service=self._routes.table.service_of(route),
             request=msgspec.structs.replace(request, headers=headers),
             rules=self._rules,
@@ -167,28 +172,37 @@
             max_server_attempts=route.attempts,
             route=route.name,
             regions=route.regions,
-            work_s=self._work_s(route.name),
+            normal_run_s=self._normal_run_s(route.name),
             group_rank=group_rank,
             account=account.name if account else "",
-            is_external=self._is_callers(route, account),
+            is_external=self._is_external(route, account),
         )
 
     def _depth(self, route: Route, account: Account | None, now: float) -> int:
-        """Returns 1 for a call of the server beside, which carries no key."""
+        """Returns 1 for a call of the local backend server, else 0.
+
+        Calls of the backend server carry no key.
+        """
         if self._nested_routes is None or account is not None:
             return 0
         return int(self._nested_routes.observe(route.name, now))
 
-    def _is_callers(self, route: Route, account: Account | None) -> bool:
-        """Returns whether a caller surely sent a request of `route`."""
+    def _is_external(self, route: Route, account: Account | None) -> bool:
+        """Returns whether a request is known to be of an external caller."""
         if self._nested_routes is None or account is not None:
             return True
         return self._nested_routes.is_external(route.name)
 
     def _account(
-        self, told: CallerFields, route: Route, now: float
+        self, fields: CallerFields, route: Route, now: float
     ) -> Account | None:
-        """Returns whose request it is; `None` where there are no accounts."""
+        """Returns the account of a request; `None` if there are no accounts.
+
+        Raises:
+          CallRejectedError: the request lacks a required key.
+        """
         if not self._keys.in_use:
             return None
-        return self._keys.authenticate(told.keys, public=route.public, now=now)
+        return self._keys.authenticate(
+            fields.keys, public=route.public, now=now
+        )
--- a/src/radishwind/entry/tests/test_key_authenticator.py
+++ b/src/radishwind/entry/tests/test_key_authenticator.py
@@ -136,7 +136,7 @@
                 decode_fields=lambda headers: read_caller(
                     headers, "own", accounts=self.keys.in_use
                 ),
-                work_s=lambda name: 0.0,
+                normal_run_s=lambda name: 0.0,
                 keys=self.keys,
                 with_account=with_account,
             ),
--- a/src/radishwind/peers/attempts.py
+++ b/src/radishwind/peers/attempts.py
@@ -178,7 +178,7 @@
         call.suspect,
         _aim_ms(call, remaining_s),
         call.priority,
-        round(call.work_s * 1000),
+        round(call.normal_run_s * 1000),
         round(call.group_rank, 3),
         call.route,
         call.account,
--- a/src/radishwind/peers/listener.py
+++ b/src/radishwind/peers/listener.py
@@ -309,7 +309,7 @@
             suspect=info.suspect,
             aim=self._aim(info),
             priority=info.priority,
-            work_s=info.work_ms / 1000,
+            normal_run_s=info.work_ms / 1000,
             group_rank=min(0.5, max(-0.5, info.lot)),
             route=info.route,
             account=info.account,
--- a/src/radishwind/sidecar/entry_side.py
+++ b/src/radishwind/sidecar/entry_side.py
@@ -128,7 +128,7 @@
             routes=routes,
             rules=ServiceRules(),
             decode_fields=self._read,
-            work_s=self.chooser.work_s,
+            normal_run_s=self.chooser.work_s,
             keys=self.keys,
             with_account=with_account,
             retry_ages=RetryAgeEstimator() if switches.returns else None,
--- a/src/radishwind/target/pipeline.py
+++ b/src/radishwind/target/pipeline.py
@@ -176,7 +176,7 @@
             alone,
             call.aim,
             call.priority,
-            call.work_s,
+            call.normal_run_s,
             call.group_rank,
             *self._expected_run(call),
             nested=call.depth > 0,
@@ -234,7 +234,7 @@
             if _ran_well(outcome):
                 took_s = self._clock.monotonic() - began
                 run.work_s = took_s / factor
-                self._ran(Run(begun_with, call.work_s * factor, took_s))
+                self._ran(Run(begun_with, call.normal_run_s * factor, took_s))
             self._learn_run(call, outcome, began)
             self._ended(ticket, outcome, began)
 
