--- a/src/radishwind/sidecar/habits.py
+++ b/src/radishwind/sidecar/habits.py
@@ -23,8 +23,8 @@
 from radishwind.store.base import Store
 from radishwind.store.base import StoreError
 from radishwind.target.change_grid import ChangeGrid
-from radishwind.target.change_grid import LONGEST_S
-from radishwind.target.change_grid import SHORTEST_S
+from radishwind.target.change_grid import MAX_INTERVAL_S
+from radishwind.target.change_grid import MIN_INTERVAL_S
 from radishwind.target.load_monitor import LoadMonitor
 from radishwind.telemetry.logs import PartLogger
 
@@ -69,7 +69,7 @@
 
     part: Annotated[float, msgspec.Meta(gt=0, le=1)] = 1.0
     slower: Annotated[float, msgspec.Meta(ge=1, le=100)] = 1.0
-    period_s: Annotated[float, msgspec.Meta(ge=0, le=LONGEST_S)] = 0.0
+    period_s: Annotated[float, msgspec.Meta(ge=0, le=MAX_INTERVAL_S)] = 0.0
 
     @property
     def knee(self) -> Knee | None:
@@ -92,7 +92,7 @@
         record = msgspec.json.decode(value, type=HabitRecord)
     except (msgspec.MsgspecError, ValueError):
         return None
-    if 0 < record.period_s < SHORTEST_S:
+    if 0 < record.period_s < MIN_INTERVAL_S:
         return None
     return record
 
@@ -129,7 +129,9 @@
         period_s = self.spells.interval_s
         if not period_s and not self.spells.is_expected_refuted:
             period_s = kept.period_s
-        return HabitRecord(part, max(1.0, slower), min(LONGEST_S, period_s))
+        return HabitRecord(
+            part, max(1.0, slower), min(MAX_INTERVAL_S, period_s)
+        )
 
 
 class HabitKeeper:
