--- a/bench/data_path.py
+++ b/bench/data_path.py
@@ -46,7 +46,7 @@
 from radishwind.retries import BudgetedRetryPolicy
 from radishwind.routing import make_chooser
 from radishwind.routing import RoutingPolicy
-from radishwind.routing.placement import Anywhere
+from radishwind.routing.placement import UnrestrictedPlacement
 from radishwind.target import BackendServer
 from radishwind.target import ExchangeRecorder
 from radishwind.target import TargetPipeline
@@ -134,7 +134,7 @@
             rng=rng,
             index=lambda: index,
         ),
-        placement=Anywhere(FixedDirectory(*members)),
+        placement=UnrestrictedPlacement(FixedDirectory(*members)),
         chooser=make_chooser(
             RoutingPolicy.BALANCED,
             rng,
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -88,8 +88,8 @@
     """Uses every target once, so that each has what state it gets."""
     for member in members:
         chooser.choose((member,), now)
-        chooser.started(member.name, now)
-        chooser.finished(member.name, now, 0.005, _DONE, _LOAD)
+        chooser.attempt_started(member.name, now)
+        chooser.attempt_finished(member.name, now, 0.005, _DONE, _LOAD)
 
 
 def _bytes_per_target(policy: RoutingPolicy, seed: int, targets: int) -> float:
@@ -151,8 +151,8 @@
 
     def _keep_books(self, now: float) -> None:
         name = self._picked[int(now * 1000) % len(self._picked)]
-        self._chooser.started(name, now)
-        self._chooser.finished(name, now + 0.005, 0.005, _DONE, _LOAD)
+        self._chooser.attempt_started(name, now)
+        self._chooser.attempt_finished(name, now + 0.005, 0.005, _DONE, _LOAD)
 
 
 def measure(policy: RoutingPolicy, seed: int) -> list[Row]:
--- a/bench/peer_security.py
+++ b/bench/peer_security.py
@@ -18,9 +18,9 @@
 from radishwind.core.clock import SystemClock
 from radishwind.http import Address
 from radishwind.http import HttpLibrary
-from radishwind.loads.message import decode
-from radishwind.loads.message import encode
-from radishwind.loads.message import LoadMessage
+from radishwind.loads.load_message import decode
+from radishwind.loads.load_message import encode
+from radishwind.loads.load_message import LoadMessage
 from radishwind.peers.datagrams import Channel
 from radishwind.peers.datagrams import PeerSocket
 from radishwind.peers.fleet_security import FleetDatagrams
--- a/bench/queues.py
+++ b/bench/queues.py
@@ -148,7 +148,7 @@
         if self.held is None or now - self.held_since >= self.hold_s:
             waiting = sum(not a.ended for a in self.waiting)
             self.held = LoadReport(
-                SLOTS, self.running, waiting, 10.0, warm=self.warm(now)
+                SLOTS, self.running, waiting, 10.0, warm_fraction=self.warm(now)
             )
             self.held_since = now
         return self.held
@@ -244,7 +244,7 @@
             return
         opened.tried |= {member.name}
         opened.attempts += 1
-        entry.chooser.started(member.name, self._now)
+        entry.chooser.attempt_started(member.name, self._now)
         attempt = Attempt(opened, member, self._now, _way_s(entry, member))
         opened.open.append(attempt)
         self._at(attempt.way_s, lambda: self._offer(attempt))
@@ -318,7 +318,7 @@
         entry, now = attempt.call.entry, self._now
         elapsed_s = now - attempt.began
         name = attempt.member.name
-        entry.chooser.finished(name, now, elapsed_s, outcome, load)
+        entry.chooser.attempt_finished(name, now, elapsed_s, outcome, load)
         entry.hedges.finished(attempt.call.call, now, elapsed_s, outcome, load)
 
     def _close(self, opened: OpenCall, outcome: Outcome) -> None:
--- a/src/radishwind/entry/call_executor.py
+++ b/src/radishwind/entry/call_executor.py
@@ -164,9 +164,9 @@
         self.counts.attempts += 1
         began = self._clock.monotonic()
         attempt_id = history.next_attempt(member.name, began)
-        inputs = self._chooser.inputs(member, began, call.route)
+        inputs = self._chooser.describe_cost(member, began, call.route)
         expected_s = self._chooser.expected_s(member, began, call.route)
-        self._chooser.started(member.name, began, expected_s)
+        self._chooser.attempt_started(member.name, began, expected_s)
         outcome, load = None, None
         if history.reached > 1:
             call = dataclasses.replace(call, is_retry=True)
@@ -176,7 +176,7 @@
         finally:
             now = self._clock.monotonic()
             elapsed_s = now - began
-            self._chooser.finished(
+            self._chooser.attempt_finished(
                 member.name, now, elapsed_s, outcome, load, call.route
             )
             self._hedges.finished(call, now, elapsed_s, outcome, load)
--- a/src/radishwind/entry/load_shedder.py
+++ b/src/radishwind/entry/load_shedder.py
@@ -88,5 +88,5 @@
         """
         if call.depth:
             return NESTED_PART * (call.deadline - now)
-        most_s = max(call.aim - now, self._chooser.usual_s(call.route))
+        most_s = max(call.aim - now, self._chooser.mean_run_s(call.route))
         return most_s + max(0.0, MOST_LATE_S - RANK_STEP_S * call.priority)
--- a/src/radishwind/entry/tests/test_call_executor.py
+++ b/src/radishwind/entry/tests/test_call_executor.py
@@ -27,7 +27,7 @@
 from radishwind.outcomes import Unknown
 from radishwind.retries import CappedRetryPolicy
 from radishwind.routing.baselines import RoundRobin
-from radishwind.routing.placement import Anywhere
+from radishwind.routing.placement import UnrestrictedPlacement
 
 pytestmark = pytest.mark.anyio
 
@@ -112,7 +112,7 @@
                 rng=random.Random(1),
                 index=lambda: INDEX,
             ),
-            placement=Anywhere(ListedDirectory(targets)),
+            placement=UnrestrictedPlacement(ListedDirectory(targets)),
             chooser=self.chooser,
             retries=CappedRetryPolicy(),
             runner=self.runner,
--- a/src/radishwind/entry/tests/test_key_authenticator.py
+++ b/src/radishwind/entry/tests/test_key_authenticator.py
@@ -35,7 +35,7 @@
 from radishwind.routes import RouteConfig
 from radishwind.routes import RoutesInForce
 from radishwind.routing.baselines import RandomChooser
-from radishwind.routing.placement import Anywhere
+from radishwind.routing.placement import UnrestrictedPlacement
 
 A = Account("a", (digest_key("key-of-a"),), priority=0)
 B = Account("b", (digest_key("key-of-b"),))
@@ -140,7 +140,7 @@
                 keys=self.keys,
                 with_account=with_account,
             ),
-            placement=Anywhere(One()),
+            placement=UnrestrictedPlacement(One()),
             chooser=RandomChooser(random.Random(1)),
             retries=CappedRetryPolicy(),
             runner=self.server,
--- a/src/radishwind/entry/tests/test_load_shedder.py
+++ b/src/radishwind/entry/tests/test_load_shedder.py
@@ -22,16 +22,16 @@
     def choose(self, members, now, exclude=frozenset(), work="", aim=0.0):
         return members[0]
 
-    def started(self, name, now, expected_s=0.0):
+    def attempt_started(self, name, now, expected_s=0.0):
         pass
 
-    def finished(self, name, now, elapsed_s, outcome, load, work=""):
+    def attempt_finished(self, name, now, elapsed_s, outcome, load, work=""):
         pass
 
     def expected_s(self, member, now, work):
         return self._expected_s
 
-    def usual_s(self, work):
+    def mean_run_s(self, work):
         return self._usual_s
 
 
--- a/src/radishwind/entry/tests/test_not_run_is_true.py
+++ b/src/radishwind/entry/tests/test_not_run_is_true.py
@@ -20,7 +20,7 @@
 from radishwind.outcomes import Unknown
 from radishwind.retries import CappedRetryPolicy
 from radishwind.routing.baselines import RandomChooser
-from radishwind.routing.placement import Anywhere
+from radishwind.routing.placement import UnrestrictedPlacement
 
 BROKEN = Unknown(ResultCode.EXCHANGE_BROKEN, "broken")
 REFUSED = NotRun(ResultCode.OVERLOADED, "full")
@@ -58,7 +58,7 @@
 async def test_what_may_have_run_once_is_not_told_as_not_run(outcomes, told):
     attempts = CallExecutor(
         clock=ManualClock(),
-        placement=Anywhere(Three()),
+        placement=UnrestrictedPlacement(Three()),
         chooser=RandomChooser(random.Random(1)),
         retries=CappedRetryPolicy(),
         hedges=NoHedging(),
--- a/src/radishwind/experiment/nodes.py
+++ b/src/radishwind/experiment/nodes.py
@@ -14,7 +14,7 @@
 from radishwind.http.types import Address
 from radishwind.http.types import Request
 from radishwind.http.types import Response
-from radishwind.loads.teller import LoadTeller
+from radishwind.loads.report_scheduler import ReportScheduler
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
 from radishwind.membership.rumors import SilentBoard
@@ -178,7 +178,7 @@
         self._others = tuple(others)
         self._clock = clock
         self._tasks = tasks
-        self._teller = LoadTeller()
+        self._teller = ReportScheduler()
         self._order = 0
         self._start = int(clock.monotonic() * 1000)
         self._over = False
@@ -211,7 +211,7 @@
     ) -> None:
         await anyio.sleep(way_s)
         now = self._clock.monotonic()
-        other.entry.chooser.told(
+        other.entry.chooser.receive_report(
             self._node.name, report, self._start, order, now
         )
 
--- a/src/radishwind/loads/__init__.py
+++ b/src/radishwind/loads/__init__.py
@@ -1,12 +1,12 @@
-"""Telling the load of the own target to the nodes that choose by it.
+"""Advertises the load of the own target to the nodes that route by it.
 
-`LoadTeller` decides what is worth telling, `Audience` to whom, `LoadChannel`
-sends and receives the datagrams.
+`ReportScheduler` decides when a report is due, `ReportRecipients` which nodes
+receive it, and `LoadChannel` sends and receives the datagrams.
 """
 
-from radishwind.loads.audience import Audience
-from radishwind.loads.message import LoadMessage
-from radishwind.loads.sockets import LoadChannel
-from radishwind.loads.teller import LoadTeller
+from radishwind.loads.load_channel import LoadChannel
+from radishwind.loads.load_message import LoadMessage
+from radishwind.loads.report_recipients import ReportRecipients
+from radishwind.loads.report_scheduler import ReportScheduler
 
-__all__ = ["Audience", "LoadChannel", "LoadMessage", "LoadTeller"]
+__all__ = ["LoadChannel", "LoadMessage", "ReportRecipients", "ReportScheduler"]
--- a/src/radishwind/loads/link_room.py
+++ b/src/radishwind/loads/link_admission.py
@@ -8,10 +8,10 @@
 
 from radishwind.core.clock import Clock
 from radishwind.core.codes import ResultCode
-from radishwind.loads.link import LinkMeter
+from radishwind.loads.link_meter import LinkMeter
 from radishwind.outcomes import NotRun
 from radishwind.routing.chooser import LoadReport
-from radishwind.routing.sizes import RouteSizes
+from radishwind.routing.route_sizes import RouteSizes
 from radishwind.telemetry.logs import PartLogger
 
 #: The longest that answers may queue at the link (s).
@@ -24,7 +24,7 @@
 _LEAST_RETRY_S = 0.05
 
 
-class LinkRoom:
+class LinkAdmission:
     """What attempts in progress will put on the link.
 
     Attributes:
@@ -50,7 +50,7 @@
         self._in_progress = 0
         self.refused = 0
 
-    def begin(self, route: str, load: LoadReport) -> int | NotRun:
+    def admit(self, route: str, load: LoadReport) -> int | NotRun:
         """Takes an attempt.
 
         Args:
@@ -64,7 +64,7 @@
         size = int(self.sizes.answer_bytes(route))
         queue_s = self._queue_s(load)
         # One that would wait for nothing but itself is taken, however long.
-        wait_s = queue_s + self._meter.time_s(size) - MOST_QUEUE_S
+        wait_s = queue_s + self._meter.transmission_s(size) - MOST_QUEUE_S
         if queue_s and wait_s > 0 and not self._is_short(size):
             self.refused += 1
             self._log.info(
@@ -83,7 +83,7 @@
         self._in_progress += 1
         return size
 
-    def end(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """Takes that an attempt was answered; see `begin`.
 
         Args:
@@ -104,4 +104,4 @@
 
     def _is_short(self, size: int) -> bool:
         """Returns whether an answer takes next to nothing of the link."""
-        return self._meter.time_s(size) < SHORT_S
+        return self._meter.transmission_s(size) < SHORT_S
--- a/src/radishwind/loads/link.py
+++ b/src/radishwind/loads/link_meter.py
@@ -47,7 +47,7 @@
     def sent(self, size: int) -> None:
         self._follow()
         self._sent[self._step % STEPS] += size
-        self._queue_s = self._left_s() + self.time_s(size)
+        self._queue_s = self._left_s() + self.transmission_s(size)
         self._queued_at = self._clock.monotonic()
         self.sent_bytes += size
 
@@ -56,27 +56,27 @@
         self._received[self._step % STEPS] += size
         self.received_bytes += size
 
-    def use(self) -> float:
+    def utilization(self) -> float:
         """Returns the part of the link used in a second; 0 if not known."""
         self._follow()
         size = max(sum(self._sent), sum(self._received))
-        return min(1.0, self.time_s(size) / (STEP_S * STEPS))
+        return min(1.0, self.transmission_s(size) / (STEP_S * STEPS))
 
-    def use_now(self) -> float:
+    def recent_utilization(self) -> float:
         """Returns the part used in the last whole step; 0 if not known."""
         self._follow()
         last = (self._step - 1) % STEPS
         size = max(self._sent[last], self._received[last])
-        return min(1.0, self.time_s(size) / STEP_S)
+        return min(1.0, self.transmission_s(size) / STEP_S)
 
     def free_kbps(self) -> int:
         """Returns what the link has left (kbit/s); 0 if not known."""
         if not self._mbps:
             return 0
-        free = max(LEAST_FREE_PART, 1 - self.use())
+        free = max(LEAST_FREE_PART, 1 - self.utilization())
         return max(1, int(free * self._mbps * _KBIT_PER_MBIT))
 
-    def time_s(self, size: int) -> float:
+    def transmission_s(self, size: int) -> float:
         """Returns how long the link takes for `size` bytes (s)."""
         if not self._mbps:
             return 0.0
@@ -88,7 +88,7 @@
         Args:
           expected_bytes: what will come beside what was sent (bytes).
         """
-        return self._left_s() + self.time_s(expected_bytes)
+        return self._left_s() + self.transmission_s(expected_bytes)
 
     def _left_s(self) -> float:
         return max(
--- a/src/radishwind/loads/sockets.py
+++ b/src/radishwind/loads/load_channel.py
@@ -5,9 +5,9 @@
 from typing import TypeAlias
 
 from radishwind.http.types import Address
-from radishwind.loads.message import decode
-from radishwind.loads.message import encode
-from radishwind.loads.message import LoadMessage
+from radishwind.loads.load_message import decode
+from radishwind.loads.load_message import encode
+from radishwind.loads.load_message import LoadMessage
 from radishwind.peers.datagrams import Channel
 from radishwind.peers.datagrams import PeerSocket
 
@@ -23,7 +23,7 @@
         self._listener = listener
         socket.add(Channel.LOADS, self._received)
 
-    def tell(self, message: LoadMessage, peers: Iterable[Address]) -> None:
+    def send(self, message: LoadMessage, peers: Iterable[Address]) -> None:
         """Sends `message` to each of `peers`."""
         self._socket.send(Channel.LOADS, encode(message), peers)
 
--- a/src/radishwind/loads/message.py
+++ b/src/radishwind/loads/load_message.py
@@ -10,14 +10,14 @@
 
     Attributes:
       target: the name of the target.
-      start: names the start of the node, since `order` begins anew there.
-      order: grows with each message.
+      start_id: names the start of the node, since `sequence` begins anew there.
+      sequence: grows with each message.
       report: the load.
     """
 
     target: str
-    start: int
-    order: int
+    start_id: int
+    sequence: int
     report: LoadReport
 
 
@@ -27,7 +27,7 @@
 #: Figures of a report that are told in whole milliseconds.
 _TIMES = frozenset(
     LoadReport.__struct_fields__.index(name)
-    for name in ("service_ms", "spell_ms", "spell_left_ms")
+    for name in ("service_ms", "pace_interval_ms", "pace_interval_left_ms")
 )
 
 #: What each field is taken to be where an array ends before it.
@@ -50,7 +50,7 @@
         end -= 1
     figures = [_short(place, report[place]) for place in range(end)]
     return _encoder.encode(
-        (message.target, message.start, message.order, figures)
+        (message.target, message.start_id, message.sequence, figures)
     )
 
 
--- a/src/radishwind/loads/audience.py
+++ b/src/radishwind/loads/report_recipients.py
@@ -27,7 +27,7 @@
 MOST_ASKERS = 256
 
 
-class Audience:
+class ReportRecipients:
     """The nodes to be told: near ones, and those that sent work lately."""
 
     def __init__(self, node_name: str, failure_domain: str) -> None:
@@ -44,7 +44,7 @@
         # When work came last from a host (monotonic s), the oldest first.
         self._asked: dict[str, float] = {}
 
-    def follow(self, members: Iterable[Member]) -> None:
+    def set_members(self, members: Iterable[Member]) -> None:
         """Takes which nodes there are that may be told."""
         self._near.clear()
         self._far.clear()
@@ -55,37 +55,37 @@
             nodes = self._near if is_near else self._far
             nodes[member.address.host] = member.address
 
-    def asked_by(self, host: str, now: float) -> None:
+    def record_request_from(self, host: str, now: float) -> None:
         """Takes that the node at `host` sent work at `now` (monotonic s)."""
         self._asked.pop(host, None)
         self._asked[host] = now
         if len(self._asked) > MOST_ASKERS:
             del self._asked[next(iter(self._asked))]
 
-    def near(self, now: float) -> tuple[Address, ...]:
+    def local(self, now: float) -> tuple[Address, ...]:
         """Returns the nodes of the own failure domain to be told."""
-        if self.tells_all_near():
+        if self.reports_to_all_local():
             return tuple(self._near.values())
         return self._askers(self._near, now)
 
-    def far(self, now: float) -> tuple[Address, ...]:
+    def remote(self, now: float) -> tuple[Address, ...]:
         """Returns the nodes of other failure domains to be told."""
         if len(self._far) <= ALL_FAR:
             return tuple(self._far.values())
         return self._askers(self._far, now)
 
-    def tells_all_near(self) -> bool:
+    def reports_to_all_local(self) -> bool:
         """Returns whether every node of the own failure domain is told."""
         return len(self._near) <= ALL_NEAR
 
-    def tells_unasked(self, failure_domain: str) -> bool:
+    def reports_unsolicited(self, failure_domain: str) -> bool:
         """Returns whether nodes of a failure domain tell those of this one all.
 
         The nodes there know about as many others as this one does, so that
         their silence means something where this holds.
         """
         if failure_domain == self._failure_domain:
-            return self.tells_all_near()
+            return self.reports_to_all_local()
         return len(self._far) <= ALL_FAR
 
     def _askers(
--- a/src/radishwind/loads/teller.py
+++ b/src/radishwind/loads/report_scheduler.py
@@ -16,7 +16,7 @@
 PACE_FACTOR = 1.5
 
 
-class LoadTeller:
+class ReportScheduler:
     """Compares the load as it is with the one told last."""
 
     def __init__(self) -> None:
@@ -67,7 +67,10 @@
     ratio = report.pace / max(0.01, before.pace)
     if ratio >= PACE_FACTOR or ratio <= 1 / PACE_FACTOR:
         return True
-    if report.warm <= before.warm / 2 or before.warm <= report.warm / 2:
+    if (
+        report.warm_fraction <= before.warm_fraction / 2
+        or before.warm_fraction <= report.warm_fraction / 2
+    ):
         return True
     moved = abs(report.in_flight + report.queued - _busy(before))
     return moved >= max(2, report.slots)
--- a/src/radishwind/loads/tests/test_link_room.py
+++ b/src/radishwind/loads/tests/test_link_admission.py
@@ -4,12 +4,12 @@
 from hypothesis import strategies as st
 
 from radishwind.core.clock import ManualClock
-from radishwind.loads.link import LinkMeter
-from radishwind.loads.link_room import LinkRoom
-from radishwind.loads.link_room import MOST_QUEUE_S
+from radishwind.loads.link_admission import LinkAdmission
+from radishwind.loads.link_admission import MOST_QUEUE_S
+from radishwind.loads.link_meter import LinkMeter
 from radishwind.outcomes import NotRun
 from radishwind.routing.chooser import LoadReport
-from radishwind.routing.sizes import RouteSizes
+from radishwind.routing.route_sizes import RouteSizes
 
 MBPS = 5
 SMALL, LARGE = "small", "large"
@@ -27,14 +27,14 @@
         for route, size in BYTES.items():
             sizes.learn(route, 0, size)
         self.meter = LinkMeter(mbps, self.clock)
-        self.room = LinkRoom(self.meter, sizes, self.clock)
+        self.room = LinkAdmission(self.meter, sizes, self.clock)
         self.running = []
         self.taken = {SMALL: 0, LARGE: 0}
         self.refused = {SMALL: 0, LARGE: 0}
         self.longest_s = 0.0
 
     def ask(self, route):
-        size = self.room.begin(route, self.load)
+        size = self.room.admit(route, self.load)
         if isinstance(size, NotRun):
             self.refused[route] += 1
             return
@@ -48,7 +48,7 @@
             ends, size, answer = self.running.pop(0)
             self.clock.advance(max(0.0, ends - self.clock.monotonic()))
             self.meter.sent(answer)
-            self.room.end(size)
+            self.room.release(size)
             self.longest_s = max(self.longest_s, self.meter.queue_s())
         self.clock.advance(max(0.0, until - self.clock.monotonic()))
 
@@ -96,7 +96,7 @@
     node = Node()
     while not node.refused[LARGE]:
         node.ask(LARGE)
-    refusal = node.room.begin(LARGE, node.load)
+    refusal = node.room.admit(LARGE, node.load)
 
     assert 0 < refusal.retry_after_s < 1
 
@@ -114,7 +114,7 @@
         node.pass_s(pause_s)
     node.pass_s(1.0)
 
-    most_short_s = node.meter.time_s(BYTES[SMALL]) * node.taken[SMALL]
-    most_s = max(MOST_QUEUE_S, node.meter.time_s(BYTES[LARGE]))
+    most_short_s = node.meter.transmission_s(BYTES[SMALL]) * node.taken[SMALL]
+    most_s = max(MOST_QUEUE_S, node.meter.transmission_s(BYTES[LARGE]))
     assert node.longest_s <= most_s + most_short_s + 1e-9
     assert node.room.expected_bytes == 0
--- a/src/radishwind/loads/tests/test_message.py
+++ b/src/radishwind/loads/tests/test_load_message.py
@@ -4,9 +4,9 @@
 from hypothesis import strategies as st
 import msgspec
 
-from radishwind.loads.message import decode
-from radishwind.loads.message import encode
-from radishwind.loads.message import LoadMessage
+from radishwind.loads.load_message import decode
+from radishwind.loads.load_message import encode
+from radishwind.loads.load_message import LoadMessage
 from radishwind.routing.chooser import LoadReport
 
 USUAL = LoadReport(
@@ -20,14 +20,14 @@
     queued=st.integers(0, 1000),
     service_ms=st.floats(0, 1e6),
     leaving=st.booleans(),
-    warm=st.floats(0, 1),
+    warm_fraction=st.floats(0, 1),
     pace=st.floats(0.1, 50),
-    base=st.floats(0.1, 50),
-    spell_ms=st.floats(0, 1e5),
-    spell_left_ms=st.floats(0, 1e5),
-    work_ms=st.floats(0, 1e5),
-    starts_left=st.none() | st.integers(0, 100),
-    link_kbps=st.integers(0, 10**9),
+    base_pace=st.floats(0.1, 50),
+    pace_interval_ms=st.floats(0, 1e5),
+    pace_interval_left_ms=st.floats(0, 1e5),
+    normal_run_ms=st.floats(0, 1e5),
+    warmup_requests_left=st.none() | st.integers(0, 100),
+    link_free_kbps=st.integers(0, 10**9),
 )
 
 
@@ -37,7 +37,7 @@
 
     for name in LoadReport.__struct_fields__:
         told, got = getattr(report, name), getattr(read, name)
-        if name in ("service_ms", "spell_ms", "spell_left_ms"):
+        if name in ("service_ms", "pace_interval_ms", "pace_interval_left_ms"):
             assert abs(told - got) <= 0.5
         else:
             assert told == got
@@ -55,4 +55,4 @@
         ("t", 1, 2, [3, 2, 1, 90.5, False, 1.0, 1.0, 1.0, 0.0, 0.0, 0.0, None])
     )
 
-    assert decode(plain).report.link_kbps == 0
+    assert decode(plain).report.link_free_kbps == 0
--- a/src/radishwind/loads/tests/test_teller.py
+++ b/src/radishwind/loads/tests/test_report_scheduler.py
@@ -2,26 +2,26 @@
 
 import pytest
 
-from radishwind.loads.teller import LEAST_FAR_GAP_S
-from radishwind.loads.teller import LEAST_GAP_S
-from radishwind.loads.teller import LoadTeller
-from radishwind.loads.teller import PERIOD_S
+from radishwind.loads.report_scheduler import LEAST_FAR_GAP_S
+from radishwind.loads.report_scheduler import LEAST_GAP_S
+from radishwind.loads.report_scheduler import PERIOD_S
+from radishwind.loads.report_scheduler import ReportScheduler
 from radishwind.routing.chooser import LoadReport
 
 
-def report(pace=1.0, busy=0, leaving=False, warm=1.0):
-    return LoadReport(6, busy, 0, 90.0, leaving, warm, pace=pace)
+def report(pace=1.0, busy=0, leaving=False, warm_fraction=1.0):
+    return LoadReport(6, busy, 0, 90.0, leaving, warm_fraction, pace=pace)
 
 
 @pytest.fixture
 def teller():
-    made = LoadTeller()
+    made = ReportScheduler()
     made.due(report(), 0.0)
     return made
 
 
 def test_the_first_report_is_told_to_all():
-    assert LoadTeller().due(report(), 0.0) == (True, True)
+    assert ReportScheduler().due(report(), 0.0) == (True, True)
 
 
 def test_what_stays_the_same_is_told_once_a_period(teller):
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize(
-    "changed", [report(pace=5.0), report(busy=6), report(warm=0.4)]
+    "changed", [report(pace=5.0), report(busy=6), report(warm_fraction=0.4)]
 )
 def test_a_change_is_told_near_at_once_and_far_after_a_gap(teller, changed):
     assert teller.due(changed, LEAST_GAP_S) == (True, False)
--- a/src/radishwind/node/app.py
+++ b/src/radishwind/node/app.py
@@ -38,7 +38,7 @@
 from radishwind.peers.attempts import is_attempt
 from radishwind.quarantine.runner import CarefulRunner
 from radishwind.retries import BudgetedRetryPolicy
-from radishwind.routing.placement import Anywhere
+from radishwind.routing.placement import UnrestrictedPlacement
 from radishwind.settings import NodeSettings
 from radishwind.telemetry.logs import PartLogger
 
@@ -131,7 +131,7 @@
                 rng=self._rng,
                 index=lambda: self._index,
             ),
-            placement=Anywhere(self._membership.directory),
+            placement=UnrestrictedPlacement(self._membership.directory),
             chooser=node_chooser(
                 self._settings, self._rng, lambda: self._index, self._target
             ),
--- a/src/radishwind/peers/forward.py
+++ b/src/radishwind/peers/forward.py
@@ -23,7 +23,7 @@
 from radishwind.peers.client import CONNECT_TIMEOUT_S
 from radishwind.peers.signing import RequestSigner
 from radishwind.peers.traffic import PeerTraffic
-from radishwind.routing.sizes import RouteSizes
+from radishwind.routing.route_sizes import RouteSizes
 from radishwind.target.pipeline import TargetPipeline
 
 #: What the caller is told of a fault, at most.
--- a/src/radishwind/peers/listener.py
+++ b/src/radishwind/peers/listener.py
@@ -19,7 +19,7 @@
 from radishwind.http.types import Request
 from radishwind.http.types import Response
 from radishwind.http.types import whole_body
-from radishwind.loads.link_room import LinkRoom
+from radishwind.loads.link_admission import LinkAdmission
 from radishwind.outcomes import NotRun
 from radishwind.outcomes import Outcome
 from radishwind.outcomes import problem
@@ -90,8 +90,8 @@
         target: TargetPipeline,
         verifier: RequestVerifier | None = None,
         policy: AttemptPolicy | None = None,
-        asked_by: Callable[[str], None] | None = None,
-        link_room: LinkRoom | None = None,
+        record_request_from: Callable[[str], None] | None = None,
+        link_admission: LinkAdmission | None = None,
     ) -> None:
         """Wires the listener.
 
@@ -102,11 +102,13 @@
           target: runs the attempts.
           verifier: checks who sends; `None` where there is no key.
           policy: checks what an attempt claims; by default nothing.
-          asked_by: takes the host of each node that sends an attempt.
-          link_room: bounds what the link is to carry; by default nothing does.
+          record_request_from: takes the host of each node that sends an
+            attempt.
+          link_admission: bounds what the link is to carry; by default
+            nothing does.
         """
-        self._link_room = link_room
-        self._asked_by = asked_by or _forget_host
+        self._link_admission = link_admission
+        self._record_request_from = record_request_from or _forget_host
         self._node_name = node_name
         self._clock = clock
         self._rules_for = rules_for
@@ -165,24 +167,26 @@
             return with_answer(
                 info.attempt_id, outcome, self._target.load_report()
             )
-        self._asked_by(request.remote)
+        self._record_request_from(request.remote)
         call = self._call(info, request, others)
-        if self._link_room is None:
+        if self._link_admission is None:
             result = await self._target.run(call)
         else:
-            result = await self._run_within(self._link_room, call)
+            result = await self._run_within(self._link_admission, call)
         return with_answer(info.attempt_id, result.outcome, result.load)
 
-    async def _run_within(self, room: LinkRoom, call: Call) -> AttemptResult:
+    async def _run_within(
+        self, room: LinkAdmission, call: Call
+    ) -> AttemptResult:
         """Runs an attempt if the link has room for its answer."""
         load = self._target.load_report()
-        size = room.begin(call.route, load)
+        size = room.admit(call.route, load)
         if isinstance(size, NotRun):
             return AttemptResult(size, load)
         try:
             result = await self._target.run(call)
         finally:
-            room.end(size)
+            room.release(size)
         room.sizes.learn_from(call, result.outcome)
         return result
 
--- a/src/radishwind/platform/tests/test_foreign.py
+++ b/src/radishwind/platform/tests/test_foreign.py
@@ -14,7 +14,7 @@
 from radishwind.http.types import Address
 from radishwind.http.types import Request
 from radishwind.http.types import Response
-from radishwind.loads import message as load_message
+from radishwind.loads import load_message
 from radishwind.membership import contacts
 from radishwind.membership import messages
 from radishwind.peers.attempts import PeerMalformedError
--- a/src/radishwind/routing/__init__.py
+++ b/src/radishwind/routing/__init__.py
@@ -4,7 +4,7 @@
 `radishwind.routing.baselines` holds the simple ones it is measured against.
 """
 
-from radishwind.routing.balanced import BalancedChooser
+from radishwind.routing.balanced_chooser import BalancedChooser
 from radishwind.routing.chooser import LoadReport
 from radishwind.routing.chooser import TargetChooser
 from radishwind.routing.factory import make_chooser
--- a/src/radishwind/routing/balanced.py
+++ b/src/radishwind/routing/balanced_chooser.py
@@ -17,12 +17,12 @@
 from radishwind.outcomes.model import Done
 from radishwind.outcomes.model import NotRun
 from radishwind.outcomes.model import Outcome
+from radishwind.routing.candidate_sampler import CandidateSampler
 from radishwind.routing.chooser import LoadReport
 from radishwind.routing.chooser import TargetChooser
-from radishwind.routing.sample import Candidates
-from radishwind.routing.state import SPREAD
-from radishwind.routing.state import TargetState
-from radishwind.routing.state import TargetTable
+from radishwind.routing.target_state import SPREAD
+from radishwind.routing.target_state import TargetState
+from radishwind.routing.target_state import TargetTable
 
 #: What the exchange with another node's process adds (s).
 FORWARDING_S = 0.0005
@@ -99,7 +99,7 @@
         self._index = index
         self._own_load = own_load
         self._table = TargetTable()
-        self._services: dict[str, Candidates] = {}
+        self._services: dict[str, CandidateSampler] = {}
 
     @property
     def remembered(self) -> int:
@@ -130,15 +130,17 @@
         self._remember(best, service, now)
         return best
 
-    def started(self, name: str, now: float, expected_s: float = 0.0) -> None:
+    def attempt_started(
+        self, name: str, now: float, expected_s: float = 0.0
+    ) -> None:
         state = self._table.get(name)
         if state is None:
             # Not chosen here; nothing is known of its service.
-            state = TargetState(Candidates(), 0, 0.0, self._slots(name))
+            state = TargetState(CandidateSampler(), 0, 0.0, self._slots(name))
         state.begin(now)
         self._table.use(name, state, now)
 
-    def finished(
+    def attempt_finished(
         self,
         name: str,
         now: float,
@@ -160,7 +162,7 @@
         _learn(state, now, elapsed_s, outcome, load)
 
     def _least(
-        self, drawn: list[Member], service: Candidates, now: float
+        self, drawn: list[Member], service: CandidateSampler, now: float
     ) -> Member | None:
         """Returns the member of least cost, `None` if none takes work."""
         best: Member | None = None
@@ -186,7 +188,7 @@
         return best
 
     def _trial(
-        self, drawn: list[Member], service: Candidates, now: float
+        self, drawn: list[Member], service: CandidateSampler, now: float
     ) -> Member | None:
         """Returns a near member whose answer time is not known, if any."""
         most_s = FORWARDING_S + min(self._hop_s(m) for m in drawn)
@@ -199,7 +201,7 @@
         return None
 
     def _derive(
-        self, state: TargetState, member: Member, service: Candidates
+        self, state: TargetState, member: Member, service: CandidateSampler
     ) -> None:
         """Follows a change of the members or of the configuration."""
         state.service = service
@@ -207,7 +209,7 @@
         state.hop_s = self._hop_s(member)
 
     def _remember(
-        self, member: Member, service: Candidates, now: float
+        self, member: Member, service: CandidateSampler, now: float
     ) -> None:
         if self._table.get(member.name) is not None:
             return
@@ -227,12 +229,12 @@
         target = self._index().targets.get(name)
         return max(1, target.slots) if target else 1
 
-    def _candidates(self, members: Sequence[Member]) -> Candidates:
+    def _candidates(self, members: Sequence[Member]) -> CandidateSampler:
         """Returns what is derived from `members`, anew if they changed."""
         name = members[0].service
         service = self._services.get(name)
         if service is None:
-            service = self._services[name] = Candidates()
+            service = self._services[name] = CandidateSampler()
             if len(self._services) > MAX_SERVICES:
                 del self._services[next(iter(self._services))]
         if service.members is not members:
--- a/src/radishwind/routing/baselines.py
+++ b/src/radishwind/routing/baselines.py
@@ -34,10 +34,12 @@
     def _pick(self, fit: list[Member]) -> Member:
         """Returns one of `fit`, which is not empty."""
 
-    def started(self, name: str, now: float, expected_s: float = 0.0) -> None:
+    def attempt_started(
+        self, name: str, now: float, expected_s: float = 0.0
+    ) -> None:
         self._in_flight[name] += 1
 
-    def finished(
+    def attempt_finished(
         self,
         name: str,
         now: float,
--- a/src/radishwind/routing/sample.py
+++ b/src/radishwind/routing/candidate_sampler.py
@@ -14,7 +14,7 @@
 _FALLBACK_STEPS = 16
 
 
-class Candidates:
+class CandidateSampler:
     """The members of one service by distance, derived once per change.
 
     Attributes:
--- a/src/radishwind/routing/chooser.py
+++ b/src/radishwind/routing/chooser.py
@@ -11,30 +11,32 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, array_like=True):
-    """A target's load as its node saw it when it answered.
+    """The load of a target, as measured by its node.
 
-    It travels in a field of the answer, as a JSON array in this order.
+    Encoded as an array in this order: as JSON in a field of each answer, and
+    as MessagePack in load datagrams.
 
     Attributes:
-      slots: requests the server runs at once.
-      in_flight: requests running there.
+      slots: requests that the server runs at once.
+      in_flight: requests running at the server.
       queued: requests waiting for a slot.
-      service_ms: recent time a request runs (ms), smoothed.
-      leaving: whether the target takes no new work.
-      warm: 0 for a server just started to 1 for a warm one.
-      pace: how long work takes on that instance at this moment; 1 is as
-        usual.
-      base: the best pace there in the last spells; more than 1 for one that is
-        slow beyond its spells.
-      spell_ms: the pace changes at moments so far apart (ms); 0 where no such
-        moments are known.
-      spell_left_ms: time until the next such moment (ms).
-      work_ms: run time at the usual pace of the attempt that this report came
-        with (ms); 0 where it came with none that ran.
-      starts_left: requests that a cold server may still be sent just now;
-        `None` where nothing bounds it.
-      link_kbps: what the link of its node has left (kbit/s); 0 where that
-        isn't known.
+      service_ms: smoothed recent run time of a request (ms).
+      leaving: whether the target accepts no new requests.
+      warm_fraction: progress of slow start, from 0 for a server just started
+        to 1 for a warm one.
+      pace: run times at present relative to normal ones; 1 is normal, 2 is
+        twice as long.
+      base_pace: the lowest pace of the last intervals; more than 1 for an
+        instance that is slow also outside of slow intervals.
+      pace_interval_ms: time between the moments at which the pace may change
+        (ms); 0 if these aren't known.
+      pace_interval_left_ms: time until the next such moment (ms).
+      normal_run_ms: run time of the attempt that this report answers, scaled
+        to the normal pace (ms); 0 without such an attempt or if it didn't run.
+      warmup_requests_left: requests that a server in slow start may still be
+        sent now; `None` if not limited.
+      link_free_kbps: free capacity of the node's link (kbit/s); 0 if not
+        known.
     """
 
     slots: int
@@ -42,19 +44,22 @@
     queued: int
     service_ms: float
     leaving: bool = False
-    warm: float = 1.0
+    warm_fraction: float = 1.0
     pace: float = 1.0
-    base: float = 1.0
-    spell_ms: float = 0.0
-    spell_left_ms: float = 0.0
-    work_ms: float = 0.0
-    starts_left: int | None = None
-    link_kbps: int = 0
+    base_pace: float = 1.0
+    pace_interval_ms: float = 0.0
+    pace_interval_left_ms: float = 0.0
+    normal_run_ms: float = 0.0
+    warmup_requests_left: int | None = None
+    link_free_kbps: int = 0
 
     @property
-    def is_spent(self) -> bool:
-        """Whether a cold server takes no more just now."""
-        return self.starts_left is not None and self.starts_left <= 0
+    def is_warmup_exhausted(self) -> bool:
+        """Whether a server in slow start accepts no further requests now."""
+        return (
+            self.warmup_requests_left is not None
+            and self.warmup_requests_left <= 0
+        )
 
 
 class TargetChooser(abc.ABC):
@@ -83,12 +88,14 @@
           aim: when an answer stops earning its full worth (monotonic s).
         """
 
-    def inputs(self, member: Member, now: float, work: str = "") -> str:
+    def describe_cost(self, member: Member, now: float, work: str = "") -> str:
         """Returns what a choice of `member` is made of, for the log."""
         return ""
 
     @abc.abstractmethod
-    def started(self, name: str, now: float, expected_s: float = 0.0) -> None:
+    def attempt_started(
+        self, name: str, now: float, expected_s: float = 0.0
+    ) -> None:
         """Notes that an attempt at the target `name` began.
 
         Args:
@@ -107,7 +114,7 @@
         """
         return 0.0
 
-    def usual_s(self, work: str) -> float:
+    def mean_run_s(self, work: str) -> float:
         """Returns how long `work` takes where nothing waits (s); 0 if unknown.
 
         Args:
@@ -116,7 +123,7 @@
         return 0.0
 
     @abc.abstractmethod
-    def finished(
+    def attempt_finished(
         self,
         name: str,
         now: float,
@@ -130,7 +137,7 @@
         Args:
           name: the target.
           now: monotonic time (s).
-          elapsed_s: time since `started` (s).
+          elapsed_s: time since `attempt_started` (s).
           outcome: what became of it; `None` if it was cancelled by us.
           load: the target's report, where the answer carried one.
           work: the kind of work, as it was chosen for.
--- a/src/radishwind/routing/weights.py
+++ b/src/radishwind/routing/cost_weights.py
@@ -11,7 +11,7 @@
 #: of the bytes that cross, which outweighs the time: at 0.03, 0.06 and 0.1 the
 #: same day sent 8, 6 and 5 MB across, and lost nothing of its answers in time
 #: but at the last (credit 0.974, 0.972, 0.956).
-CROSSING_S = 0.05
+CROSS_DOMAIN_S = 0.05
 
 #: A target whose node has not told anything for so long (s) may be cut off;
 #: nodes tell at least once a second.
@@ -64,7 +64,7 @@
 #: it was sent in the last second counts, so one is free again soon.
 COLD_REST_S = 0.1
 
-#: Candidates weighed at most, of the own failure domain and of others; of
+#: CandidateSampler weighed at most, of the own failure domain and of others; of
 #: more, so many are drawn. Weighing one took 19 us in a profile of a node among
 #: 84, so that a choice stays below 0.5 ms; what fewer choices lose was not
 #: measured.
@@ -88,15 +88,15 @@
 COST_SPREAD = 0.05
 
 
-class ChoiceWeights(msgspec.Struct, frozen=True):
+class CostWeights(msgspec.Struct, frozen=True):
     """What counts in a choice.
 
     Attributes:
-      crossing_s: the way to another failure domain and back (s).
+      cross_domain_s: the way to another failure domain and back (s).
       failure_factor: usual run times that a failure counts for.
       slowness: weight of one answer in a target's own slowness.
     """
 
-    crossing_s: float = CROSSING_S
+    cross_domain_s: float = CROSS_DOMAIN_S
     failure_factor: float = FAILURE_FACTOR
     slowness: float = SLOWNESS_WEIGHT
--- a/src/radishwind/routing/factory.py
+++ b/src/radishwind/routing/factory.py
@@ -5,7 +5,7 @@
 import random
 
 from radishwind.config.index import ConfigIndex
-from radishwind.routing.balanced import BalancedChooser
+from radishwind.routing.balanced_chooser import BalancedChooser
 from radishwind.routing.baselines import FewestOwnRequests
 from radishwind.routing.baselines import RandomChooser
 from radishwind.routing.baselines import RoundRobin
--- a/src/radishwind/routing/ways.py
+++ b/src/radishwind/routing/path_costs.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from radishwind.routing.round_trips import RoundTrips
-from radishwind.routing.sizes import RouteSizes
-from radishwind.routing.weights import CROSSING_S
+from radishwind.routing.cost_weights import CROSS_DOMAIN_S
+from radishwind.routing.round_trip_times import RoundTripTimes
+from radishwind.routing.route_sizes import RouteSizes
 
 #: The least a link is taken to have left (kbit/s): one that is full gets free.
 LEAST_FREE_KBPS = 64
@@ -40,30 +40,33 @@
 _BITS_PER_KBIT = 1000
 
 
-class Way(msgspec.Struct, frozen=True):
-    """One way, as weighed.
+class PathCost(msgspec.Struct, frozen=True):
+    """The cost of the path to a target, for a typical exchange.
 
     Attributes:
-      time_s: there and back, for a message of no length (s).
-      carry_s: what the links take for a usual exchange (s). Not part of a
-        forecast: it is that of a mean use, which a link at rest betters.
-      weight_s: what its use of links counts for beside that (s).
+      round_trip_s: round-trip time of an empty message (s).
+      transmission_s: time to transmit the bodies at the free capacity of the
+        links (s). Not part of forecasts, since it assumes the mean utilization
+        and an idle link is faster.
+      penalty_s: further cost of the use of links (s).
     """
 
-    time_s: float = 0.0
-    carry_s: float = 0.0
-    weight_s: float = 0.0
+    round_trip_s: float = 0.0
+    transmission_s: float = 0.0
+    penalty_s: float = 0.0
 
 
 #: To the own target.
-NO_WAY = Way()
+NO_PATH_COST = PathCost()
 
 
-class WayCosts(abc.ABC):
+class PathCostModel(abc.ABC):
     """Says what the way to another node adds."""
 
     @abc.abstractmethod
-    def way(self, domain: str, free_kbps: int, route: str, now: float) -> Way:
+    def path_cost(
+        self, domain: str, free_kbps: int, route: str, now: float
+    ) -> PathCost:
         """Returns what a usual exchange of `route` takes.
 
         Args:
@@ -75,24 +78,28 @@
         """
 
 
-class FixedWays(WayCosts):
+class FixedPathCosts(PathCostModel):
     """The same for whatever crosses."""
 
-    def __init__(self, own_domain: str, crossing_s: float = CROSSING_S) -> None:
+    def __init__(
+        self, own_domain: str, cross_domain_s: float = CROSS_DOMAIN_S
+    ) -> None:
         """Takes what a way counts.
 
         Args:
           own_domain: the failure domain of this node.
-          crossing_s: the way to any other and back (s).
+          cross_domain_s: the way to any other and back (s).
         """
         self._own_domain = own_domain
-        self._far = Way(crossing_s)
+        self._far = PathCost(cross_domain_s)
 
-    def way(self, domain: str, free_kbps: int, route: str, now: float) -> Way:
-        return NO_WAY if domain == self._own_domain else self._far
+    def path_cost(
+        self, domain: str, free_kbps: int, route: str, now: float
+    ) -> PathCost:
+        return NO_PATH_COST if domain == self._own_domain else self._far
 
 
-class LinkWays(WayCosts):
+class LinkPathCosts(PathCostModel):
     """Weighs ways by the bytes of a route and what links have left.
 
     Without a link to go by, a way counts as a fixed one; without a fresh round
@@ -104,10 +111,10 @@
         *,
         own_domain: str,
         sizes: RouteSizes,
-        trips: RoundTrips,
+        trips: RoundTripTimes,
         own_free_kbps: Callable[[], int],
         aim_s: Callable[[str], float],
-        crossing_s: float = CROSSING_S,
+        cross_domain_s: float = CROSS_DOMAIN_S,
     ) -> None:
         """Wires the ways.
 
@@ -119,7 +126,7 @@
             it isn't known.
           aim_s: returns the time in which an answer of a route earns its full
             worth (s).
-          crossing_s: what the way to another failure domain and back counts
+          cross_domain_s: what the way to another failure domain and back counts
             for at least, whatever crosses (s).
         """
         self._own_domain = own_domain
@@ -127,11 +134,13 @@
         self._trips = trips
         self._own_free_kbps = own_free_kbps
         self._aim_s = aim_s
-        self._crossing_s = crossing_s
-        self._kept: dict[tuple[str, int, str], Way] = {}
+        self._crossing_s = cross_domain_s
+        self._kept: dict[tuple[str, int, str], PathCost] = {}
         self._kept_since = -math.inf
 
-    def way(self, domain: str, free_kbps: int, route: str, now: float) -> Way:
+    def path_cost(
+        self, domain: str, free_kbps: int, route: str, now: float
+    ) -> PathCost:
         # A choice asks for each candidate, and little changes between.
         if not 0 <= now - self._kept_since < KEPT_S:
             self._kept.clear()
@@ -144,14 +153,14 @@
 
     def _weighed(
         self, domain: str, free_kbps: int, route: str, now: float
-    ) -> Way:
+    ) -> PathCost:
         is_near = domain == self._own_domain
         there_s = counted_s = 0.0 if is_near else self._crossing_s
         own_kbps = self._own_free_kbps()
         if not own_kbps:
-            return Way(there_s)
+            return PathCost(there_s)
         if not is_near:
-            trip_s = self._trips.usual_s(domain, now)
+            trip_s = self._trips.mean_s(domain, now)
             there_s = counted_s if trip_s is None else trip_s
         most_s = MOST_PART * self._aim_s(route)
         kbps = max(LEAST_FREE_KBPS, min(own_kbps, free_kbps or own_kbps))
@@ -160,6 +169,6 @@
         # A body passes the links of a way piece by piece, so that they add up
         # in what they carry but not in its time.
         others = (NEAR_LINKS if is_near else FAR_LINKS) - 1
-        weight_s = min(most_s, others * bytes_s)
-        weight_s += max(0.0, counted_s - there_s)
-        return Way(there_s, min(most_s, bytes_s), weight_s)
+        penalty_s = min(most_s, others * bytes_s)
+        penalty_s += max(0.0, counted_s - there_s)
+        return PathCost(there_s, min(most_s, bytes_s), penalty_s)
--- a/src/radishwind/routing/placement.py
+++ b/src/radishwind/routing/placement.py
@@ -38,7 +38,7 @@
         )
 
 
-class Anywhere(Placement):
+class UnrestrictedPlacement(Placement):
     """All targets of the service."""
 
     def __init__(self, directory: Directory) -> None:
@@ -48,7 +48,7 @@
         return self._directory.of_service(call.service)
 
 
-class OpenDomains(Anywhere):
+class RestrictedPlacement(UnrestrictedPlacement):
     """Those outside of emptied failure domains, in the route's regions."""
 
     def __init__(
--- a/src/radishwind/routing/round_trips.py
+++ b/src/radishwind/routing/round_trip_times.py
@@ -18,13 +18,13 @@
     heard: float
 
 
-class RoundTrips:
+class RoundTripTimes:
     """Mean round trips by failure domain."""
 
     def __init__(self) -> None:
         self._means: dict[str, _Mean] = {}
 
-    def took(self, domain: str, trip_s: float, now: float) -> None:
+    def record(self, domain: str, trip_s: float, now: float) -> None:
         """Takes one round trip.
 
         Args:
@@ -41,14 +41,14 @@
         known.mean_s += WEIGHT * (trip_s - known.mean_s)
         known.heard = now
 
-    def usual_s(self, domain: str, now: float) -> float | None:
+    def mean_s(self, domain: str, now: float) -> float | None:
         """Returns the usual round trip (s); `None` where none is fresh."""
         known = self._means.get(domain)
         if known is None or now - known.heard > STALE_S:
             return None
         return known.mean_s
 
-    def fresh(self, now: float) -> dict[str, float]:
+    def fresh_means_s(self, now: float) -> dict[str, float]:
         """Returns the usual round trips that are fresh, by domain (s)."""
-        found = {name: self.usual_s(name, now) for name in self._means}
+        found = {name: self.mean_s(name, now) for name in self._means}
         return {n: trip_s for n, trip_s in found.items() if trip_s is not None}
--- a/src/radishwind/routing/seen.py
+++ b/src/radishwind/routing/target_record.py
@@ -10,7 +10,7 @@
 _SAME_S = 1e-6
 
 
-class SeenTarget(msgspec.Struct, eq=False):
+class TargetRecord(msgspec.Struct, eq=False):
     """One target as this node sees it.
 
     Attributes:
--- a/src/radishwind/routing/state.py
+++ b/src/radishwind/routing/target_state.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
+from radishwind.routing.candidate_sampler import CandidateSampler
 from radishwind.routing.chooser import LoadReport
-from radishwind.routing.sample import Candidates
 
 #: Share of the answer time that a target with all slots taken adds before
 #: anything queues. It spreads work, and bounds how long the own failure
@@ -77,7 +77,7 @@
       used: when an attempt last began or ended (s).
     """
 
-    service: Candidates
+    service: CandidateSampler
     derived: int
     hop_s: float
     capacity: float
@@ -189,7 +189,7 @@
 
 def capacity(load: LoadReport) -> float:
     """Returns the slots that a target offers; a cold server's are fewer."""
-    return max(1, load.slots) * min(1.0, max(MIN_WARM, load.warm))
+    return max(1, load.slots) * min(1.0, max(MIN_WARM, load.warm_fraction))
 
 
 class TargetTable:
--- a/src/radishwind/routing/memory.py
+++ b/src/radishwind/routing/target_statistics.py
@@ -8,45 +8,45 @@
 from radishwind.outcomes.model import NotRun
 from radishwind.outcomes.model import Outcome
 from radishwind.routing.chooser import LoadReport
-from radishwind.routing.pace import PaceHabit
-from radishwind.routing.seen import SeenTarget
-from radishwind.routing.weights import AWAY_S
-from radishwind.routing.weights import ChoiceWeights
-from radishwind.routing.weights import COLD_REST_S
-from radishwind.routing.weights import FAILURE_FADE_S
-from radishwind.routing.weights import FIRST_WORK_S
-from radishwind.routing.weights import LEAST_FAILED_S
-from radishwind.routing.weights import LEAST_SLOWNESS
-from radishwind.routing.weights import MAX_DOUBLINGS
-from radishwind.routing.weights import MOST_RATIO
-from radishwind.routing.weights import MOST_WORKS
-from radishwind.routing.weights import SILENT_S
-from radishwind.routing.weights import WORK_WEIGHT
-
-
-class TargetMemory:
+from radishwind.routing.cost_weights import AWAY_S
+from radishwind.routing.cost_weights import COLD_REST_S
+from radishwind.routing.cost_weights import CostWeights
+from radishwind.routing.cost_weights import FAILURE_FADE_S
+from radishwind.routing.cost_weights import FIRST_WORK_S
+from radishwind.routing.cost_weights import LEAST_FAILED_S
+from radishwind.routing.cost_weights import LEAST_SLOWNESS
+from radishwind.routing.cost_weights import MAX_DOUBLINGS
+from radishwind.routing.cost_weights import MOST_RATIO
+from radishwind.routing.cost_weights import MOST_WORKS
+from radishwind.routing.cost_weights import SILENT_S
+from radishwind.routing.cost_weights import WORK_WEIGHT
+from radishwind.routing.pace_statistics import PaceStatistics
+from radishwind.routing.target_record import TargetRecord
+
+
+class TargetStatistics:
     """Holds what is known of each target, and of each kind of work.
 
     Attributes:
       habit: how the pace of targets changes.
     """
 
-    def __init__(self, weights: ChoiceWeights) -> None:
+    def __init__(self, weights: CostWeights) -> None:
         """Makes a memory that knows nothing yet.
 
         Args:
           weights: how fast it learns, and what failures count for.
         """
         self._weights = weights
-        self._seen: dict[str, SeenTarget] = {}
+        self._seen: dict[str, TargetRecord] = {}
         self._work_s: dict[str, float] = {}
-        self.habit = PaceHabit()
+        self.pace = PaceStatistics()
 
-    def seen(self, name: str) -> SeenTarget | None:
+    def record(self, name: str) -> TargetRecord | None:
         """Returns what is known of the target `name`; `None` for nothing."""
         return self._seen.get(name)
 
-    def work_s(self, work: str, unknown_s: float = FIRST_WORK_S) -> float:
+    def normal_run_s(self, work: str, unknown_s: float = FIRST_WORK_S) -> float:
         """Returns the usual run time of `work` (s).
 
         Args:
@@ -55,7 +55,7 @@
         """
         return self._work_s.get(work, unknown_s)
 
-    def told(
+    def receive_report(
         self,
         name: str,
         report: LoadReport,
@@ -84,10 +84,12 @@
         seen = self._seen.get(name)
         if seen is None or not seen.failures:
             return 0.0
-        work_s = self.work_s(work)
+        work_s = self.normal_run_s(work)
         return self._failure_s(seen, work_s, now)
 
-    def started(self, name: str, now: float, expected_s: float = 0.0) -> None:
+    def attempt_started(
+        self, name: str, now: float, expected_s: float = 0.0
+    ) -> None:
         """Takes that an attempt began at the target `name`.
 
         Args:
@@ -101,13 +103,13 @@
         seen.since += 1
         self._note_start(seen, now)
 
-    def _note_start(self, seen: SeenTarget, now: float) -> None:
+    def _note_start(self, seen: TargetRecord, now: float) -> None:
         """Counts a start at a cold target against what it said it takes."""
-        left = seen.report.starts_left if seen.report else None
+        left = seen.report.warmup_requests_left if seen.report else None
         if left is not None and seen.since >= left > 0:
             seen.cold_until = max(seen.cold_until, seen.heard + COLD_REST_S)
 
-    def finished(
+    def attempt_finished(
         self,
         name: str,
         now: float,
@@ -140,16 +142,16 @@
         if not isinstance(outcome, Done):
             return
         seen.failures = 0
-        if load is not None and load.work_ms:
-            self._learn(seen, work, load.work_ms / 1000)
+        if load is not None and load.normal_run_ms:
+            self._learn(seen, work, load.normal_run_ms / 1000)
 
-    def _known(self, name: str) -> SeenTarget:
+    def _known(self, name: str) -> TargetRecord:
         seen = self._seen.get(name)
         if seen is None:
-            seen = self._seen[name] = SeenTarget()
+            seen = self._seen[name] = TargetRecord()
         return seen
 
-    def _learn(self, seen: SeenTarget, work: str, done_s: float) -> None:
+    def _learn(self, seen: TargetRecord, work: str, done_s: float) -> None:
         """Takes the work of one answer into the usual and the target's own."""
         usual_s = self._work_s.get(work)
         if usual_s is None:
@@ -162,19 +164,25 @@
         if len(self._work_s) > MOST_WORKS:
             del self._work_s[next(iter(self._work_s))]
 
-    def _report(self, seen: SeenTarget, report: LoadReport, now: float) -> None:
+    def _report(
+        self, seen: TargetRecord, report: LoadReport, now: float
+    ) -> None:
         if seen.report is not None:
             for_s = min(SILENT_S, now - seen.heard)
             before = seen.report
-            self.habit.note(before.pace / max(0.01, before.base), for_s)
-        if report.spell_ms:
-            self.habit.period_s = report.spell_ms / 1000
+            self.pace.observe(before.pace / max(0.01, before.base_pace), for_s)
+        if report.pace_interval_ms:
+            self.pace.interval_s = report.pace_interval_ms / 1000
         seen.report = report
         seen.heard = now
         seen.since = 0
-        seen.cold_until = now + COLD_REST_S if report.is_spent else -math.inf
+        seen.cold_until = (
+            now + COLD_REST_S if report.is_warmup_exhausted else -math.inf
+        )
 
-    def _failure_s(self, seen: SeenTarget, work_s: float, now: float) -> float:
+    def _failure_s(
+        self, seen: TargetRecord, work_s: float, now: float
+    ) -> float:
         fade = math.exp((seen.failed - now) / FAILURE_FADE_S)
         doubled: float = 2.0 ** min(seen.failures - 1, MAX_DOUBLINGS)
         least_s = max(work_s, LEAST_FAILED_S)
--- a/src/radishwind/routing/tests/test_balanced.py
+++ b/src/radishwind/routing/tests/test_balanced_chooser.py
@@ -15,9 +15,9 @@
 from radishwind.outcomes import NotRun
 from radishwind.routing import BalancedChooser
 from radishwind.routing import LoadReport
-from radishwind.routing.balanced import TRIAL_SHARE
-from radishwind.routing.state import FORGET_S
-from radishwind.routing.state import RECOVERY_S
+from radishwind.routing.balanced_chooser import TRIAL_SHARE
+from radishwind.routing.target_state import FORGET_S
+from radishwind.routing.target_state import RECOVERY_S
 
 OK = Done(Response(200))
 ROOM = LoadReport(9, 2, 0, 10.0)
@@ -48,8 +48,8 @@
 
 
 def attempt(chooser, name, now, elapsed_s=0.01, outcome=OK, load=ROOM):
-    chooser.started(name, now)
-    chooser.finished(name, now + elapsed_s, elapsed_s, outcome, load)
+    chooser.attempt_started(name, now)
+    chooser.attempt_finished(name, now + elapsed_s, elapsed_s, outcome, load)
 
 
 def warmed(chooser, members, now=0.0, far_s=0.0):
@@ -189,7 +189,7 @@
     now = warmed(chooser, members)
 
     for _ in range(slots_taken):
-        chooser.started("t0", now)
+        chooser.attempt_started("t0", now)
 
     # No answer after 10 times the usual: the age alone tells.
     assert "t0" not in picks(chooser, members, now + 0.1)
@@ -207,10 +207,10 @@
     now += RECOVERY_S
     trials = picks(chooser, members, now, 1000).count("t0")
     assert 0 < trials <= 1000 * 2 * TRIAL_SHARE
-    chooser.started("t0", now)
+    chooser.attempt_started("t0", now)
     # None beside the one that is out.
     assert "t0" not in picks(chooser, members, now + 0.001, 1000)
-    chooser.finished("t0", now + 0.01, 0.01, OK, ROOM)
+    chooser.attempt_finished("t0", now + 0.01, 0.01, OK, ROOM)
     for _ in range(2):
         now += RECOVERY_S
         assert picks(chooser, members, now).count("t0") < 10
@@ -237,7 +237,9 @@
     chooser = chooser_for(members)
     now = warmed(chooser, members)
 
-    attempt(chooser, "t0", now, load=LoadReport(9, 2, 0, 10.0, warm=0.1))
+    attempt(
+        chooser, "t0", now, load=LoadReport(9, 2, 0, 10.0, warm_fraction=0.1)
+    )
 
     assert "t0" not in picks(chooser, members, now + 0.01)
 
@@ -308,9 +310,9 @@
     chooser = chooser_for(members)
     chooser.choose(members, 0.0)
     for step in range(5):
-        chooser.started("t0", step * 0.1)
+        chooser.attempt_started("t0", step * 0.1)
     for step in range(5):
-        chooser.finished("t0", 1.0, 1.0 - step * 0.1, OK, ROOM)
+        chooser.attempt_finished("t0", 1.0, 1.0 - step * 0.1, OK, ROOM)
 
     state = chooser._table.get("t0")
     assert (state.in_flight, state.starts_s) == (0, 0.0)
--- a/src/radishwind/routing/tests/test_sample.py
+++ b/src/radishwind/routing/tests/test_candidate_sampler.py
@@ -5,8 +5,8 @@
 
 from radishwind.http.types import Address
 from radishwind.membership.directory import Member
-from radishwind.routing.sample import Candidates
-from radishwind.routing.sample import DRAWS
+from radishwind.routing.candidate_sampler import CandidateSampler
+from radishwind.routing.candidate_sampler import DRAWS
 
 DISTANCES_S = {"a": 0.0, "b": 0.001, "c": 0.002, "d": 0.02}
 
@@ -23,7 +23,7 @@
         for i, domain in enumerate(domains)
     )
     exclude = frozenset(f"t{i}" for i in excluded)
-    candidates = Candidates()
+    candidates = CandidateSampler()
     candidates.update(members, f"t{own}", DISTANCES_S.__getitem__)
 
     drawn = candidates.draw(random.Random(seed), exclude)
--- a/src/radishwind/routing/tests/test_ways.py
+++ b/src/radishwind/routing/tests/test_path_costs.py
@@ -12,17 +12,17 @@
 from radishwind.membership.directory import Member
 from radishwind.outcomes import Done
 from radishwind.routing.chooser import LoadReport
-from radishwind.routing.fresh import FreshLoadChooser
-from radishwind.routing.round_trips import RoundTrips
-from radishwind.routing.round_trips import STALE_S
-from radishwind.routing.sizes import LARGE_BYTES
-from radishwind.routing.sizes import MOST_ROUTES
-from radishwind.routing.sizes import RouteSizes
-from radishwind.routing.ways import FixedWays
-from radishwind.routing.ways import KEPT_S
-from radishwind.routing.ways import LinkWays
-from radishwind.routing.ways import MOST_PART
-from radishwind.routing.weights import CROSSING_S
+from radishwind.routing.cost_weights import CROSS_DOMAIN_S
+from radishwind.routing.fresh_load_chooser import FreshLoadChooser
+from radishwind.routing.path_costs import FixedPathCosts
+from radishwind.routing.path_costs import KEPT_S
+from radishwind.routing.path_costs import LinkPathCosts
+from radishwind.routing.path_costs import MOST_PART
+from radishwind.routing.round_trip_times import RoundTripTimes
+from radishwind.routing.round_trip_times import STALE_S
+from radishwind.routing.route_sizes import LARGE_BYTES
+from radishwind.routing.route_sizes import MOST_ROUTES
+from radishwind.routing.route_sizes import RouteSizes
 
 AIM_S = 1.0
 LINK_KBPS = 10_000
@@ -37,39 +37,41 @@
 
 
 def ways(own_kbps=LINK_KBPS, known=None, trips=None, aim_s=AIM_S):
-    return LinkWays(
+    return LinkPathCosts(
         own_domain="a",
         sizes=known or sizes(),
-        trips=trips or RoundTrips(),
+        trips=trips or RoundTripTimes(),
         own_free_kbps=lambda: own_kbps,
         aim_s=lambda route: aim_s,
     )
 
 
 def test_large_answers_cost_more_than_small_ones_and_far_more_than_near():
-    near, far = (ways().way(domain, 0, LARGE, 0.0) for domain in ("a", "b"))
+    near, far = (
+        ways().path_cost(domain, 0, LARGE, 0.0) for domain in ("a", "b")
+    )
 
-    assert ways().way("b", 0, SMALL, 0.0).weight_s < far.weight_s / 10
-    assert near.weight_s < far.weight_s
-    assert near.carry_s == far.carry_s
-    assert (near.time_s, far.time_s) == (0, CROSSING_S)
+    assert ways().path_cost("b", 0, SMALL, 0.0).penalty_s < far.penalty_s / 10
+    assert near.penalty_s < far.penalty_s
+    assert near.transmission_s == far.transmission_s
+    assert (near.round_trip_s, far.round_trip_s) == (0, CROSS_DOMAIN_S)
 
 
 def test_a_fuller_link_at_either_end_costs_more():
-    usual = ways().way("b", LINK_KBPS, LARGE, 0.0)
+    usual = ways().path_cost("b", LINK_KBPS, LARGE, 0.0)
 
     for fuller, free_kbps in (
         (ways(), LINK_KBPS // 2),
         (ways(LINK_KBPS // 2), LINK_KBPS),
     ):
-        way = fuller.way("b", free_kbps, LARGE, 0.0)
-        assert way.carry_s > usual.carry_s
+        way = fuller.path_cost("b", free_kbps, LARGE, 0.0)
+        assert way.transmission_s > usual.transmission_s
 
 
 def test_a_way_is_a_fixed_one_where_no_link_is_told():
     for domain in ("a", "b"):
-        way = ways(own_kbps=0).way(domain, LINK_KBPS, LARGE, 0.0)
-        assert way == FixedWays("a").way(domain, 0, LARGE, 0.0)
+        way = ways(own_kbps=0).path_cost(domain, LINK_KBPS, LARGE, 0.0)
+        assert way == FixedPathCosts("a").path_cost(domain, 0, LARGE, 0.0)
 
 
 def test_a_route_without_answers_yet_is_taken_as_the_configuration_says():
@@ -115,51 +117,53 @@
 ):
     known = RouteSizes()
     known.learn("r", size, size)
-    trips = RoundTrips()
-    trips.took("b", trip_s, 0.0)
+    trips = RoundTripTimes()
+    trips.record("b", trip_s, 0.0)
     found = ways(own_kbps, known, trips, aim_s)
 
-    way = found.way(domain, free_kbps, "r", 1.0)
+    way = found.path_cost(domain, free_kbps, "r", 1.0)
 
-    most_s = CROSSING_S + trip_s + MOST_PART * aim_s
-    for cost_s in (way.time_s, way.carry_s, way.weight_s):
+    most_s = CROSS_DOMAIN_S + trip_s + MOST_PART * aim_s
+    for cost_s in (way.round_trip_s, way.transmission_s, way.penalty_s):
         assert math.isfinite(cost_s)
         assert 0 <= cost_s <= most_s
 
 
 def test_a_longer_way_costs_its_time_and_a_shorter_one_no_less_than_usual():
-    trips = RoundTrips()
-    trips.took("b", 0.2, 0.0)
-    trips.took("c", 0.01, 0.0)
+    trips = RoundTripTimes()
+    trips.record("b", 0.2, 0.0)
+    trips.record("c", 0.01, 0.0)
     found = ways(known=RouteSizes(), trips=trips)
 
-    long, short = (found.way(domain, 0, SMALL, 1.0) for domain in ("b", "c"))
+    long, short = (
+        found.path_cost(domain, 0, SMALL, 1.0) for domain in ("b", "c")
+    )
 
-    assert long.time_s == 0.2
-    assert long.weight_s == 0
-    assert short.time_s == 0.01
-    assert short.time_s + short.weight_s == pytest.approx(CROSSING_S)
+    assert long.round_trip_s == 0.2
+    assert long.penalty_s == 0
+    assert short.round_trip_s == 0.01
+    assert short.round_trip_s + short.penalty_s == pytest.approx(CROSS_DOMAIN_S)
 
 
 def test_a_stale_round_trip_is_given_up_and_learned_anew():
-    trips = RoundTrips()
-    trips.took("b", 3.0, 0.0)
-    assert trips.usual_s("b", STALE_S) == 3.0
-    assert trips.usual_s("b", STALE_S + 0.1) is None
-    assert trips.fresh(STALE_S + 0.1) == {}
-    trips.took("b", 0.01, STALE_S + 0.2)
+    trips = RoundTripTimes()
+    trips.record("b", 3.0, 0.0)
+    assert trips.mean_s("b", STALE_S) == 3.0
+    assert trips.mean_s("b", STALE_S + 0.1) is None
+    assert trips.fresh_means_s(STALE_S + 0.1) == {}
+    trips.record("b", 0.01, STALE_S + 0.2)
 
-    assert trips.usual_s("b", STALE_S + 0.3) == 0.01
+    assert trips.mean_s("b", STALE_S + 0.3) == 0.01
 
 
 @given(st.lists(st.tuples(st.floats(0, 100), st.floats(0, 30)), max_size=60))
 def test_a_mean_stays_between_the_round_trips_it_is_of(moves):
-    trips, now, told = RoundTrips(), 0.0, []
+    trips, now, told = RoundTripTimes(), 0.0, []
     for trip_s, pause_s in moves:
         now += pause_s
-        trips.took("b", trip_s, now)
+        trips.record("b", trip_s, now)
         told.append(trip_s)
-        mean_s = trips.usual_s("b", now)
+        mean_s = trips.mean_s("b", now)
         assert min(told) - 1e-9 <= mean_s <= max(told) + 1e-9
 
 
@@ -191,10 +195,10 @@
             busy = sum(at > now for at in slots)
             queued_s = sum(max(0.0, at - now - self.WORK_S) for at in slots)
             queued = round(queued_s / self.WORK_S)
-            self.chooser.told(
+            self.chooser.receive_report(
                 name,
                 LoadReport(
-                    self.SLOTS, busy, queued, 100.0, link_kbps=LINK_KBPS
+                    self.SLOTS, busy, queued, 100.0, link_free_kbps=LINK_KBPS
                 ),
                 1,
                 self.order,
@@ -219,13 +223,13 @@
         node_name="own",
         failure_domain="a",
         own_load=lambda: LoadReport(0, 0, 0, 0.0),
-        ways=costs,
+        path_costs=costs,
     )
     for route in (SMALL, LARGE):
         done = Done(Response(200))
-        report = LoadReport(3, 0, 0, 100.0, work_ms=100.0)
-        chooser.started("a0", 0.0)
-        chooser.finished("a0", 0.0, 0.0, done, report, route)
+        report = LoadReport(3, 0, 0, 100.0, normal_run_ms=100.0)
+        chooser.attempt_started("a0", 0.0)
+        chooser.attempt_finished("a0", 0.0, 0.0, done, report, route)
     load = Load(chooser, near=2, far=4)
     # Two servers of three slots do 60 a second; 75 come, a fifth large.
     for number in range(750):
@@ -250,14 +254,14 @@
         node_name="own",
         failure_domain="a",
         own_load=lambda: LoadReport(0, 0, 0, 0.0),
-        ways=ways(),
+        path_costs=ways(),
     )
     near, far = (Member(d, "s", d, Address("10.0.0.1", 80)) for d in ("a", "b"))
-    done = LoadReport(3, 0, 0, 100.0, work_ms=100.0)
-    chooser.started("a", 0.0)
-    chooser.finished("a", 0.0, 0.0, Done(Response(200)), done, LARGE)
-    chooser.told("a", LoadReport(3, near_busy, 0, 100.0), 1, 1, 0.0)
-    chooser.told("b", LoadReport(3, far_busy, 0, 100.0), 1, 1, 0.0)
+    done = LoadReport(3, 0, 0, 100.0, normal_run_ms=100.0)
+    chooser.attempt_started("a", 0.0)
+    chooser.attempt_finished("a", 0.0, 0.0, Done(Response(200)), done, LARGE)
+    chooser.receive_report("a", LoadReport(3, near_busy, 0, 100.0), 1, 1, 0.0)
+    chooser.receive_report("b", LoadReport(3, far_busy, 0, 100.0), 1, 1, 0.0)
     return chooser.choose((near, far), 0.0, work=LARGE, aim=AIM_S).name
 
 
@@ -274,15 +278,18 @@
 def test_a_way_that_was_weighed_is_kept_for_a_moment_only():
     free_kbps = [LINK_KBPS]
     known = sizes()
-    found = LinkWays(
+    found = LinkPathCosts(
         own_domain="a",
         sizes=known,
-        trips=RoundTrips(),
+        trips=RoundTripTimes(),
         own_free_kbps=lambda: free_kbps[0],
         aim_s=lambda route: AIM_S,
     )
-    before = found.way("b", 0, LARGE, 1.0)
+    before = found.path_cost("b", 0, LARGE, 1.0)
     free_kbps[0] //= 2
 
-    assert found.way("b", 0, LARGE, 1.0 + KEPT_S / 2) == before
-    assert found.way("b", 0, LARGE, 1.0 + KEPT_S).carry_s > before.carry_s
+    assert found.path_cost("b", 0, LARGE, 1.0 + KEPT_S / 2) == before
+    assert (
+        found.path_cost("b", 0, LARGE, 1.0 + KEPT_S).transmission_s
+        > before.transmission_s
+    )
--- a/src/radishwind/routing/tests/test_placement.py
+++ b/src/radishwind/routing/tests/test_placement.py
@@ -6,7 +6,7 @@
 from radishwind.core.codes import ResultCode
 from radishwind.http.types import Address
 from radishwind.membership.directory import Member
-from radishwind.routing.placement import OpenDomains
+from radishwind.routing.placement import RestrictedPlacement
 
 REGIONS = {"a-1": "north", "a-2": "north", "b-1": "south"}
 MEMBERS = tuple(
@@ -27,7 +27,9 @@
 
 
 def placement(*emptied, members=MEMBERS):
-    return OpenDomains(Directory(members), lambda: frozenset(emptied), REGIONS)
+    return RestrictedPlacement(
+        Directory(members), lambda: frozenset(emptied), REGIONS
+    )
 
 
 @pytest.mark.parametrize(
--- a/src/radishwind/sidecar/app.py
+++ b/src/radishwind/sidecar/app.py
@@ -183,7 +183,9 @@
             node_count=self._membership.node_count,
             service=lambda: self._settings.service,
             unreachable=self._membership.unreachable,
-            tells_unasked=lambda member: self._loads.tells_unasked(member),
+            reports_unsolicited=lambda member: self._loads.reports_unsolicited(
+                member
+            ),
             observers=(RequestLog(self._clock), self._metrics),
             proof=self._recency.proof,
             quotas=self._quotas.borrower,
@@ -201,8 +203,10 @@
             membership=self._membership,
             routes=self._routes,
             target=self._target.pipeline,
-            asked_by=lambda host: self._loads.asked_by(host),
-            link_room=self._links.room,
+            record_request_from=lambda host: self._loads.record_request_from(
+                host
+            ),
+            link_admission=self._links.room,
             start_anew=self._stopping.set,
         )
         self._attempts = RequestsInProgress(
--- a/src/radishwind/sidecar/entry_side.py
+++ b/src/radishwind/sidecar/entry_side.py
@@ -37,8 +37,8 @@
 from radishwind.retries.fleet import FleetRetryPolicy
 from radishwind.routes.emptied import EmptiedInForce
 from radishwind.routes.in_force import RoutesInForce
-from radishwind.routing.fresh import FreshLoadChooser
-from radishwind.routing.placement import OpenDomains
+from radishwind.routing.fresh_load_chooser import FreshLoadChooser
+from radishwind.routing.placement import RestrictedPlacement
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.link_side import LinkSide
 from radishwind.sidecar.options import choice_weights
@@ -75,7 +75,7 @@
         node_count: Callable[[], int],
         service: Callable[[], str],
         unreachable: Callable[[str], None] | None = None,
-        tells_unasked: Callable[[Member], bool] | None = None,
+        reports_unsolicited: Callable[[Member], bool] | None = None,
         observers: Sequence[CallObserver] = (),
         signer: RequestSigner | None = None,
         proof: KeyProof | None = None,
@@ -98,8 +98,8 @@
           service: returns the service that the own instance's requests are of.
           unreachable: takes the name of a target whose node takes no
             connection.
-          tells_unasked: returns whether a target tells this node its load
-            though it got nothing from here.
+          reports_unsolicited: returns whether a target tells this node its
+            load though it got nothing from here.
           observers: hear of each request that ended.
           signer: signs what is sent to other nodes.
           proof: whether what is known of keys is recent.
@@ -115,10 +115,10 @@
             node_name=settings.node,
             failure_domain=settings.failure_domain,
             own_load=target.pipeline.load_report,
-            tells_unasked=tells_unasked,
+            reports_unsolicited=reports_unsolicited,
             weights=weights,
-            ways=(
-                links.ways(weights.crossing_s)
+            path_costs=(
+                links.ways(weights.cross_domain_s)
                 if links is not None and switches.ways
                 else None
             ),
@@ -128,7 +128,7 @@
             routes=routes,
             rules=ServiceRules(),
             decode_fields=self._read,
-            normal_run_s=self.chooser.work_s,
+            normal_run_s=self.chooser.normal_run_s,
             keys=self.keys,
             with_account=with_account,
             retry_ages=RetryAgeEstimator() if switches.returns else None,
@@ -159,7 +159,7 @@
         self.pipeline = EntryPipeline(
             clock=clock,
             classifier=self.classifier,
-            placement=OpenDomains(
+            placement=RestrictedPlacement(
                 directory, lambda: emptied.names, settings.region_of
             ),
             chooser=self.chooser,
--- a/src/radishwind/sidecar/link_side.py
+++ b/src/radishwind/sidecar/link_side.py
@@ -2,13 +2,13 @@
 
 from radishwind.core.clock import Clock
 from radishwind.http.types import Address
-from radishwind.loads.link import LinkMeter
-from radishwind.loads.link_room import LinkRoom
+from radishwind.loads.link_admission import LinkAdmission
+from radishwind.loads.link_meter import LinkMeter
 from radishwind.peers.traffic import PeerTraffic
 from radishwind.routes.model import RouteConfig
-from radishwind.routing.round_trips import RoundTrips
-from radishwind.routing.sizes import RouteSizes
-from radishwind.routing.ways import LinkWays
+from radishwind.routing.path_costs import LinkPathCosts
+from radishwind.routing.round_trip_times import RoundTripTimes
+from radishwind.routing.route_sizes import RouteSizes
 from radishwind.settings.placed import PlacedSettings
 
 
@@ -35,24 +35,24 @@
         self._aims: dict[str, float] = {}
         self.meter = LinkMeter(settings.link_mbps, clock)
         self.sizes = RouteSizes()
-        self.room = LinkRoom(self.meter, self.sizes, clock)
+        self.room = LinkAdmission(self.meter, self.sizes, clock)
         self.traffic = PeerTraffic()
-        self.trips = RoundTrips()
+        self.trips = RoundTripTimes()
 
-    def ways(self, crossing_s: float) -> LinkWays:
+    def ways(self, cross_domain_s: float) -> LinkPathCosts:
         """Returns how ways to other nodes are weighed.
 
         Args:
-          crossing_s: what the way to another failure domain and back counts
+          cross_domain_s: what the way to another failure domain and back counts
             for at least (s).
         """
-        return LinkWays(
+        return LinkPathCosts(
             own_domain=self._own_domain,
             sizes=self.sizes,
             trips=self.trips,
             own_free_kbps=self.meter.free_kbps,
             aim_s=lambda route: self._aims.get(route, 0.0),
-            crossing_s=crossing_s,
+            cross_domain_s=cross_domain_s,
         )
 
     def adopt(self, cfg: RouteConfig) -> None:
@@ -66,4 +66,4 @@
         """Takes how long a message to another node took there and back (s)."""
         domain = self.traffic.domain_of(address.host)
         if domain is not None:
-            self.trips.took(domain, trip_s, self._clock.monotonic())
+            self.trips.record(domain, trip_s, self._clock.monotonic())
--- a/src/radishwind/sidecar/loads.py
+++ b/src/radishwind/sidecar/loads.py
@@ -5,10 +5,10 @@
 import anyio
 
 from radishwind.core.clock import Clock
-from radishwind.loads import Audience
 from radishwind.loads import LoadChannel
 from radishwind.loads import LoadMessage
-from radishwind.loads import LoadTeller
+from radishwind.loads import ReportRecipients
+from radishwind.loads import ReportScheduler
 from radishwind.membership.directory import Member
 from radishwind.membership.directory import MemberState
 from radishwind.membership.facts import MemberFact
@@ -16,7 +16,7 @@
 from radishwind.membership.view import GossipDirectory
 from radishwind.peers.datagrams import PeerSocket
 from radishwind.peers.traffic import PeerTraffic
-from radishwind.routing.fresh import FreshLoadChooser
+from radishwind.routing.fresh_load_chooser import FreshLoadChooser
 from radishwind.target.pipeline import TargetPipeline
 
 #: How often a change that no answer brought is looked for (s) while requests
@@ -66,10 +66,10 @@
         self._directory = directory
         self._target = target
         self._chooser = chooser
-        self._teller = LoadTeller()
+        self._teller = ReportScheduler()
         self._start = rng.getrandbits(32)
         self._order = 0
-        self._audience = Audience(node_name, failure_domain)
+        self._audience = ReportRecipients(node_name, failure_domain)
         self._traffic = traffic
         self._stale = True
         self._channel = LoadChannel(socket, self._heard)
@@ -95,28 +95,28 @@
         message = LoadMessage(self._node_name, self._start, self._order, report)
         self._heard(message)
         if near:
-            self._channel.tell(message, self._audience.near(now))
+            self._channel.send(message, self._audience.local(now))
         if far:
-            self._channel.tell(message, self._audience.far(now))
+            self._channel.send(message, self._audience.remote(now))
 
-    def asked_by(self, host: str) -> None:
+    def record_request_from(self, host: str) -> None:
         """Takes that the node at `host` sent work for the own target."""
-        self._audience.asked_by(host, self._clock.monotonic())
+        self._audience.record_request_from(host, self._clock.monotonic())
 
-    def tells_unasked(self, member: Member) -> bool:
+    def reports_unsolicited(self, member: Member) -> bool:
         """Returns whether this node hears of `member` though it sent nothing.
 
         Only then does silence mean that the target may be cut off.
         """
         self._follow()
-        return self._audience.tells_unasked(member.failure_domain)
+        return self._audience.reports_unsolicited(member.failure_domain)
 
     def _heard(self, message: LoadMessage) -> None:
-        self._chooser.told(
+        self._chooser.receive_report(
             message.target,
             message.report,
-            message.start,
-            message.order,
+            message.start_id,
+            message.sequence,
             self._clock.monotonic(),
         )
 
@@ -130,6 +130,6 @@
         self._stale = False
         members = self._directory.members()
         self._traffic.follow(members)
-        self._audience.follow(
+        self._audience.set_members(
             m for m in members if m.state is not MemberState.DEAD
         )
--- a/src/radishwind/sidecar/metrics.py
+++ b/src/radishwind/sidecar/metrics.py
@@ -270,8 +270,8 @@
         "radishwind_link_use",
         "The part of the link that these take, over a time.",
         lambda: {
-            'over="1s"': link.use(),
-            'over="100ms"': link.use_now(),
+            'over="1s"': link.utilization(),
+            'over="100ms"': link.recent_utilization(),
         },
     )
     metrics.gauge(
@@ -289,7 +289,7 @@
         "The usual way to a failure domain and back, where one is fresh.",
         lambda: {
             f'domain="{name}"': trip_s
-            for name, trip_s in links.trips.fresh(
+            for name, trip_s in links.trips.fresh_means_s(
                 counted.clock.monotonic()
             ).items()
         },
--- a/src/radishwind/sidecar/options.py
+++ b/src/radishwind/sidecar/options.py
@@ -2,7 +2,7 @@
 
 from radishwind.membership.discovery import DiscoveryOptions
 from radishwind.membership.options import GossipOptions
-from radishwind.routing.weights import ChoiceWeights
+from radishwind.routing.cost_weights import CostWeights
 from radishwind.settings.node import NodeSettings
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.switches import Switches
@@ -110,11 +110,11 @@
     return START_SPREAD_S
 
 
-def choice_weights(switches: Switches) -> ChoiceWeights:
+def choice_weights(switches: Switches) -> CostWeights:
     """Returns what counts in a choice of a target."""
-    usual = ChoiceWeights()
-    return ChoiceWeights(
-        crossing_s=usual.crossing_s if switches.crossing else 0.0,
+    usual = CostWeights()
+    return CostWeights(
+        cross_domain_s=usual.cross_domain_s if switches.crossing else 0.0,
         failure_factor=usual.failure_factor if switches.failures else 0.0,
         slowness=usual.slowness if switches.slowness else 0.0,
     )
--- a/src/radishwind/sidecar/peer_side.py
+++ b/src/radishwind/sidecar/peer_side.py
@@ -13,7 +13,7 @@
 from radishwind.config.model import ServiceRules
 from radishwind.core.clock import Clock
 from radishwind.http.sender import Sender
-from radishwind.loads.link_room import LinkRoom
+from radishwind.loads.link_admission import LinkAdmission
 from radishwind.membership.directory import MemberState
 from radishwind.membership.ranking import ranks_among_first
 from radishwind.node.membership_tasks import MembershipTasks
@@ -90,8 +90,8 @@
         membership: MembershipTasks,
         routes: RoutesInForce,
         target: TargetPipeline,
-        asked_by: Callable[[str], None],
-        link_room: LinkRoom,
+        record_request_from: Callable[[str], None],
+        link_admission: LinkAdmission,
         start_anew: Callable[[], None],
     ) -> None:
         """Wires what needs other parts.
@@ -102,8 +102,9 @@
           membership: which nodes there are.
           routes: the routes in force.
           target: runs the attempts.
-          asked_by: takes the host of each node that sends an attempt.
-          link_room: bounds the large answers that go out at once.
+          record_request_from: takes the host of each node that sends an
+            attempt.
+          link_admission: bounds the large answers that go out at once.
           start_anew: ends the process, to begin without what it believes.
         """
         self._directory = membership.directory
@@ -133,8 +134,8 @@
             target=target,
             verifier=FleetVerifier(self.keyring, self._starts, self._own),
             policy=AccountPolicy(self.keyring, routes, self._directory),
-            asked_by=asked_by,
-            link_room=link_room,
+            record_request_from=record_request_from,
+            link_admission=link_admission,
         )
         membership.listen_on(self.listener)
         routes.listen(self._adopted)
--- a/src/radishwind/sidecar/tests/test_forged.py
+++ b/src/radishwind/sidecar/tests/test_forged.py
@@ -15,8 +15,8 @@
 from radishwind.http import Address
 from radishwind.http import Request
 from radishwind.http.types import header
-from radishwind.loads.message import encode as encode_load
-from radishwind.loads.message import LoadMessage
+from radishwind.loads.load_message import encode as encode_load
+from radishwind.loads.load_message import LoadMessage
 from radishwind.membership.envelope import encode_envelope
 from radishwind.membership.envelope import Envelope
 from radishwind.membership.facts import MemberFact
@@ -198,7 +198,7 @@
         sender.here.datagram(sender.datagram(Channel.LOADS, data))
 
     def has_effect(self, here):
-        seen = here.node._entry.chooser.memory.seen("b-1")
+        seen = here.node._entry.chooser.statistics.record("b-1")
         report = seen.report if seen is not None else None
         return report is not None and report.in_flight == 77
 
--- a/src/radishwind/sidecar/tests/test_link_side.py
+++ b/src/radishwind/sidecar/tests/test_link_side.py
@@ -9,9 +9,9 @@
 from radishwind.routes.model import Part
 from radishwind.routes.model import Route
 from radishwind.routes.model import RouteConfig
-from radishwind.routing.sizes import LARGE_BYTES
-from radishwind.routing.ways import FixedWays
-from radishwind.routing.weights import CROSSING_S
+from radishwind.routing.cost_weights import CROSS_DOMAIN_S
+from radishwind.routing.path_costs import FixedPathCosts
+from radishwind.routing.route_sizes import LARGE_BYTES
 from radishwind.sidecar.link_side import LinkSide
 from radishwind.sidecar.tests.test_target_side import settings
 
@@ -38,33 +38,36 @@
 
 
 def test_a_route_of_large_answers_is_dear_to_send_far_from_the_first(clock):
-    ways = side(clock).ways(CROSSING_S)
+    ways = side(clock).ways(CROSS_DOMAIN_S)
 
-    large, small = (ways.way("b", 0, name, 0.0) for name in ("l", "s"))
+    large, small = (ways.path_cost("b", 0, name, 0.0) for name in ("l", "s"))
 
-    assert large.carry_s == pytest.approx(LARGE_BYTES * 8 / 10e6)
-    assert small.carry_s == 0
-    assert large.weight_s > small.weight_s
+    assert large.transmission_s == pytest.approx(LARGE_BYTES * 8 / 10e6)
+    assert small.transmission_s == 0
+    assert large.penalty_s > small.penalty_s
 
 
 def test_without_a_link_in_the_settings_ways_are_fixed(clock):
     made = side(clock, link_mbps=0.0)
     made.traffic.follow((FAR,))
     made.took_trip(FAR.address, 0.3)
-    ways, fixed = made.ways(CROSSING_S), FixedWays("a")
+    ways, fixed = made.ways(CROSS_DOMAIN_S), FixedPathCosts("a")
 
     for domain in ("a", "b"):
         for name in ("l", "s"):
-            way = ways.way(domain, 5_000, name, 0.0)
-            assert way == fixed.way(domain, 0, name, 0.0)
+            way = ways.path_cost(domain, 5_000, name, 0.0)
+            assert way == fixed.path_cost(domain, 0, name, 0.0)
 
 
 def test_a_round_trip_counts_for_the_domain_of_the_node_that_answered(clock):
     made = side(clock)
     made.took_trip(FAR.address, 0.3)
-    assert made.trips.fresh(0.0) == {}
+    assert made.trips.fresh_means_s(0.0) == {}
     made.traffic.follow((FAR,))
     made.took_trip(FAR.address, 0.3)
 
-    assert made.trips.fresh(0.0) == {"b": 0.3}
-    assert made.ways(CROSSING_S).way("b", 0, "s", 0.0).time_s == 0.3
+    assert made.trips.fresh_means_s(0.0) == {"b": 0.3}
+    assert (
+        made.ways(CROSS_DOMAIN_S).path_cost("b", 0, "s", 0.0).round_trip_s
+        == 0.3
+    )
--- a/src/radishwind/sidecar/tests/test_target_side.py
+++ b/src/radishwind/sidecar/tests/test_target_side.py
@@ -210,7 +210,7 @@
     beside.beat(cold_s=3.0)
 
     assert set(await beside.burst(60)) == {None}
-    assert beside.target.pipeline.load_report().starts_left is None
+    assert beside.target.pipeline.load_report().warmup_requests_left is None
 
 
 async def test_the_load_tells_how_many_a_cold_server_still_takes():
@@ -218,7 +218,7 @@
     beside.beat(cold_s=3.0)
     await beside.burst(MOST - 2)
 
-    assert beside.target.pipeline.load_report().starts_left == 2
+    assert beside.target.pipeline.load_report().warmup_requests_left == 2
 
 
 async def test_a_new_law_holds_at_once():
--- a/src/radishwind/target/load_monitor.py
+++ b/src/radishwind/target/load_monitor.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from radishwind.core.clock import Clock
-from radishwind.routing.pace import PaceHabit
+from radishwind.routing.pace_statistics import PaceStatistics
 from radishwind.target.change_grid import ChangeGrid
 from radishwind.target.dialect import ServerLoad
 from radishwind.target.pace import Pace
@@ -98,7 +98,7 @@
         # When the last health check was sent.
         self._looked = self.last_reported
         self.change_grid = ChangeGrid()
-        self.pace_statistics = PaceHabit()
+        self.pace_statistics = PaceStatistics()
         self._listeners: list[Callable[[], None]] = []
         self._use_listeners: list[Callable[[], None]] = []
 
@@ -162,7 +162,7 @@
             self._learning_since = now
         else:
             base = self.base_pace()
-            self.pace_statistics.note(
+            self.pace_statistics.observe(
                 self.load.pace / base, now - self.last_reported
             )
             if load.pace != self.load.pace:
@@ -211,12 +211,12 @@
     def _factor(self) -> float:
         """Returns how long work takes now; older figures fade to the mean."""
         if self.load is None:
-            return self.pace_statistics.mean
+            return self.pace_statistics.mean_pace
         age_s = self._clock.monotonic() - self.last_reported
         if self.change_grid.interval_s or age_s <= BUSY_SILENCE_S:
             return self.load.pace
         kept: float = 0.5 ** (age_s / FADE_S)
-        mean = self.pace_statistics.mean * self.base_pace()
+        mean = self.pace_statistics.mean_pace * self.base_pace()
         return mean + (self.load.pace - mean) * kept
 
     def next_check_s(self) -> float:
--- a/src/radishwind/target/pace_gate.py
+++ b/src/radishwind/target/pace_gate.py
@@ -3,7 +3,7 @@
 from radishwind.admission.gate import Ticket
 from radishwind.admission.urgent import StartGate
 from radishwind.core.clock import Clock
-from radishwind.routing.pace import SLOW_PACE
+from radishwind.routing.pace_statistics import SLOW_PACE
 from radishwind.target.load_monitor import LoadMonitor
 
 #: Past a moment of change the new pace is waited for so long at most (s); the
@@ -45,7 +45,7 @@
         if now + run_s <= ticket.aim and not self._is_busy():
             return False
         usual_s = ticket.work_s * base
-        later_s = pulse.pace_statistics.later_s(
+        later_s = pulse.pace_statistics.delayed_run_s(
             usual_s, pulse.change_grid.interval_s
         )
         if now + left_s + _MARGIN * usual_s > ticket.deadline:
@@ -55,8 +55,8 @@
     def stretch(self) -> float:
         habit = self._pulse.pace_statistics
         if not self._pulse.change_grid.interval_s:
-            return habit.mean * self._pulse.base_pace()
-        return self._pulse.base_pace() / (1 - min(0.8, habit.share))
+            return habit.mean_pace * self._pulse.base_pace()
+        return self._pulse.base_pace() / (1 - min(0.8, habit.slow_share))
 
     def _is_busy(self) -> bool:
         load = self._pulse.load
--- a/src/radishwind/target/pipeline.py
+++ b/src/radishwind/target/pipeline.py
@@ -135,13 +135,13 @@
             queued=self._admission.queued,
             service_ms=round(self._service_s * 1000, 3),
             leaving=self.is_leaving or self._server.is_domain_evacuated,
-            warm=round(warm * self._watch.fitness(), 3),
+            warm_fraction=round(warm * self._watch.fitness(), 3),
             pace=round(pace.factor, 2),
-            base=round(pace.base_factor, 2),
-            spell_ms=round(pace.interval_s * 1000, 1),
-            spell_left_ms=round(pace.interval_left_s * 1000, 1),
-            starts_left=self._gate.remaining(),
-            link_kbps=self._link_kbps(),
+            base_pace=round(pace.base_factor, 2),
+            pace_interval_ms=round(pace.interval_s * 1000, 1),
+            pace_interval_left_ms=round(pace.interval_left_s * 1000, 1),
+            warmup_requests_left=self._gate.remaining(),
+            link_free_kbps=self._link_kbps(),
         )
 
     def outcome_counts(self) -> dict[str, float]:
@@ -154,7 +154,7 @@
         outcome = await self._run(call, run)
         self._outcomes[_kind(outcome)] += 1
         load = msgspec.structs.replace(
-            self.load_report(), work_ms=round(run.work_s * 1000, 1)
+            self.load_report(), normal_run_ms=round(run.work_s * 1000, 1)
         )
         return AttemptResult(outcome, load)
 
--- a/src/radishwind/target/tests/test_pipeline.py
+++ b/src/radishwind/target/tests/test_pipeline.py
@@ -166,7 +166,7 @@
     target.response = Response(500, (), b"")
     for _ in range(10):
         await target.run()
-    assert target.pipeline.load_report().warm < 0.2
+    assert target.pipeline.load_report().warm_fraction < 0.2
 
 
 async def test_what_waited_is_not_sent_to_a_server_that_drains_meanwhile():
--- a/tests/support/keyed.py
+++ b/tests/support/keyed.py
@@ -43,7 +43,7 @@
 from radishwind.retries import CappedRetryPolicy
 from radishwind.retries import RetryPolicy
 from radishwind.routing.baselines import RandomChooser
-from radishwind.routing.placement import Anywhere
+from radishwind.routing.placement import UnrestrictedPlacement
 from radishwind.settings import NodeSettings
 from radishwind.standins.store import StoreStandin
 from radishwind.store import EtcdStore
@@ -202,7 +202,7 @@
                 rng=cluster.rng,
                 index=lambda: cluster.index,
             ),
-            placement=Anywhere(cluster.directory),
+            placement=UnrestrictedPlacement(cluster.directory),
             chooser=RandomChooser(cluster.rng),
             retries=cluster.retries,
             runner=CarefulRunner(runner) if cluster.board else runner,
