--- a/src/radishwind/accounts/book.py
+++ b/src/radishwind/accounts/account_index.py
@@ -11,7 +11,7 @@
 MAX_KEY_CHARS = 512
 
 
-class AccountBook:
+class AccountIndex:
     """Finds accounts by name and by key; a look-up costs one digest."""
 
     def __init__(self, accounts: Iterable[Account] = ()) -> None:
@@ -24,7 +24,7 @@
                 self._holders[digest] = None if held else account
 
     @property
-    def in_use(self) -> bool:
+    def has_accounts(self) -> bool:
         """Whether there are accounts, so that requests need a key."""
         return bool(self._accounts)
 
@@ -34,11 +34,11 @@
         return types.MappingProxyType(self._accounts)
 
     @property
-    def shared_keys(self) -> int:
+    def shared_key_count(self) -> int:
         """How many keys are held by more than one account."""
         return sum(holder is None for holder in self._holders.values())
 
-    def holder(self, key: str) -> Account | None:
+    def find_by_key(self, key: str) -> Account | None:
         """Returns the account that holds `key`, if exactly one does."""
         if not 0 < len(key) <= MAX_KEY_CHARS:
             return None
--- a/src/radishwind/accounts/proof.py
+++ b/src/radishwind/accounts/key_freshness.py
@@ -3,11 +3,11 @@
 import abc
 
 
-class KeyProof(abc.ABC):
+class KeyFreshness(abc.ABC):
     """Says whether a key may be taken for one that is still in force."""
 
     @abc.abstractmethod
-    def stands(self, now: float) -> bool:
+    def is_fresh(self, now: float) -> bool:
         """Returns whether requests with a key may run.
 
         Args:
@@ -23,8 +23,8 @@
         return None
 
 
-class NoProofNeeded(KeyProof):
+class AlwaysFresh(KeyFreshness):
     """Keys count as long as no newer configuration takes them away."""
 
-    def stands(self, now: float) -> bool:
+    def is_fresh(self, now: float) -> bool:
         return True
--- a/src/radishwind/entry/key_authenticator.py
+++ b/src/radishwind/entry/key_authenticator.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable
 
 from radishwind.accounts import Account
-from radishwind.accounts import AccountBook
-from radishwind.accounts import KeyProof
-from radishwind.accounts import NoProofNeeded
+from radishwind.accounts import AccountIndex
+from radishwind.accounts import AlwaysFresh
+from radishwind.accounts import KeyFreshness
 from radishwind.core.codes import ResultCode
 from radishwind.entry.call import CallRejectedError
 
@@ -35,7 +35,9 @@
     """
 
     def __init__(
-        self, book: Callable[[], AccountBook], proof: KeyProof | None = None
+        self,
+        book: Callable[[], AccountIndex],
+        proof: KeyFreshness | None = None,
     ) -> None:
         """Makes a check.
 
@@ -44,14 +46,14 @@
           proof: whether what is known of keys is recent.
         """
         self._book = book
-        self._proof = proof or NoProofNeeded()
+        self._proof = proof or AlwaysFresh()
         self.refused = 0
         self.unproven = 0
 
     @property
     def in_use(self) -> bool:
         """Whether there are accounts, so that requests need a key."""
-        return self._book().in_use
+        return self._book().has_accounts
 
     def authenticate(
         self, keys: tuple[str, ...], *, public: bool, now: float
@@ -76,12 +78,12 @@
             if public:
                 return None
             raise self._refused(keys)
-        if not self._proof.stands(now):
+        if not self._proof.is_fresh(now):
             if public:
                 return None
             self.unproven += 1
             raise KeysUnprovenError(self._proof.retry_s(now))
-        holder = self._book().holder(keys[0]) if len(keys) == 1 else None
+        holder = self._book().find_by_key(keys[0]) if len(keys) == 1 else None
         if holder is None and not public:
             raise self._refused(keys)
         return holder
--- a/src/radishwind/entry/pipeline.py
+++ b/src/radishwind/entry/pipeline.py
@@ -117,9 +117,9 @@
         if not call.account:
             return await self._claims.run(call, self._run)
         taken_at = self._clock.monotonic()
-        wait_s = self._quotas.take(call.account, taken_at)
+        wait_s = self._quotas.admit(call.account, taken_at)
         if wait_s is not None:
-            call.steps.append(self._quotas.figures(call.account))
+            call.steps.append(self._quotas.describe(call.account))
             return NotRun(
                 ResultCode.QUOTA_EXCEEDED,
                 "The account is over its quota.",
@@ -128,7 +128,7 @@
         outcome = await self._claims.run(call, self._run)
         if isinstance(outcome, NotRun):
             now = self._clock.monotonic()
-            self._quotas.give_back(call.account, taken_at, now)
+            self._quotas.refund(call.account, taken_at, now)
         return outcome
 
     async def _run(self, call: Call) -> Outcome:
--- a/src/radishwind/entry/tests/test_key_authenticator.py
+++ b/src/radishwind/entry/tests/test_key_authenticator.py
@@ -6,7 +6,7 @@
 
 from radishwind.accounts import Account
 from radishwind.accounts import digest_key
-from radishwind.accounts import KeyProof
+from radishwind.accounts import KeyFreshness
 from radishwind.claims.guard import NoClaims
 from radishwind.config.model import ServiceRules
 from radishwind.core import ManualClock
@@ -68,12 +68,12 @@
         return AttemptResult(self.outcome)
 
 
-class Proof(KeyProof):
+class Proof(KeyFreshness):
     def __init__(self):
         self.there = True
         self.likely_s = None
 
-    def stands(self, now):
+    def is_fresh(self, now):
         return self.there
 
     def retry_s(self, now):
@@ -84,16 +84,16 @@
     def __init__(self):
         self.left = {"a": 1, "b": 1}
 
-    def take(self, account, now):
+    def admit(self, account, now):
         if not self.left[account]:
             return 0.25
         self.left[account] -= 1
         return None
 
-    def give_back(self, account, taken_at, now):
+    def refund(self, account, taken_at, now):
         self.left[account] += 1
 
-    def figures(self, account):
+    def describe(self, account):
         return f"far (lends quota={account})"
 
 
--- a/src/radishwind/quotas/__init__.py
+++ b/src/radishwind/quotas/__init__.py
@@ -7,17 +7,17 @@
 """
 
 from radishwind.quotas.borrower import Borrower
-from radishwind.quotas.fleet import Fleet
 from radishwind.quotas.gate import NoQuotas
 from radishwind.quotas.gate import QuotaGate
 from radishwind.quotas.lender import Lender
+from radishwind.quotas.lender_map import LenderMap
 from radishwind.quotas.limits import QuotaBounds
 from radishwind.quotas.limits import QuotaLimit
 
 __all__ = [
     "Borrower",
-    "Fleet",
     "Lender",
+    "LenderMap",
     "NoQuotas",
     "QuotaBounds",
     "QuotaGate",
--- a/src/radishwind/quotas/borrower.py
+++ b/src/radishwind/quotas/borrower.py
@@ -10,16 +10,16 @@
 import random
 
 from radishwind.quotas.counts import AccountCounts
-from radishwind.quotas.fleet import Fleet
 from radishwind.quotas.gate import QuotaGate
+from radishwind.quotas.lender_map import LenderMap
 from radishwind.quotas.limits import QuotaLimit
 from radishwind.quotas.loan import Loan
-from radishwind.quotas.messages import Ask
-from radishwind.quotas.messages import AskItem
-from radishwind.quotas.messages import Grant
-from radishwind.quotas.messages import GrantItem
-from radishwind.quotas.messages import in_datagrams
-from radishwind.quotas.messages import Shortage
+from radishwind.quotas.messages import LeaseGrant
+from radishwind.quotas.messages import LeaseGrantItem
+from radishwind.quotas.messages import LeaseRequest
+from radishwind.quotas.messages import LeaseRequestItem
+from radishwind.quotas.messages import ShortageNotice
+from radishwind.quotas.messages import split_into_datagrams
 from radishwind.quotas.pool import LEASE_S
 from radishwind.quotas.returns import return_in_s
 
@@ -55,23 +55,23 @@
 
     def __init__(
         self,
-        fleet: Fleet,
+        lender_map: LenderMap,
         limit_of: Callable[[str], QuotaLimit | None],
         rng: random.Random,
-        ask_own: Callable[[Ask], Grant],
+        ask_own: Callable[[LeaseRequest], LeaseGrant],
         wake: Callable[[], None],
     ) -> None:
         """Makes a borrower.
 
         Args:
-          fleet: the nodes there are.
+          lender_map: the nodes there are.
           limit_of: returns the limit of an account in force; `None` if it has
             none.
           rng: spreads times to come back; names this start.
           ask_own: asks the lender in this node, at once.
           wake: is called when `flush` has something to send.
         """
-        self._fleet = fleet
+        self._lender_map = lender_map
         self._limit_of = limit_of
         self._rng = rng
         self._ask_own = ask_own
@@ -90,17 +90,17 @@
         self.counts = AccountCounts()
 
     @property
-    def accounts(self) -> int:
+    def account_count(self) -> int:
         """How many accounts this node holds something of."""
         return len(self._loans)
 
-    def take(self, account: str, now: float) -> float | None:
+    def admit(self, account: str, now: float) -> float | None:
         limit = self._limit_of(account)
         if limit is None:
             return None
         loan = self._loan(account)
         loan.came(now)
-        if not loan.held(now) and loan.lender == self._fleet.own:
+        if not loan.held(now) and loan.lender == self._lender_map.own_name:
             self._ask_here(account, loan, now)
         if loan.held(now):
             loan.spent += 1
@@ -119,7 +119,7 @@
         self.counts.admitted(account)
         return None
 
-    def give_back(self, account: str, taken_at: float, now: float) -> None:
+    def refund(self, account: str, taken_at: float, now: float) -> None:
         limit, loan = self._limit_of(account), self._loans.get(account)
         if limit is None or loan is None:
             return
@@ -127,18 +127,19 @@
             return
         loan.returned += 1
 
-    def figures(self, account: str) -> str:
+    def describe(self, account: str) -> str:
         limit, loan = self._limit_of(account), self._loans.get(account)
         if limit is None or loan is None:
             return ""
         short = account in self._short
         return (
             f"{loan.lender} (lends quota={limit.rate_per_s:g}/s "
-            f"most={limit.most:.0f}/{limit.window_s:g}s nodes={loan.askers} "
-            f"lent_to={loan.limit} let_in={loan.spent} short={short})"
+            f"most={limit.max_per_window:.0f}/{limit.window_s:g}s "
+            f"nodes={loan.askers} lent_to={loan.limit} let_in={loan.spent} "
+            f"short={short})"
         )
 
-    def heard_grant(self, grant: Grant, now: float) -> None:
+    def handle_grant(self, grant: LeaseGrant, now: float) -> None:
         """Takes an answer."""
         if grant.to_start != self._start:
             return
@@ -153,34 +154,34 @@
             loan.heard(grant.order)
             self._take_item(loan, item, grant, now)
 
-    def heard_shortage(self, told: Shortage, now: float) -> None:
+    def handle_shortage(self, told: ShortageNotice, now: float) -> None:
         """Takes it that accounts are short or not; only their lender knows."""
         for account in told.accounts:
             if self._limit_of(account) is None:
                 continue
-            if self._fleet.lender(account) != told.node:
+            if self._lender_map.lender_of(account) != told.node:
                 continue
             self._note_room(account, told.node, told.is_over, now)
 
-    def flush(self, now: float) -> list[tuple[str, Ask]]:
+    def pop_requests(self, now: float) -> list[tuple[str, LeaseRequest]]:
         """Returns the messages that are due, with the node each is for."""
         due, self._due = self._due, {}
-        by_lender: dict[str, list[AskItem]] = {}
+        by_lender: dict[str, list[LeaseRequestItem]] = {}
         for account in due:
             loan = self._loans.get(account)
             if loan is None:
                 continue
-            if loan.lender == self._fleet.own:
+            if loan.lender == self._lender_map.own_name:
                 self._ask_here(account, loan, now)
                 continue
             if loan.gave_up and now - loan.asked_at < _GIVES_UP_AGAIN_S:
                 continue
             items = by_lender.setdefault(loan.lender, [])
             items.append(self._item(account, loan, now))
-        asks: list[tuple[str, Ask]] = []
+        asks: list[tuple[str, LeaseRequest]] = []
         for lender, items in by_lender.items():
             self._unanswered.setdefault(lender, now)
-            for group in in_datagrams(items):
+            for group in split_into_datagrams(items):
                 asks.append((lender, self._ask(group, now)))
         return asks
 
@@ -198,7 +199,7 @@
                 self._ask_soon(account)
         self._forget(now)
 
-    def silent_lenders(self, now: float) -> tuple[str, ...]:
+    def unresponsive_lenders(self, now: float) -> tuple[str, ...]:
         """Returns the lenders that answer nothing.
 
         Args:
@@ -246,7 +247,7 @@
         loan = self._loans.get(account)
         if loan is None:
             loan = self._loans[account] = Loan(
-                self._fleet.lender(account),
+                self._lender_map.lender_of(account),
                 self._next_session(),
                 heard_to=self._order,
             )
@@ -259,7 +260,7 @@
         return self._session
 
     def _follow_lender(self, account: str, loan: Loan) -> None:
-        lender = self._fleet.lender(account)
+        lender = self._lender_map.lender_of(account)
         if lender == loan.lender:
             return
         loan.move(lender, self._next_session(), self._order)
@@ -271,13 +272,13 @@
         """Returns whether one that was not lent may be let in."""
         if not loan.confirmed or limit.unasked < 1:
             return False
-        if self._fleet.found_at(now) is None:
+        if self._lender_map.discovered_at(now) is None:
             # How many others do the same can't be told.
             return False
         teller, until = self._short.get(account, ("", now))
         if teller == loan.lender and now < until:
             return False
-        return self._fleet.known <= limit.unasked or self._in_touch(
+        return self._lender_map.known_count <= limit.unasked or self._in_touch(
             loan.lender, now
         )
 
@@ -286,7 +287,7 @@
 
         One that was not asked lately is taken to be where most others are.
         """
-        silent = self.silent_lenders(now)
+        silent = self.unresponsive_lenders(now)
         if lender in silent:
             return False
         if not silent or now - self._answered.get(lender, -1e9) < _ANSWERED_S:
@@ -303,16 +304,20 @@
 
     def _ask_here(self, account: str, loan: Loan, now: float) -> None:
         item = self._item(account, loan, now)
-        self.heard_grant(self._ask_own(self._ask((item,), now)), now)
+        self.handle_grant(self._ask_own(self._ask((item,), now)), now)
 
-    def _ask(self, items: tuple[AskItem, ...], now: float) -> Ask:
+    def _ask(
+        self, items: tuple[LeaseRequestItem, ...], now: float
+    ) -> LeaseRequest:
         self._order += 1
         for item in items:
             self._loans[item.account].told(self._order, now)
-        return Ask(self._fleet.own, self._start, self._order, now, items)
+        return LeaseRequest(
+            self._lender_map.own_name, self._start, self._order, now, items
+        )
 
-    def _item(self, account: str, loan: Loan, now: float) -> AskItem:
-        return AskItem(
+    def _item(self, account: str, loan: Loan, now: float) -> LeaseRequestItem:
+        return LeaseRequestItem(
             account,
             loan.session,
             loan.spent,
@@ -324,7 +329,7 @@
         )
 
     def _take_item(
-        self, loan: Loan, item: GrantItem, grant: Grant, now: float
+        self, loan: Loan, item: LeaseGrantItem, grant: LeaseGrant, now: float
     ) -> None:
         loan.spent_known = max(loan.spent_known, item.spent)
         loan.returned_known = max(loan.returned_known, item.returned)
--- a/src/radishwind/quotas/counts.py
+++ b/src/radishwind/quotas/counts.py
@@ -27,7 +27,7 @@
         """Counts a request that was refused."""
         _count(self._refused, account)
 
-    def told(self) -> Mapping[tuple[str, str], int]:
+    def by_outcome(self) -> Mapping[tuple[str, str], int]:
         """Returns the counts by account and outcome, bounded in number."""
         used: dict[str, int] = {}
         for counts in (self._admitted, self._refused):
--- a/src/radishwind/quotas/gate.py
+++ b/src/radishwind/quotas/gate.py
@@ -7,7 +7,7 @@
     """Counts the requests of accounts against their quotas."""
 
     @abc.abstractmethod
-    def take(self, account: str, now: float) -> float | None:
+    def admit(self, account: str, now: float) -> float | None:
         """Counts a request that comes now, if it lies within the quota.
 
         Args:
@@ -19,7 +19,7 @@
         """
 
     @abc.abstractmethod
-    def give_back(self, account: str, taken_at: float, now: float) -> None:
+    def refund(self, account: str, taken_at: float, now: float) -> None:
         """Takes back the count of a request that was let in and did not run.
 
         Args:
@@ -28,7 +28,7 @@
           now: monotonic time (s).
         """
 
-    def figures(self, account: str) -> str:
+    def describe(self, account: str) -> str:
         """Returns what decides on the requests of `account`, for the log."""
         return ""
 
@@ -36,8 +36,8 @@
 class NoQuotas(QuotaGate):
     """Lets everything in."""
 
-    def take(self, account: str, now: float) -> float | None:
+    def admit(self, account: str, now: float) -> float | None:
         return None
 
-    def give_back(self, account: str, taken_at: float, now: float) -> None:
+    def refund(self, account: str, taken_at: float, now: float) -> None:
         """Counts nothing."""
--- a/src/radishwind/quotas/lender.py
+++ b/src/radishwind/quotas/lender.py
@@ -3,12 +3,12 @@
 from collections.abc import Callable
 
 from radishwind.core.clock import Clock
-from radishwind.quotas.fleet import Fleet
+from radishwind.quotas.lender_map import LenderMap
 from radishwind.quotas.limits import QuotaLimit
-from radishwind.quotas.messages import Ask
-from radishwind.quotas.messages import Grant
-from radishwind.quotas.messages import GrantItem
-from radishwind.quotas.messages import Shortage
+from radishwind.quotas.messages import LeaseGrant
+from radishwind.quotas.messages import LeaseGrantItem
+from radishwind.quotas.messages import LeaseRequest
+from radishwind.quotas.messages import ShortageNotice
 from radishwind.quotas.messages import shortages
 from radishwind.quotas.pool import Key
 from radishwind.quotas.pool import LEASE_S
@@ -46,19 +46,19 @@
 
     def __init__(
         self,
-        fleet: Fleet,
+        lender_map: LenderMap,
         limit_of: Callable[[str], QuotaLimit | None],
         clock: Clock,
     ) -> None:
         """Makes a lender.
 
         Args:
-          fleet: the nodes there are.
+          lender_map: the nodes there are.
           limit_of: returns the limit of an account in force; `None` if it has
             none.
           clock: tells log lines that come again.
         """
-        self._fleet = fleet
+        self._lender_map = lender_map
         self._limit_of = limit_of
         self._log = PartLogger("quotas", clock)
         self._pools: dict[str, Pool] = {}
@@ -68,23 +68,23 @@
         self._lent_before = 0
 
     @property
-    def lent(self) -> int:
+    def tokens_lent(self) -> int:
         """Requests lent since the start."""
         return self._lent_before + sum(p.lent for p in self._pools.values())
 
     @property
-    def accounts(self) -> int:
+    def account_count(self) -> int:
         """How many accounts that are in use this node lends."""
         return len(self._pools)
 
     @property
-    def short(self) -> int:
+    def short_count(self) -> int:
         """How many of them have no room."""
         return sum(pool.is_short for pool in self._pools.values())
 
-    def answer(
-        self, ask: Ask, now: float
-    ) -> tuple[Grant, tuple[Shortage, ...]]:
+    def handle_request(
+        self, ask: LeaseRequest, now: float
+    ) -> tuple[LeaseGrant, tuple[ShortageNotice, ...]]:
         """Takes a question.
 
         Args:
@@ -96,27 +96,31 @@
         """
         self._notice_pause(now)
         key = Key(ask.node, ask.start)
-        granted: list[GrantItem] = []
+        granted: list[LeaseGrantItem] = []
         short: list[str] = []
         for item in ask.items:
             pool = self._pool(item.account, now)
             if pool is None:
                 continue
-            pool.fill(self._fleet.share, now)
+            pool.fill(self._lender_map.reachable_fraction, now)
             answer = pool.take(key, ask.order, item, now)
-            pool.fill(self._fleet.share, now)
+            pool.fill(self._lender_map.reachable_fraction, now)
             if answer is not None:
                 granted.append(answer)
                 if pool.is_short and answer.limit <= answer.spent:
                     self._note_over(item.account, pool)
             if self._must_tell(pool, now):
                 short.append(item.account)
-        grant = Grant(
-            self._fleet.own, ask.start, ask.order, ask.sent_at, tuple(granted)
+        grant = LeaseGrant(
+            self._lender_map.own_name,
+            ask.start,
+            ask.order,
+            ask.sent_at,
+            tuple(granted),
         )
-        return grant, tuple(shortages(self._fleet.own, short, ()))
+        return grant, tuple(shortages(self._lender_map.own_name, short, ()))
 
-    def tick(self, now: float) -> tuple[Shortage, ...]:
+    def tick(self, now: float) -> tuple[ShortageNotice, ...]:
         """Drops what is no longer needed.
 
         Args:
@@ -126,7 +130,7 @@
           What all nodes must hear.
         """
         self._notice_pause(now)
-        self._fleet.found_at(now)
+        self._lender_map.discovered_at(now)
         short: list[str] = []
         roomy: list[str] = []
         for account, pool in list(self._pools.items()):
@@ -135,23 +139,25 @@
                 self._drop(account)
                 continue
             pool.limit = limit
-            if self._fleet.lender(account) != self._fleet.own:
+            if self._lender_map.lender_of(account) != self._lender_map.own_name:
                 # It may come back; then it must not begin anew.
                 pool.rest(now)
                 if now - pool.asked_at > limit.window_s:
                     self._drop(account)
                 continue
             pool.expire(now)
-            pool.fill(self._fleet.share, now)
+            pool.fill(self._lender_map.reachable_fraction, now)
             if pool.told_short and not pool.is_short:
                 pool.told_short = False
                 roomy.append(account)
                 self._note_back(account, pool)
-            if pool.is_idle and pool.is_full(self._fleet.share):
+            if pool.is_idle and pool.is_full(
+                self._lender_map.reachable_fraction
+            ):
                 self._drop(account)
             elif self._must_tell(pool, now):
                 short.append(account)
-        return tuple(shortages(self._fleet.own, short, roomy))
+        return tuple(shortages(self._lender_map.own_name, short, roomy))
 
     def resume(self, now: float) -> None:
         """Takes it that `tick` was not called since nothing had to be lent."""
@@ -160,9 +166,12 @@
     def _pool(self, account: str, now: float) -> Pool | None:
         """Returns the pool of `account`; `None` if it isn't lent here."""
         limit = self._limit_of(account)
-        if limit is None or self._fleet.lender(account) != self._fleet.own:
+        if (
+            limit is None
+            or self._lender_map.lender_of(account) != self._lender_map.own_name
+        ):
             return None
-        found_at = self._fleet.found_at(now)
+        found_at = self._lender_map.discovered_at(now)
         if found_at is None or not self._is_ready(found_at, now):
             # Each node may let in one unasked until it is answered.
             return None
@@ -177,17 +186,17 @@
             return False
         if now - found_at >= SETTLED_BY_S:
             return True
-        return now - self._fleet.changed_at >= _COMING_S
+        return now - self._lender_map.changed_at >= _COMING_S
 
     def _open(self, limit: QuotaLimit, found_at: float, now: float) -> Pool:
         """Opens a pool: full if nobody else can have lent for long enough."""
         since = max(
-            self._fleet.changed_at,
-            self._fleet.lost_at + _BOTH_LEND_S,
+            self._lender_map.changed_at,
+            self._lender_map.lost_at + _BOTH_LEND_S,
             self._ready_at,
             found_at + SETTLES_S,
         )
-        share = self._fleet.share
+        share = self._lender_map.reachable_fraction
         gained = max(0.0, now - since) * limit.rate_per_s
         level = min(limit.depth, limit.opening + gained) * share
         return Pool(limit, level, since, now)
@@ -208,10 +217,10 @@
         self._log.info(
             f"Account {account} is over its quota.",
             rate_per_s=pool.limit.rate_per_s,
-            most=round(pool.limit.most, 1),
+            most=round(pool.limit.max_per_window, 1),
             window_s=pool.limit.window_s,
             level=round(pool.level, 1),
-            share=round(self._fleet.share, 3),
+            share=round(self._lender_map.reachable_fraction, 3),
         )
 
     def _note_back(self, account: str, pool: Pool) -> None:
--- a/src/radishwind/quotas/fleet.py
+++ b/src/radishwind/quotas/lender_map.py
@@ -9,13 +9,13 @@
 _REMEMBERED = 4096
 
 
-class Fleet:
+class LenderMap:
     """The nodes that a node knows, and who of them lends.
 
     Attributes:
-      own: the name of this node.
+      own_name: the name of this node.
       live: those that may be in touch; this one among them unless it leaves.
-      known: how many there may be at all, those out of touch among them.
+      known_count: how many there may be at all, those out of touch among them.
       changed_at: when one came or went last (monotonic s).
       lost_at: when one was lost that did not say that it leaves (monotonic s).
     """
@@ -23,7 +23,7 @@
     def __init__(
         self, own: str, now: float, is_alone: Callable[[], bool]
     ) -> None:
-        """Makes a fleet of one node that knows nobody yet.
+        """Makes a lender_map of one node that knows nobody yet.
 
         Args:
           own: the name of this node.
@@ -31,21 +31,21 @@
           is_alone: returns whether there is proof that no other node is there;
             that none was heard of is no proof.
         """
-        self.own = own
+        self.own_name = own
         self._is_alone = is_alone
-        self._found_at: float | None = None
+        self._discovered_at: float | None = None
         self.live: frozenset[str] = frozenset((own,))
-        self.known = 1
+        self.known_count = 1
         self.changed_at = now
         self.lost_at = -float("inf")
         self._lenders: dict[str, str] = {}
 
     @property
-    def share(self) -> float:
+    def reachable_fraction(self) -> float:
         """The part of all nodes that is in touch with this one."""
-        return len(self.live) / self.known
+        return len(self.live) / self.known_count
 
-    def found_at(self, now: float) -> float | None:
+    def discovered_at(self, now: float) -> float | None:
         """Returns since when it is known who else there is (monotonic s).
 
         Args:
@@ -55,11 +55,15 @@
           When another node was heard of first, or it was proved that there is
           none; `None` before.
         """
-        if self._found_at is None and (self.known > 1 or self._is_alone()):
-            self._found_at = now
-        return self._found_at
-
-    def follow(self, live: Iterable[str], known: int, now: float) -> None:
+        if self._discovered_at is None and (
+            self.known_count > 1 or self._is_alone()
+        ):
+            self._discovered_at = now
+        return self._discovered_at
+
+    def update_members(
+        self, live: Iterable[str], known: int, now: float
+    ) -> None:
         """Takes the nodes there are.
 
         Args:
@@ -67,10 +71,10 @@
           known: how many there may be, those believed dead among them.
           now: monotonic time (s).
         """
-        names = frozenset(live) or frozenset((self.own,))
-        lost = max(0, known - len(names)) > self.known - len(self.live)
-        self.known = max(known, len(names))
-        self.found_at(now)
+        names = frozenset(live) or frozenset((self.own_name,))
+        lost = max(0, known - len(names)) > self.known_count - len(self.live)
+        self.known_count = max(known, len(names))
+        self.discovered_at(now)
         if names == self.live:
             return
         came, went = names - self.live, self.live - names
@@ -80,7 +84,7 @@
             self.lost_at = now
         self._move(came, went)
 
-    def lender(self, account: str) -> str:
+    def lender_of(self, account: str) -> str:
         """Returns the node that lends requests of `account`.
 
         Each node has its own rank for each account (rendezvous hashing), so
--- a/src/radishwind/quotas/limits.py
+++ b/src/radishwind/quotas/limits.py
@@ -48,7 +48,7 @@
       taken_back_s: a request that did not run is taken back so long after it
         was let in (s).
       window_s: the window of the bound (s).
-      most: the bound (requests a window).
+      max_per_window: the bound (requests a window).
     """
 
     rate_per_s: float
@@ -57,10 +57,10 @@
     unasked: float
     taken_back_s: float
     window_s: float
-    most: float
+    max_per_window: float
 
     @classmethod
-    def of(cls, account: Account, bounds: QuotaBounds) -> Self | None:
+    def for_account(cls, account: Account, bounds: QuotaBounds) -> Self | None:
         """Returns the limit of `account`; `None` if it has no quota."""
         if not account.is_limited:
             return None
@@ -75,5 +75,5 @@
             unasked=_UNASKED * tolerance,
             taken_back_s=min(MOST_TAKEN_BACK_S, spare / rate),
             window_s=bounds.window_s,
-            most=quota + tolerance,
+            max_per_window=quota + tolerance,
         )
--- a/src/radishwind/quotas/messages.py
+++ b/src/radishwind/quotas/messages.py
@@ -18,7 +18,7 @@
 _Name = Annotated[str, msgspec.Meta(min_length=1, max_length=255)]
 
 
-class AskItem(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class LeaseRequestItem(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """What a node used of one account and wants to hold.
 
     Attributes:
@@ -42,7 +42,9 @@
     gives_up: bool
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag=1, gc=False):
+class LeaseRequest(
+    msgspec.Struct, frozen=True, array_like=True, tag=1, gc=False
+):
     """Tells the node that lends what another used, and asks for more.
 
     Attributes:
@@ -57,10 +59,10 @@
     start: _Count
     order: _Count
     sent_at: float
-    items: tuple[AskItem, ...]
+    items: tuple[LeaseRequestItem, ...]
 
 
-class GrantItem(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class LeaseGrantItem(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """What a node is lent of one account.
 
     Attributes:
@@ -82,8 +84,8 @@
     askers: _Count
 
 
-class Grant(msgspec.Struct, frozen=True, array_like=True, tag=2, gc=False):
-    """Answers an `Ask`.
+class LeaseGrant(msgspec.Struct, frozen=True, array_like=True, tag=2, gc=False):
+    """Answers an `LeaseRequest`.
 
     Attributes:
       node: who lends.
@@ -97,10 +99,12 @@
     to_start: _Count
     order: _Count
     sent_at: float
-    items: tuple[GrantItem, ...]
+    items: tuple[LeaseGrantItem, ...]
 
 
-class Shortage(msgspec.Struct, frozen=True, array_like=True, tag=3, gc=False):
+class ShortageNotice(
+    msgspec.Struct, frozen=True, array_like=True, tag=3, gc=False
+):
     """Says that accounts have no room, or room again.
 
     While they have none, nothing is let in unasked.
@@ -116,9 +120,9 @@
     is_over: bool = False
 
 
-QuotaMessage: TypeAlias = Ask | Grant | Shortage
+QuotaMessage: TypeAlias = LeaseRequest | LeaseGrant | ShortageNotice
 
-_Item = TypeVar("_Item", AskItem, GrantItem)
+_Item = TypeVar("_Item", LeaseRequestItem, LeaseGrantItem)
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(QuotaMessage)
@@ -137,7 +141,7 @@
         return None
 
 
-def in_datagrams(items: Iterable[_Item]) -> Iterator[tuple[_Item, ...]]:
+def split_into_datagrams(items: Iterable[_Item]) -> Iterator[tuple[_Item, ...]]:
     """Yields `items` in groups that each fit a datagram."""
     group: list[_Item] = []
     size = 0
@@ -158,7 +162,7 @@
 
 def shortages(
     node: str, short: Iterable[str], roomy: Iterable[str]
-) -> Iterator[Shortage]:
+) -> Iterator[ShortageNotice]:
     """Yields the messages that tell which accounts are short, or no more.
 
     Args:
@@ -169,4 +173,4 @@
     for accounts, is_over in ((tuple(short), False), (tuple(roomy), True)):
         for first in range(0, len(accounts), _NAMED):
             named = accounts[first : first + _NAMED]
-            yield Shortage(node, named, is_over)
+            yield ShortageNotice(node, named, is_over)
--- a/src/radishwind/quotas/pool.py
+++ b/src/radishwind/quotas/pool.py
@@ -6,8 +6,8 @@
 import msgspec
 
 from radishwind.quotas.limits import QuotaLimit
-from radishwind.quotas.messages import AskItem
-from radishwind.quotas.messages import GrantItem
+from radishwind.quotas.messages import LeaseGrantItem
+from radishwind.quotas.messages import LeaseRequestItem
 
 #: What was lent may be used so long after the borrower asked (s), by its own
 #: clock; by the lender's it is given up so long after the question arrived,
@@ -151,8 +151,8 @@
             self.level -= held
 
     def take(
-        self, key: Key, order: int, item: AskItem, now: float
-    ) -> GrantItem | None:
+        self, key: Key, order: int, item: LeaseRequestItem, now: float
+    ) -> LeaseGrantItem | None:
         """Charges what a node used and lends it more, if there is any.
 
         Args:
@@ -189,7 +189,7 @@
             need -= given
         if need > 0:
             self._asked_for(1, now)
-        return GrantItem(
+        return LeaseGrantItem(
             item.account,
             item.session,
             loan.spent,
@@ -214,7 +214,9 @@
         self._demand = self._demand_per_s(now) + count / _DEMAND_S
         self._demanded_at = max(now, self._demanded_at)
 
-    def _begin(self, key: Key, order: int, item: AskItem, now: float) -> _Loan:
+    def _begin(
+        self, key: Key, order: int, item: LeaseRequestItem, now: float
+    ) -> _Loan:
         old = self._loans.get(key)
         if old is not None:
             self._held -= old.held
@@ -229,7 +231,7 @@
         )
         return loan
 
-    def _charge(self, loan: _Loan, item: AskItem) -> int:
+    def _charge(self, loan: _Loan, item: LeaseRequestItem) -> int:
         """Takes what was used since the last message; returns how many."""
         used = max(0, item.spent - loan.spent)
         back = max(0, item.returned - loan.returned)
--- a/src/radishwind/quotas/tests/test_bound.py
+++ b/src/radishwind/quotas/tests/test_bound.py
@@ -44,7 +44,7 @@
             self.ran.append(now)
 
     def back(self, node, taken_at):
-        node.borrower.give_back("a", taken_at, self.net.now)
+        node.borrower.refund("a", taken_at, self.net.now)
 
 
 def befall(net, kind, mask):
@@ -114,4 +114,4 @@
         befall(net, kind, mask)
     net.run_until(end)
     limit = net.limits["a"]
-    assert worst_window(runs.ran, limit.window_s) <= limit.most
+    assert worst_window(runs.ran, limit.window_s) <= limit.max_per_window
--- a/src/radishwind/quotas/tests/test_fleets.py
+++ b/src/radishwind/quotas/tests/test_fleets.py
@@ -88,7 +88,7 @@
 
 def test_a_lender_that_is_lost_and_comes_back_keeps_the_bound():
     net = hot_net()
-    lender = net.nodes["n0000"].fleet.lender("hot")
+    lender = net.nodes["n0000"].lender_map.lender_of("hot")
     net.run_until(8)
     net.kill(lender)
     net.run_until(13)
@@ -100,7 +100,7 @@
 
 def test_a_lender_that_freezes_keeps_the_bound():
     net = hot_net()
-    lender = net.nodes["n0000"].fleet.lender("hot")
+    lender = net.nodes["n0000"].lender_map.lender_of("hot")
     net.run_until(8)
     net.freeze(lender, 4.0)
     net.run_until(25)
@@ -137,7 +137,7 @@
         net.start(name, heard=(late_s, late_s))
     net.run_until(8 + late_s - 0.01)
     late = [net.nodes[name] for name in tuple(net.nodes)[:count]]
-    assert not any(node.lender.lent for node in late)
+    assert not any(node.lender.tokens_lent for node in late)
     net.run_until(25)
     assert net.worst("hot") <= 1
     heard = [t for t in net.admitted["hot"] if t > 8 + late_s + 3]
@@ -173,7 +173,7 @@
     for number, node in enumerate(net.nodes.values()):
         lost = names[number % 3 :: 3]
         live = [n for n in names if n not in lost or n == node.name]
-        node.fleet.follow(live, len(names), net.now)
+        node.lender_map.update_members(live, len(names), net.now)
     net.run_until(20)
     assert net.worst("hot") <= 1
 
@@ -218,18 +218,18 @@
     net.refused.clear()
     net.run_until(14)
     assert not net.refused["hot"]
-    assert all(not node.lender.accounts for node in net.nodes.values())
+    assert all(not node.lender.account_count for node in net.nodes.values())
 
 
 def test_nobody_is_asked_for_an_account_that_lost_its_quota():
     net = hot_net()
     other = Account("calm", (), None, 40.0, 40.0)
     net.run_until(10)
-    assert any(node.borrower.accounts for node in net.nodes.values())
+    assert any(node.borrower.account_count for node in net.nodes.values())
     for node in net.nodes.values():
         _take(node, net.limits_of([other]))
     net.run_until(11)
-    assert not any(node.borrower.accounts for node in net.nodes.values())
+    assert not any(node.borrower.account_count for node in net.nodes.values())
     sent = net.sent
     net.run_until(60)
     assert net.sent == sent
@@ -252,7 +252,7 @@
     net.run_until(10)
     assert not net.refused["free"]
     assert not net.sent
-    assert not any(node.borrower.accounts for node in net.nodes.values())
+    assert not any(node.borrower.account_count for node in net.nodes.values())
 
 
 def test_nothing_is_kept_of_accounts_that_are_idle():
@@ -260,10 +260,10 @@
     net = Net(accounts, 12)
     load(net, rates, net.now + 3)
     net.run_until(7)
-    assert any(node.borrower.accounts for node in net.nodes.values())
+    assert any(node.borrower.account_count for node in net.nodes.values())
     net.run_until(60)
-    assert not any(node.borrower.accounts for node in net.nodes.values())
-    assert not any(node.lender.accounts for node in net.nodes.values())
+    assert not any(node.borrower.account_count for node in net.nodes.values())
+    assert not any(node.lender.account_count for node in net.nodes.values())
     sent = net.sent
     net.run_until(70)
     assert net.sent == sent
@@ -271,7 +271,7 @@
 
 def test_times_to_come_back_are_spread():
     net = Net([Account("a", (), None, 2.0, 2.0)], 1)
-    take = net.nodes["n0000"].borrower.take
+    take = net.nodes["n0000"].borrower.admit
     waits = [take("a", net.now) for _ in range(60)]
     told = [w for w in waits if w is not None]
     assert len(told) > 30
--- a/src/radishwind/quotas/tests/test_lending.py
+++ b/src/radishwind/quotas/tests/test_lending.py
@@ -9,29 +9,31 @@
 from radishwind.accounts import Account
 from radishwind.core import ManualClock
 from radishwind.quotas import Borrower
-from radishwind.quotas import Fleet
 from radishwind.quotas import Lender
+from radishwind.quotas import LenderMap
 from radishwind.quotas import QuotaBounds
 from radishwind.quotas import QuotaLimit
 from radishwind.quotas.counts import AccountCounts
 from radishwind.quotas.counts import REST
 from radishwind.quotas.lender import SETTLES_S
-from radishwind.quotas.messages import Ask
-from radishwind.quotas.messages import AskItem
 from radishwind.quotas.messages import decode
 from radishwind.quotas.messages import encode
-from radishwind.quotas.messages import Grant
-from radishwind.quotas.messages import GrantItem
-from radishwind.quotas.messages import in_datagrams
-from radishwind.quotas.messages import Shortage
+from radishwind.quotas.messages import LeaseGrant
+from radishwind.quotas.messages import LeaseGrantItem
+from radishwind.quotas.messages import LeaseRequest
+from radishwind.quotas.messages import LeaseRequestItem
+from radishwind.quotas.messages import ShortageNotice
+from radishwind.quotas.messages import split_into_datagrams
 
 ACCOUNT = Account("a", (), None, 10.0, 10.0)
-LIMIT = QuotaLimit.of(ACCOUNT, BOUNDS)
+LIMIT = QuotaLimit.for_account(ACCOUNT, BOUNDS)
 LIMITS = {"a": LIMIT}
 
 
 def item(spent=0, *, want=0, known=0, returned=0, session=1, gives_up=False):
-    return AskItem("a", session, spent, returned, known, 0, want, gives_up)
+    return LeaseRequestItem(
+        "a", session, spent, returned, known, 0, want, gives_up
+    )
 
 
 class Lending:
@@ -39,8 +41,8 @@
 
     def __init__(self):
         self.clock = ManualClock()
-        self.fleet = Fleet("own", 0.0, lambda: True)
-        self.lender = Lender(self.fleet, LIMITS.get, self.clock)
+        self.lender_map = LenderMap("own", 0.0, lambda: True)
+        self.lender = Lender(self.lender_map, LIMITS.get, self.clock)
         for _ in range(40):
             self.pass_s(0.25)
 
@@ -49,8 +51,8 @@
         self.lender.tick(self.clock.monotonic())
 
     def ask(self, order, *items, node="b", start=1):
-        ask = Ask(node, start, order, 0.0, items)
-        return self.lender.answer(ask, self.clock.monotonic())
+        ask = LeaseRequest(node, start, order, 0.0, items)
+        return self.lender.handle_request(ask, self.clock.monotonic())
 
     def grant(self, order, *items, **who):
         return self.ask(order, *items, **who)[0].items[0]
@@ -123,20 +125,23 @@
 
 def test_a_node_that_just_started_answers_nothing_yet():
     clock = ManualClock()
-    lender = Lender(Fleet("own", 0.0, lambda: True), LIMITS.get, clock)
+    lender = Lender(LenderMap("own", 0.0, lambda: True), LIMITS.get, clock)
     clock.advance(SETTLES_S - 0.01)
-    ask = Ask("b", 1, 1, 0.0, (item(want=1),))
-    assert not lender.answer(ask, clock.monotonic())[0].items
+    ask = LeaseRequest("b", 1, 1, 0.0, (item(want=1),))
+    assert not lender.handle_request(ask, clock.monotonic())[0].items
 
 
 def test_a_node_that_knows_only_itself_lends_nothing_before_it_is_sure():
     clock, alone = ManualClock(), []
-    fleet = Fleet("own", 0.0, lambda: bool(alone))
-    lender = Lender(fleet, LIMITS.get, clock)
+    lender_map = LenderMap("own", 0.0, lambda: bool(alone))
+    lender = Lender(lender_map, LIMITS.get, clock)
 
     def lent(order):
-        ask = Ask("b", 1, order, 0.0, (item(want=99),))
-        return [g.limit for g in lender.answer(ask, clock.monotonic())[0].items]
+        ask = LeaseRequest("b", 1, order, 0.0, (item(want=99),))
+        return [
+            g.limit
+            for g in lender.handle_request(ask, clock.monotonic())[0].items
+        ]
 
     for _ in range(40):
         clock.advance(0.25)
@@ -151,32 +156,32 @@
 
 
 def test_who_heard_of_another_is_sure_also_after_it_is_lost():
-    fleet = Fleet("own", 0.0, lambda: False)
-    assert fleet.found_at(1.0) is None
-    fleet.follow(["own", "far"], 2, 2.0)
-    fleet.follow(["own"], 1, 3.0)
-    assert fleet.found_at(4.0) == 2.0
+    lender_map = LenderMap("own", 0.0, lambda: False)
+    assert lender_map.discovered_at(1.0) is None
+    lender_map.update_members(["own", "far"], 2, 2.0)
+    lender_map.update_members(["own"], 1, 3.0)
+    assert lender_map.discovered_at(4.0) == 2.0
 
 
 def test_a_node_that_knows_only_itself_lets_in_none_unasked():
     alone = []
-    fleet = Fleet("own", 0.0, lambda: bool(alone))
+    lender_map = LenderMap("own", 0.0, lambda: bool(alone))
     borrower = Borrower(
-        fleet,
+        lender_map,
         LIMITS.get,
         random.Random(1),
-        lambda ask: Grant("own", ask.start, ask.order, ask.sent_at, ()),
+        lambda ask: LeaseGrant("own", ask.start, ask.order, ask.sent_at, ()),
         lambda: None,
     )
-    assert borrower.take("a", 10.0) is not None
+    assert borrower.admit("a", 10.0) is not None
     alone.append(True)
-    assert borrower.take("a", 11.0) is None
+    assert borrower.admit("a", 11.0) is None
 
 
 def test_an_account_that_is_lent_elsewhere_is_not_answered():
     lending = Lending()
     now = lending.clock.monotonic()
-    lending.fleet.follow(["other"], 2, now)
+    lending.lender_map.update_members(["other"], 2, now)
     assert not lending.ask(1, item(want=1))[0].items
 
 
@@ -184,7 +189,7 @@
     lending = Lending()
     now = lending.clock.monotonic()
     lending.grant(1, item())
-    lending.fleet.follow(["own"], 4, now)
+    lending.lender_map.update_members(["own"], 4, now)
     held = [
         lending.grant(1, item(want=9), node=f"n{n}").limit for n in range(99)
     ]
@@ -195,11 +200,11 @@
     """A borrower, and the lender elsewhere as the test plays it."""
 
     def __init__(self, known=2, limits=None):
-        self.fleet = Fleet("own", 0.0, lambda: True)
-        self.fleet.follow(["far"], known, 0.0)
+        self.lender_map = LenderMap("own", 0.0, lambda: True)
+        self.lender_map.update_members(["far"], known, 0.0)
         self.now = 10.0
         self.borrower = Borrower(
-            self.fleet,
+            self.lender_map,
             (limits or LIMITS).get,
             random.Random(1),
             lambda ask: pytest.fail("nobody lends here"),
@@ -207,22 +212,22 @@
         )
 
     def take(self):
-        return self.borrower.take("a", self.now)
+        return self.borrower.admit("a", self.now)
 
     def asked(self):
-        ((lender, ask),) = self.borrower.flush(self.now)
+        ((lender, ask),) = self.borrower.pop_requests(self.now)
         assert lender == "far"
         return ask
 
     def answer(self, ask, limit=0, *, calm=True, node="far"):
         asked = ask.items[0]
         items = (_granted(asked, limit, calm),)
-        grant = Grant(node, ask.start, ask.order, ask.sent_at, items)
-        self.borrower.heard_grant(grant, self.now)
+        grant = LeaseGrant(node, ask.start, ask.order, ask.sent_at, items)
+        self.borrower.handle_grant(grant, self.now)
 
 
 def _granted(asked, limit, calm):
-    return GrantItem(
+    return LeaseGrantItem(
         "a", asked.session, asked.spent, asked.returned, limit, calm, 1
     )
 
@@ -237,15 +242,15 @@
 
 def test_none_is_let_in_unasked_while_the_account_is_short():
     node = Borrowing()
-    node.borrower.heard_shortage(Shortage("far", ("a",)), node.now)
+    node.borrower.handle_shortage(ShortageNotice("far", ("a",)), node.now)
     assert node.take() is not None
-    node.borrower.heard_shortage(Shortage("far", ("a",), True), node.now)
+    node.borrower.handle_shortage(ShortageNotice("far", ("a",), True), node.now)
     assert node.take() is None
 
 
 def test_only_the_lender_is_believed_that_an_account_is_short():
     node = Borrowing()
-    node.borrower.heard_shortage(Shortage("other", ("a",)), node.now)
+    node.borrower.handle_shortage(ShortageNotice("other", ("a",)), node.now)
     assert node.take() is None
 
 
@@ -285,13 +290,13 @@
 def test_what_did_not_run_is_told_but_not_when_it_comes_late():
     node = Borrowing()
     node.take()
-    node.borrower.give_back("a", node.now, node.now + 0.01)
-    node.borrower.give_back("a", node.now, node.now + 0.02)
+    node.borrower.refund("a", node.now, node.now + 0.01)
+    node.borrower.refund("a", node.now, node.now + 0.02)
     assert node.asked().items[0].returned == 1
     other = Borrowing()
     other.take()
     late = other.now + LIMIT.taken_back_s + 0.01
-    other.borrower.give_back("a", other.now, late)
+    other.borrower.refund("a", other.now, late)
     assert not other.asked().items[0].returned
 
 
@@ -306,7 +311,7 @@
 
 
 def test_without_tolerance_nothing_is_let_in_unasked():
-    limits = {"a": QuotaLimit.of(ACCOUNT, QuotaBounds(5.0, 0.0, 0.0))}
+    limits = {"a": QuotaLimit.for_account(ACCOUNT, QuotaBounds(5.0, 0.0, 0.0))}
     assert Borrowing(limits=limits).take() is not None
 
 
@@ -314,7 +319,7 @@
     node = Borrowing()
     node.take()
     assert node.take() is not None
-    told = node.borrower.figures("a")
+    told = node.borrower.describe("a")
     assert "quota=10/s" in told
     assert "most=86/5s" in told
     assert told.startswith("far ")
@@ -323,22 +328,22 @@
 def test_the_parts_of_the_tolerance_are_no_more_than_the_whole():
     for rate in (0.1, 1.0, 60.0, 900.0):
         account = Account("a", (), None, rate, rate)
-        limit = QuotaLimit.of(account, BOUNDS)
+        limit = QuotaLimit.for_account(account, BOUNDS)
         quota = rate * 5 + rate
         spent = limit.depth - rate + limit.opening + limit.unasked
         spent += rate * limit.taken_back_s
-        assert spent <= limit.most - quota + 1e-9
+        assert spent <= limit.max_per_window - quota + 1e-9
 
 
 def test_messages_fit_a_datagram_and_come_back_as_they_were():
     items = [
-        AskItem(f"account-{n:0200}", 2**40, n, n, n, n, n, True)
+        LeaseRequestItem(f"account-{n:0200}", 2**40, n, n, n, n, n, True)
         for n in range(60)
     ]
-    groups = list(in_datagrams(items))
+    groups = list(split_into_datagrams(items))
     assert [i for group in groups for i in group] == items
     for group in groups:
-        ask = Ask("n" * 64, 2**48, 2**40, 1e9 + 0.1, group)
+        ask = LeaseRequest("n" * 64, 2**48, 2**40, 1e9 + 0.1, group)
         data = encode(ask)
         assert len(data) < 1_399
         assert decode(data) == ask
@@ -350,7 +355,7 @@
     for number in range(100):
         for _ in range(number + 1):
             counts.admitted(f"a{number}")
-    told = counts.told()
+    told = counts.by_outcome()
     assert len(told) == 17
     assert told["a99", "admitted"] == 100
     assert sum(told.values()) == 5050
--- a/src/radishwind/recency/__init__.py
+++ b/src/radishwind/recency/__init__.py
@@ -5,9 +5,9 @@
 round trips how recent its configuration is, and takes no key beyond the bound.
 """
 
-from radishwind.recency.keeper import RecencyKeeper
-from radishwind.recency.model import Proof
-from radishwind.recency.model import RecencyTimes
-from radishwind.recency.proof import RecentProof
+from radishwind.recency.model import FreshnessProof
+from radishwind.recency.model import ProofSchedule
+from radishwind.recency.proof_renewer import ProofRenewer
+from radishwind.recency.proven_freshness import ProvenFreshness
 
-__all__ = ["Proof", "RecencyKeeper", "RecencyTimes", "RecentProof"]
+__all__ = ["FreshnessProof", "ProofRenewer", "ProofSchedule", "ProvenFreshness"]
--- a/src/radishwind/recency/exchange.py
+++ b/src/radishwind/recency/exchange.py
@@ -9,7 +9,7 @@
 from radishwind.recency.messages import decode
 from radishwind.recency.messages import encode
 from radishwind.recency.messages import Question
-from radishwind.recency.model import Proof
+from radishwind.recency.model import FreshnessProof
 
 #: Who asked in vain and is answered again once there is better proof, at most.
 _MOST_HELD = 256
@@ -21,9 +21,9 @@
     """Pairs answers with questions, and answers those of others.
 
     Attributes:
-      asked: questions sent.
-      answered: answers to own questions that proved something.
-      served: answers given that proved something.
+      queries_sent: questions sent.
+      proofs_received: answers to own questions that proved something.
+      proofs_served: answers given that proved something.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         *,
         rng: random.Random,
         send: Callable[[bytes, Address], None],
-        newest: Callable[[], Proof | None],
+        newest: Callable[[], FreshnessProof | None],
         helps_below_s: float,
         kept_s: float,
     ) -> None:
@@ -55,21 +55,21 @@
         self._questions: dict[int, tuple[float, str]] = {}
         # By address, the question that got no good answer, and until when.
         self._held: dict[Address, tuple[Question, float]] = {}
-        self.asked = 0
-        self.answered = 0
-        self.served = 0
+        self.queries_sent = 0
+        self.proofs_received = 0
+        self.proofs_served = 0
 
     def ask(self, name: str, address: Address, now: float) -> None:
         """Asks the node `name` at `address`; the answer counts from `now`."""
         self._forget(now)
         number = self._rng.getrandbits(_NUMBER_BITS)
         self._questions[number] = (now, name)
-        self.asked += 1
+        self.queries_sent += 1
         self._send(encode(Question(number)), address)
 
     def received(
         self, data: bytes, sender: Address, now: float
-    ) -> tuple[str, Proof | None] | None:
+    ) -> tuple[str, FreshnessProof | None] | None:
         """Takes a datagram; answers it if it is a question.
 
         Returns:
@@ -107,17 +107,17 @@
 
     def _answer(self, question: Question, to: Address, now: float) -> None:
         proof = self._newest()
-        self.served += proof is not None
+        self.proofs_served += proof is not None
         self._send(encode(answer_to(question, proof, now)), to)
 
-    def _take(self, answer: Answer) -> tuple[str, Proof | None] | None:
+    def _take(self, answer: Answer) -> tuple[str, FreshnessProof | None] | None:
         asked = self._questions.get(answer.number)
         if asked is None:
             # Late, or to an earlier start of this node.
             return None
         asked_at, name = asked
         proof = answer.proof(asked_at)
-        self.answered += proof is not None
+        self.proofs_received += proof is not None
         return name, proof
 
     def _forget(self, now: float) -> None:
--- a/src/radishwind/recency/messages.py
+++ b/src/radishwind/recency/messages.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from radishwind.recency.model import Proof
+from radishwind.recency.model import FreshnessProof
 
 
 class Question(msgspec.Struct, frozen=True, array_like=True, tag=1, gc=False):
@@ -31,7 +31,7 @@
     version: int = 0
     age_ms: int = -1
 
-    def proof(self, asked_at: float) -> Proof | None:
+    def proof(self, asked_at: float) -> FreshnessProof | None:
         """Returns what this proves to who asked at `asked_at`.
 
         The answer was given after the question was asked, so its age reaches
@@ -42,10 +42,12 @@
         """
         if self.age_ms < 0:
             return None
-        return Proof(asked_at - self.age_ms / 1000, self.version)
+        return FreshnessProof(asked_at - self.age_ms / 1000, self.version)
 
 
-def answer_to(question: Question, proof: Proof | None, now: float) -> Answer:
+def answer_to(
+    question: Question, proof: FreshnessProof | None, now: float
+) -> Answer:
     """Returns the answer of a node that holds `proof` at `now` (s)."""
     if proof is None:
         return Answer(question.number)
--- a/src/radishwind/recency/model.py
+++ b/src/radishwind/recency/model.py
@@ -10,7 +10,7 @@
 _GRANULARITY_S = 0.01
 
 
-class Proof(msgspec.Struct, frozen=True):
+class FreshnessProof(msgspec.Struct, frozen=True):
     """What the store's newest configuration was, and when.
 
     Attributes:
@@ -23,7 +23,7 @@
     version: int
 
 
-class RecencyTimes(msgspec.Struct, frozen=True):
+class ProofSchedule(msgspec.Struct, frozen=True):
     """When a node does what, by the age of its proof.
 
     Each is a part of the bound, so that what fails once can be tried with
--- a/src/radishwind/recency/keeper.py
+++ b/src/radishwind/recency/proof_renewer.py
@@ -14,9 +14,9 @@
 from radishwind.peers.datagrams import Channel
 from radishwind.peers.datagrams import PeerSocket
 from radishwind.recency.exchange import Exchange
-from radishwind.recency.model import Proof
-from radishwind.recency.model import RecencyTimes
-from radishwind.recency.proof import RecentProof
+from radishwind.recency.model import FreshnessProof
+from radishwind.recency.model import ProofSchedule
+from radishwind.recency.proven_freshness import ProvenFreshness
 from radishwind.recency.seeker import Seeker
 from radishwind.recency.sources import Sources
 from radishwind.routes.in_force import RoutesInForce
@@ -26,7 +26,7 @@
 _IDLE_S = 0.5
 
 
-class RecencyKeeper:
+class ProofRenewer:
     """Owns the datagrams of proof, and the task that renews it.
 
     Attributes:
@@ -39,7 +39,7 @@
         *,
         node_name: str,
         failure_domain: str,
-        times: RecencyTimes,
+        times: ProofSchedule,
         clock: Clock,
         rng: random.Random,
         directory: Directory,
@@ -69,14 +69,16 @@
         self._routes = routes
         self._sources = Sources(node_name, failure_domain, directory, rng)
         self._log = PartLogger("recency", clock)
-        self._confirm: Callable[[], Awaitable[Proof | None]] = _unconfirmed
+        self._confirm: Callable[[], Awaitable[FreshnessProof | None]] = (
+            _unconfirmed
+        )
         self._hear: Callable[[int], None] = _unheard
         self._woken = anyio.Event()
         self._seeker: Seeker | None = None
         self._source = ""
         self._stood = False
-        self.proof = RecentProof(times, lambda: routes.version, rng)
-        self.proof.in_vain = self._wake
+        self.proof = ProvenFreshness(times, lambda: routes.version, rng)
+        self.proof.on_stale = self._wake
         self.exchange = Exchange(
             rng=rng,
             send=self._send,
@@ -87,9 +89,9 @@
         socket.add(Channel.RECENCY, self._received)
         routes.listen(lambda cfg: self._wake())
 
-    def follow(
+    def connect(
         self,
-        confirm: Callable[[], Awaitable[Proof | None]],
+        confirm: Callable[[], Awaitable[FreshnessProof | None]],
         hear: Callable[[int], None],
     ) -> None:
         """Says where proof and configurations come from.
@@ -101,12 +103,12 @@
         self._confirm = confirm
         self._hear = hear
 
-    def read_first(self, proof: Proof) -> None:
+    def accept_first_read(self, proof: FreshnessProof) -> None:
         """Takes what the first read of the store proves, beside the task."""
         self._take(proof, "store")
         self._wake()
 
-    def ages(self) -> dict[str, float]:
+    def proof_ages_s(self) -> dict[str, float]:
         """Returns the age of the proof held (s), for the metrics; if any."""
         age_s = self.proof.age_s(self._clock.monotonic())
         return {"": age_s} if age_s < math.inf else {}
@@ -117,7 +119,7 @@
             while True:
                 self._woken = anyio.Event()
                 wait_s = _IDLE_S
-                if self._routes.accounts.in_use:
+                if self._routes.accounts.has_accounts:
                     wait_s = self._seek(tasks)
                 with anyio.move_on_after(wait_s):
                     await self._woken.wait()
@@ -151,7 +153,7 @@
         seeker.read_ended(proof is not None, self._clock.monotonic())
         self._wake()
 
-    def _take(self, proof: Proof, source: str) -> None:
+    def _take(self, proof: FreshnessProof, source: str) -> None:
         if not self.proof.take(proof):
             return
         self._source = source
@@ -200,7 +202,7 @@
         )
 
 
-async def _unconfirmed() -> Proof | None:
+async def _unconfirmed() -> FreshnessProof | None:
     """Reads no store."""
     return None
 
--- a/src/radishwind/recency/proof.py
+++ b/src/radishwind/recency/proven_freshness.py
@@ -4,9 +4,9 @@
 import math
 import random
 
-from radishwind.accounts import KeyProof
-from radishwind.recency.model import Proof
-from radishwind.recency.model import RecencyTimes
+from radishwind.accounts import KeyFreshness
+from radishwind.recency.model import FreshnessProof
+from radishwind.recency.model import ProofSchedule
 
 #: Proofs kept that speak of versions which this node hasn't got yet.
 _MOST_AHEAD = 8
@@ -20,16 +20,16 @@
 _RETRY_SPREAD = 0.5
 
 
-class RecentProof(KeyProof):
+class ProvenFreshness(KeyFreshness):
     """Stands while the version in force is known to be recent.
 
     Attributes:
-      in_vain: called where it was asked for and didn't stand.
+      on_stale: called where it was asked for and didn't stand.
     """
 
     def __init__(
         self,
-        times: RecencyTimes,
+        times: ProofSchedule,
         version: Callable[[], int],
         rng: random.Random,
     ) -> None:
@@ -43,14 +43,14 @@
         self._times = times
         self._version = version
         self._rng = rng
-        self._held: Proof | None = None
-        self._ahead: list[Proof] = []
-        self.in_vain: Callable[[], None] = _nothing
+        self._held: FreshnessProof | None = None
+        self._ahead: list[FreshnessProof] = []
+        self.on_stale: Callable[[], None] = _nothing
 
-    def stands(self, now: float) -> bool:
+    def is_fresh(self, now: float) -> bool:
         if self.age_s(now) < self._times.limit_s:
             return True
-        self.in_vain()
+        self.on_stale()
         return False
 
     def retry_s(self, now: float) -> float:
@@ -72,12 +72,12 @@
         self._follow()
         return now - self._held.as_of if self._held else math.inf
 
-    def newest(self) -> Proof | None:
+    def newest(self) -> FreshnessProof | None:
         """Returns the newest proof, maybe of a version not in force here."""
         self._follow()
         return self._ahead[-1] if self._ahead else self._held
 
-    def take(self, proof: Proof) -> bool:
+    def take(self, proof: FreshnessProof) -> bool:
         """Takes a proof; returns whether it is newer than what was held."""
         newest = self.newest()
         if newest is not None and proof.as_of <= newest.as_of:
@@ -102,7 +102,7 @@
                 del self._ahead[: number + 1]
                 return
 
-    def _hold(self, proof: Proof) -> None:
+    def _hold(self, proof: FreshnessProof) -> None:
         if self._held is None or proof.as_of > self._held.as_of:
             self._held = proof
 
--- a/src/radishwind/recency/seeker.py
+++ b/src/radishwind/recency/seeker.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from radishwind.membership.directory import Member
-from radishwind.recency.model import Proof
-from radishwind.recency.model import RecencyTimes
-from radishwind.recency.proof import RecentProof
+from radishwind.recency.model import FreshnessProof
+from radishwind.recency.model import ProofSchedule
+from radishwind.recency.proven_freshness import ProvenFreshness
 from radishwind.recency.sources import Sources
 
 #: An answer that didn't come within this time (s) is sought from another: a
@@ -56,8 +56,8 @@
     def __init__(
         self,
         *,
-        times: RecencyTimes,
-        proof: RecentProof,
+        times: ProofSchedule,
+        proof: ProvenFreshness,
         sources: Sources,
         rng: random.Random,
         now: float,
@@ -103,7 +103,9 @@
         ask = self._ask(age_s, now)
         return Step(ask, read, self._again_s(age_s, now))
 
-    def answered(self, name: str, proof: Proof | None, now: float) -> None:
+    def answered(
+        self, name: str, proof: FreshnessProof | None, now: float
+    ) -> None:
         """Takes that the node `name` answered, with what `proof`."""
         self._heard = True
         self._alone = False
--- a/src/radishwind/recency/tests/test_any_order.py
+++ b/src/radishwind/recency/tests/test_any_order.py
@@ -7,13 +7,13 @@
 from hypothesis import strategies as st
 
 from radishwind.http.types import Address
-from radishwind.recency import Proof
-from radishwind.recency import RecencyTimes
-from radishwind.recency import RecentProof
+from radishwind.recency import FreshnessProof
+from radishwind.recency import ProofSchedule
+from radishwind.recency import ProvenFreshness
 from radishwind.recency.exchange import Exchange
 
 BOUND_S = 5.0
-TIMES = RecencyTimes(BOUND_S)
+TIMES = ProofSchedule(BOUND_S)
 COUNT = 3
 
 #: How far clocks run apart at most (ratio).
@@ -35,7 +35,7 @@
     def start(self):
         self.version = 0
         self.reads.clear()
-        self.proof = RecentProof(
+        self.proof = ProvenFreshness(
             TIMES, lambda: self.version, random.Random(self.seed)
         )
         self.seed += 1
@@ -95,7 +95,7 @@
             # It may come without the configuration being fetched yet.
             if size < 1.0:
                 node.version = max(node.version, version)
-            node.take(Proof(asked_at, version))
+            node.take(FreshnessProof(asked_at, version))
 
     def asks_node(self, node, other, size):
         node.exchange.ask("x", other.address, node.now())
@@ -144,7 +144,7 @@
         newer = self.acked_at[node.version + 1 :]
         if stands_s <= 0 or not newer:
             return
-        assert node.proof.stands(node.now())
+        assert node.proof.is_fresh(node.now())
         # The first version that this node lacks took a key away.
         assert self.time_s + stands_s <= newer[0] + BOUND_S
 
@@ -187,4 +187,8 @@
     ):
         play.do(event)
 
-    assert [n.proof.stands(n.now()) for n in play.nodes] == [True, True, False]
+    assert [n.proof.is_fresh(n.now()) for n in play.nodes] == [
+        True,
+        True,
+        False,
+    ]
--- a/src/radishwind/recency/tests/test_exchange.py
+++ b/src/radishwind/recency/tests/test_exchange.py
@@ -5,8 +5,8 @@
 import pytest
 
 from radishwind.http.types import Address
+from radishwind.recency import FreshnessProof
 from radishwind.recency import messages
-from radishwind.recency import Proof
 from radishwind.recency.exchange import Exchange
 
 A, B = Address("10.0.0.1", 7600), Address("10.0.0.2", 7600)
@@ -40,11 +40,11 @@
 
 def test_an_answer_counts_from_the_question(ends):
     asker, other = ends
-    other.proof = Proof(1000.0, 7)
+    other.proof = FreshnessProof(1000.0, 7)
 
     name, proof = answered(asker, other, 50.0, 1001.5, 50.01)
 
-    assert (name, proof) == ("b", Proof(48.5, 7))
+    assert (name, proof) == ("b", FreshnessProof(48.5, 7))
 
 
 @pytest.mark.parametrize(
@@ -52,16 +52,16 @@
 )
 def test_a_freeze_before_or_after_the_answer_proves_no_more(ends, at, back_at):
     asker, other = ends
-    other.proof = Proof(1000.0, 7)
+    other.proof = FreshnessProof(1000.0, 7)
 
     _, proof = answered(asker, other, 50.0, at, back_at)
 
-    assert proof == Proof(50.0 - (at - 1000.0), 7)
+    assert proof == FreshnessProof(50.0 - (at - 1000.0), 7)
 
 
 def test_the_age_is_never_told_younger_than_it_is():
     answer = messages.answer_to(
-        messages.Question(1), Proof(10.0, 7), 10.0 + 0.0010001
+        messages.Question(1), FreshnessProof(10.0, 7), 10.0 + 0.0010001
     )
 
     assert answer.age_ms == 2
@@ -76,7 +76,7 @@
     ends, other_start
 ):
     asker, other = ends
-    other.proof = Proof(1000.0, 7)
+    other.proof = FreshnessProof(1000.0, 7)
     asker.exchange.ask("b", B, 50.0)
     other.exchange.received(asker.sent.pop()[0], A, 1000.0)
     data = other.sent.pop()[0]
@@ -99,11 +99,11 @@
 
 def test_who_asked_in_vain_is_answered_again_when_there_is_better(ends):
     asker, other = ends
-    other.proof = Proof(1000.0, 7)
+    other.proof = FreshnessProof(1000.0, 7)
     _, proof = answered(asker, other, 50.0, 1003.0, 50.0)
-    assert proof == Proof(47.0, 7)
+    assert proof == FreshnessProof(47.0, 7)
 
-    other.proof = Proof(1003.1, 8)
+    other.proof = FreshnessProof(1003.1, 8)
     other.exchange.improved(1003.2)
     name, proof = asker.exchange.received(other.sent.pop()[0], B, 50.3)
 
@@ -117,7 +117,7 @@
 def test_a_question_asked_long_ago_isnt_answered_again(ends):
     asker, other = ends
     answered(asker, other, 50.0, 1000.0, 50.0)
-    other.proof = Proof(1001.0, 7)
+    other.proof = FreshnessProof(1001.0, 7)
 
     other.exchange.improved(1000.0 + HELPS_S)
 
--- a/src/radishwind/recency/tests/test_keeper.py
+++ b/src/radishwind/recency/tests/test_proof_renewer.py
@@ -1,4 +1,4 @@
-"""Proof is kept with few calls of the store, whatever fails."""
+"""FreshnessProof is kept with few calls of the store, whatever fails."""
 
 import datetime
 
@@ -7,11 +7,11 @@
 from tests.support.recency_net import Net
 
 from radishwind.experiment.loop import run
-from radishwind.recency import RecencyTimes
+from radishwind.recency import ProofSchedule
 from radishwind.telemetry import logs
 
 NAMES = [f"{domain}-{number}" for domain in "abcd" for number in range(15)]
-LIMIT_S = RecencyTimes(BOUND_S).limit_s
+LIMIT_S = ProofSchedule(BOUND_S).limit_s
 
 
 def play(story, names=NAMES, **options):
--- a/src/radishwind/recency/tests/test_seeker.py
+++ b/src/radishwind/recency/tests/test_seeker.py
@@ -7,13 +7,13 @@
 from radishwind.http.types import Address
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
-from radishwind.recency import Proof
-from radishwind.recency import RecencyTimes
-from radishwind.recency import RecentProof
+from radishwind.recency import FreshnessProof
+from radishwind.recency import ProofSchedule
+from radishwind.recency import ProvenFreshness
 from radishwind.recency.seeker import Seeker
 from radishwind.recency.sources import Sources
 
-TIMES = RecencyTimes(5.0)
+TIMES = ProofSchedule(5.0)
 NAMES = [f"{domain}-{number}" for domain in "abcd" for number in range(10)]
 
 
@@ -42,7 +42,7 @@
         name = by_place[place]
         rng = random.Random(1)
         self.now = 100.0
-        self.proof = RecentProof(TIMES, lambda: 7, rng)
+        self.proof = ProvenFreshness(TIMES, lambda: 7, rng)
         self.seeker = Seeker(
             times=TIMES,
             proof=self.proof,
@@ -58,7 +58,7 @@
             self.proof = self.proof.__class__(
                 TIMES, lambda: 7, random.Random(1)
             )
-            self.proof.take(Proof(self.now - age_s, 7))
+            self.proof.take(FreshnessProof(self.now - age_s, 7))
             self.seeker._proof = self.proof
         return self.seeker.step(self.now)
 
@@ -117,7 +117,7 @@
 def test_who_helped_is_asked_first_the_next_time():
     node = Node(20)
     node.step(2.5)
-    node.seeker.answered("d-7", Proof(node.now - 0.1, 7), node.now)
+    node.seeker.answered("d-7", FreshnessProof(node.now - 0.1, 7), node.now)
     node.now += 2.0
 
     assert [m.name for m in node.step(2.5).ask] == ["d-7"]
--- a/src/radishwind/routes/feed.py
+++ b/src/radishwind/routes/feed.py
@@ -26,7 +26,7 @@
 from radishwind.outcomes import problem
 from radishwind.peers.client import PeerClient
 from radishwind.peers.client import PeerError
-from radishwind.recency.model import Proof
+from radishwind.recency.model import FreshnessProof
 from radishwind.routes.emptied import EmptiedDomains
 from radishwind.routes.emptied import EmptiedInForce
 from radishwind.routes.in_force import RoutesInForce
@@ -96,7 +96,7 @@
         clock: Clock,
         rng: random.Random,
         first_wait_s: float = 0.0,
-        take_proof: Callable[[Proof], None] | None = None,
+        take_proof: Callable[[FreshnessProof], None] | None = None,
     ) -> None:
         """Wires the feed.
 
@@ -166,7 +166,7 @@
             )
             await self._follow_peers()
 
-    async def confirm(self) -> Proof | None:
+    async def confirm(self) -> FreshnessProof | None:
         """Asks the store what its newest configuration is, and takes it."""
         return await self._store_side.confirm()
 
--- a/src/radishwind/routes/in_force.py
+++ b/src/radishwind/routes/in_force.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from radishwind.accounts.book import AccountBook
+from radishwind.accounts.account_index import AccountIndex
 from radishwind.core.clock import Clock
 from radishwind.routes.model import RouteConfig
 from radishwind.routes.table import RouteTable
@@ -26,7 +26,7 @@
         self._listeners: list[Callable[[RouteConfig], None]] = []
         self.cfg: RouteConfig | None = None
         self.table = RouteTable(())
-        self.accounts = AccountBook()
+        self.accounts = AccountIndex()
         self.raw = b""
         self.source = ""
         self._since = 0.0
@@ -78,10 +78,10 @@
         """Takes the accounts of `cfg` where they differ from those in force."""
         if self.cfg is not None and cfg.accounts == self.cfg.accounts:
             return
-        self.accounts = AccountBook(cfg.accounts)
-        if self.accounts.shared_keys:
+        self.accounts = AccountIndex(cfg.accounts)
+        if self.accounts.shared_key_count:
             self._log.warning(
                 "Keys are held by several accounts; they count for none.",
                 version=cfg.version,
-                keys=self.accounts.shared_keys,
+                keys=self.accounts.shared_key_count,
             )
--- a/src/radishwind/routes/store_side.py
+++ b/src/radishwind/routes/store_side.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from radishwind.core.clock import Clock
-from radishwind.recency.model import Proof
+from radishwind.recency.model import FreshnessProof
 from radishwind.routes.emptied import EmptiedDomains
 from radishwind.store.base import Store
 from radishwind.store.base import StoreCompactedError
@@ -62,7 +62,7 @@
         take_config: Callable[[bytes, str], int],
         take_emptied: Callable[[EmptiedDomains, str], None],
         emptied: Callable[[], EmptiedDomains],
-        take_proof: Callable[[Proof], None] | None = None,
+        take_proof: Callable[[FreshnessProof], None] | None = None,
     ) -> None:
         """Wires the store's side of the feed.
 
@@ -137,7 +137,7 @@
         """Returns whether there is a configuration and it could be read."""
         return await self._read(allow_stale=allow_stale) is not None
 
-    async def confirm(self) -> Proof | None:
+    async def confirm(self) -> FreshnessProof | None:
         """Asks the store what its newest configuration is.
 
         A watch proves nothing: it may hear of a change late. Where the store's
@@ -154,12 +154,12 @@
                 revision = await self._store.revision()
                 if revision == self._certain[0]:
                     self._note(lost=False)
-                    return Proof(asked_at, self._certain[1])
+                    return FreshnessProof(asked_at, self._certain[1])
         except StoreError as exc:
             self._note(lost=True, reason=str(exc)[:120])
             return None
         version = await self._read()
-        return Proof(asked_at, version) if version else None
+        return FreshnessProof(asked_at, version) if version else None
 
     async def _read(self, *, allow_stale: bool = False) -> int | None:
         """Reads all; returns the version, 0 for one that can't be read.
--- a/src/radishwind/routes/tests/test_confirm.py
+++ b/src/radishwind/routes/tests/test_confirm.py
@@ -6,7 +6,7 @@
 import pytest
 
 from radishwind.core import ManualClock
-from radishwind.recency import Proof
+from radishwind.recency import FreshnessProof
 from radishwind.routes.emptied import EmptiedDomains
 from radishwind.routes.store_side import OperatorKeys
 from radishwind.routes.store_side import StoreSide
@@ -84,7 +84,7 @@
 ):
     node.clock.advance(10.0)
 
-    assert await node.side.confirm() == Proof(10.0, 7)
+    assert await node.side.confirm() == FreshnessProof(10.0, 7)
     assert node.store.calls == ["list"]
     assert node.taken == [7]
 
@@ -94,7 +94,7 @@
     node.store.calls.clear()
     node.clock.advance(10.0)
 
-    assert await node.side.confirm() == Proof(10.25, 7)
+    assert await node.side.confirm() == FreshnessProof(10.25, 7)
     assert node.store.calls == ["revision"]
 
 
@@ -105,7 +105,7 @@
 
     assert (await node.side.confirm()).version == 7
     node.store.write(b"9")
-    assert await node.side.confirm() == Proof(0.75, 9)
+    assert await node.side.confirm() == FreshnessProof(0.75, 9)
     assert node.store.calls == ["revision", "list"] * 2
     assert node.taken[-1] == 9
 
@@ -188,7 +188,7 @@
     await run_first(node)
 
     assert node.store.calls == ["list"]
-    assert proofs == [Proof(0.0, 7)]
+    assert proofs == [FreshnessProof(0.0, 7)]
 
 
 async def test_the_first_read_may_bring_old_state_where_it_is_not(node):
--- a/src/radishwind/sidecar/control_side.py
+++ b/src/radishwind/sidecar/control_side.py
@@ -109,7 +109,9 @@
             first_wait_s=(
                 FIRST_START_SPREAD_S if settings.first_start else 0.0
             ),
-            take_proof=recency.keeper.read_first if recency.keeper else None,
+            take_proof=recency.keeper.accept_first_read
+            if recency.keeper
+            else None,
         )
         self._unsigned_asks = UnsignedAsks(
             feed=self._feed,
--- a/src/radishwind/sidecar/entry_side.py
+++ b/src/radishwind/sidecar/entry_side.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 import random
 
-from radishwind.accounts import KeyProof
+from radishwind.accounts import KeyFreshness
 from radishwind.claims.guard import NoClaims
 from radishwind.config.model import ServiceRules
 from radishwind.core.clock import Clock
@@ -78,7 +78,7 @@
         reports_unsolicited: Callable[[Member], bool] | None = None,
         observers: Sequence[CallObserver] = (),
         signer: RequestSigner | None = None,
-        proof: KeyProof | None = None,
+        proof: KeyFreshness | None = None,
         quotas: QuotaGate | None = None,
         links: LinkSide | None = None,
     ) -> None:
--- a/src/radishwind/sidecar/metrics.py
+++ b/src/radishwind/sidecar/metrics.py
@@ -12,7 +12,7 @@
 from radishwind.http.types import Request
 from radishwind.http.types import Response
 from radishwind.node.membership_tasks import MembershipTasks
-from radishwind.recency import RecencyKeeper
+from radishwind.recency import ProofRenewer
 from radishwind.routes.emptied import EmptiedInForce
 from radishwind.routes.in_force import RoutesInForce
 from radishwind.sidecar.link_side import LinkSide
@@ -47,7 +47,7 @@
     output: BoundedOutput
     left_out: Callable[[], Mapping[str, int]]
     keys: KeyAuthenticator
-    recency: RecencyKeeper | None
+    recency: ProofRenewer | None
 
 
 def add_metrics(metrics: NodeExposition, counted: Counted) -> None:
@@ -181,7 +181,7 @@
 def _add_keys(
     metrics: NodeExposition,
     keys: KeyAuthenticator,
-    recency: RecencyKeeper | None,
+    recency: ProofRenewer | None,
 ) -> None:
     metrics.counter(
         "radishwind_keys_refused_total",
@@ -196,16 +196,16 @@
     metrics.gauge(
         "radishwind_key_proof_age_seconds",
         "Age of the proof that what is known of keys is recent.",
-        recency.ages,
+        recency.proof_ages_s,
     )
     exchange = recency.exchange
     metrics.counter(
         "radishwind_key_proof_questions_total",
         "Questions for such proof, asked and answered, and those of others.",
         lambda: {
-            'way="asked"': exchange.asked,
-            'way="answered"': exchange.answered,
-            'way="served"': exchange.served,
+            'way="asked"': exchange.queries_sent,
+            'way="answered"': exchange.proofs_received,
+            'way="served"': exchange.proofs_served,
         },
     )
 
@@ -219,21 +219,21 @@
             for (
                 account,
                 outcome,
-            ), count in quotas.borrower.counts.told().items()
+            ), count in quotas.borrower.counts.by_outcome().items()
         },
     )
     metrics.counter(
         "radishwind_quota_lent_total",
         "Requests that this node lent ahead.",
-        lambda: {"": quotas.lender.lent},
+        lambda: {"": quotas.lender.tokens_lent},
     )
     metrics.gauge(
         "radishwind_quota_accounts",
         "Accounts with a quota that are in use, by what this node does.",
         lambda: {
-            'kind="borrowed"': quotas.borrower.accounts,
-            'kind="lent"': quotas.lender.accounts,
-            'kind="short"': quotas.lender.short,
+            'kind="borrowed"': quotas.borrower.account_count,
+            'kind="lent"': quotas.lender.account_count,
+            'kind="short"': quotas.lender.short_count,
         },
     )
     metrics.counter(
--- a/src/radishwind/sidecar/quota_channel.py
+++ b/src/radishwind/sidecar/quota_channel.py
@@ -9,12 +9,12 @@
 from radishwind.peers.datagrams import PeerSocket
 from radishwind.quotas.borrower import Borrower
 from radishwind.quotas.lender import Lender
-from radishwind.quotas.messages import Ask
 from radishwind.quotas.messages import decode
 from radishwind.quotas.messages import encode
-from radishwind.quotas.messages import Grant
+from radishwind.quotas.messages import LeaseGrant
+from radishwind.quotas.messages import LeaseRequest
 from radishwind.quotas.messages import QuotaMessage
-from radishwind.quotas.messages import Shortage
+from radishwind.quotas.messages import ShortageNotice
 
 
 class QuotaChannel:
@@ -59,7 +59,7 @@
 
     def flush(self) -> None:
         """Sends the questions that are due."""
-        for lender, ask in self._borrower.flush(self._clock.monotonic()):
+        for lender, ask in self._borrower.pop_requests(self._clock.monotonic()):
             address = self._address_of(lender)
             if address is not None:
                 self._send(ask, (address,))
@@ -71,16 +71,16 @@
         self._borrower.tick(now)
         self.flush()
 
-    def answer_own(self, ask: Ask) -> Grant:
+    def answer_own(self, ask: LeaseRequest) -> LeaseGrant:
         """Asks the lender in this node."""
-        grant, short = self._lender.answer(ask, self._clock.monotonic())
+        grant, short = self._lender.handle_request(ask, self._clock.monotonic())
         self._tell(short)
         return grant
 
-    def _tell(self, shortages: tuple[Shortage, ...]) -> None:
+    def _tell(self, shortages: tuple[ShortageNotice, ...]) -> None:
         """Tells all nodes, this one among them."""
         for told in shortages:
-            self._borrower.heard_shortage(told, self._clock.monotonic())
+            self._borrower.handle_shortage(told, self._clock.monotonic())
             self._send(told, tuple(self._others()))
 
     def _received(self, data: bytes, sender: Address) -> bool:
@@ -90,14 +90,16 @@
         message = decode(data)
         if message is None:
             return False
-        if isinstance(message, Ask):
-            grant, short = self._lender.answer(message, self._clock.monotonic())
+        if isinstance(message, LeaseRequest):
+            grant, short = self._lender.handle_request(
+                message, self._clock.monotonic()
+            )
             self._send(grant, (sender,))
             self._tell(short)
-        elif isinstance(message, Grant):
-            self._borrower.heard_grant(message, self._clock.monotonic())
+        elif isinstance(message, LeaseGrant):
+            self._borrower.handle_grant(message, self._clock.monotonic())
         else:
-            self._borrower.heard_shortage(message, self._clock.monotonic())
+            self._borrower.handle_shortage(message, self._clock.monotonic())
         return True
 
     def _send(self, message: QuotaMessage, peers: tuple[Address, ...]) -> None:
--- a/src/radishwind/sidecar/quotas.py
+++ b/src/radishwind/sidecar/quotas.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from radishwind.accounts import AccountBook
+from radishwind.accounts import AccountIndex
 from radishwind.core.clock import Clock
 from radishwind.http.types import Address
 from radishwind.membership.facts import Announced
@@ -14,8 +14,8 @@
 from radishwind.node.membership_tasks import MembershipTasks
 from radishwind.peers.datagrams import PeerSocket
 from radishwind.quotas import Borrower
-from radishwind.quotas import Fleet
 from radishwind.quotas import Lender
+from radishwind.quotas import LenderMap
 from radishwind.quotas import QuotaBounds
 from radishwind.quotas import QuotaLimit
 from radishwind.routes.in_force import RoutesInForce
@@ -71,12 +71,12 @@
         self._woken = anyio.Event()
         self._stale = True
         self._addresses: dict[str, Address] = {}
-        self._fleet = Fleet(
+        self._lender_map = LenderMap(
             settings.node, clock.monotonic(), membership.is_alone
         )
-        self.lender = Lender(self._fleet, self._limits.of, clock)
+        self.lender = Lender(self._lender_map, self._limits.of, clock)
         self.borrower = Borrower(
-            self._fleet,
+            self._lender_map,
             self._limits.of,
             rng,
             lambda ask: self.channel.answer_own(ask),
@@ -122,7 +122,7 @@
         if self._stale:
             self._follow(self._membership.gossip, now)
         self.channel.tick()
-        for name in self.borrower.silent_lenders(now):
+        for name in self.borrower.unresponsive_lenders(now):
             self._membership.unreachable(name)
 
     def _changed(self, old: MemberFact | None, new: MemberFact | None) -> None:
@@ -137,10 +137,14 @@
         self._addresses.clear()
         for name in live:
             self._addresses[name] = Address.parse(facts[name].address)
-        self._fleet.follow(live, known, now)
+        self._lender_map.update_members(live, known, now)
 
     def _others(self) -> list[str]:
-        return [name for name in self._addresses if name != self._fleet.own]
+        return [
+            name
+            for name in self._addresses
+            if name != self._lender_map.own_name
+        ]
 
 
 class _Limits:
@@ -149,7 +153,7 @@
     def __init__(self, routes: RoutesInForce, bounds: QuotaBounds) -> None:
         self._routes = routes
         self._bounds = bounds
-        self._book: AccountBook | None = None
+        self._book: AccountIndex | None = None
         self._limits: dict[str, QuotaLimit | None] = {}
         self._has_any = False
 
@@ -166,10 +170,10 @@
             account = book.accounts.get(name)
             if account is None:
                 return None
-            self._limits[name] = QuotaLimit.of(account, self._bounds)
+            self._limits[name] = QuotaLimit.for_account(account, self._bounds)
         return self._limits[name]
 
-    def _follow(self) -> AccountBook:
+    def _follow(self) -> AccountIndex:
         book = self._routes.accounts
         if book is not self._book:
             self._book = book
--- a/src/radishwind/sidecar/recency.py
+++ b/src/radishwind/sidecar/recency.py
@@ -4,13 +4,13 @@
 
 import anyio.abc
 
-from radishwind.accounts import KeyProof
-from radishwind.accounts import NoProofNeeded
+from radishwind.accounts import AlwaysFresh
+from radishwind.accounts import KeyFreshness
 from radishwind.core.clock import Clock
 from radishwind.membership.directory import Directory
 from radishwind.peers.datagrams import PeerSocket
-from radishwind.recency import RecencyKeeper
-from radishwind.recency import RecencyTimes
+from radishwind.recency import ProofRenewer
+from radishwind.recency import ProofSchedule
 from radishwind.routes.feed import RouteFeed
 from radishwind.routes.in_force import RoutesInForce
 from radishwind.settings.placed import PlacedSettings
@@ -45,14 +45,14 @@
           routes: the configuration in force.
           socket: carries questions and answers.
         """
-        self.proof: KeyProof = NoProofNeeded()
-        self.keeper: RecencyKeeper | None = None
+        self.proof: KeyFreshness = AlwaysFresh()
+        self.keeper: ProofRenewer | None = None
         if settings.revoke_s is None:
             return
-        self.keeper = RecencyKeeper(
+        self.keeper = ProofRenewer(
             node_name=settings.node,
             failure_domain=settings.failure_domain,
-            times=RecencyTimes(settings.revoke_s),
+            times=ProofSchedule(settings.revoke_s),
             clock=clock,
             rng=rng,
             directory=directory,
@@ -66,5 +66,5 @@
         """Starts the task, which asks the store by `feed`."""
         if self.keeper is None:
             return
-        self.keeper.follow(feed.confirm, feed.hear)
+        self.keeper.connect(feed.confirm, feed.hear)
         tasks.start_soon(self.keeper.run)
--- a/src/radishwind/sidecar/tests/test_quotas.py
+++ b/src/radishwind/sidecar/tests/test_quotas.py
@@ -17,9 +17,9 @@
 from radishwind.membership.gossip import Gossip
 from radishwind.membership.options import GossipOptions
 from radishwind.peers.datagrams import PeerSocket
-from radishwind.quotas.messages import Ask
-from radishwind.quotas.messages import AskItem
 from radishwind.quotas.messages import encode
+from radishwind.quotas.messages import LeaseRequest
+from radishwind.quotas.messages import LeaseRequestItem
 from radishwind.routes.in_force import RoutesInForce
 from radishwind.routes.model import RouteConfig
 from radishwind.sidecar.quotas import QuotaSharing
@@ -37,7 +37,11 @@
         return Address("127.0.0.1", held.getsockname()[1])
 
 
-ASK = encode(Ask("n2", 1, 1, 0.0, (AskItem("a", 1, 0, 0, 0, 0, 1, False),)))
+ASK = encode(
+    LeaseRequest(
+        "n2", 1, 1, 0.0, (LeaseRequestItem("a", 1, 0, 0, 0, 0, 1, False),)
+    )
+)
 
 
 class Node:
@@ -79,7 +83,7 @@
         self.routes.adopt(cfg, b"", "test")
 
     def take(self, account="a"):
-        return self.sharing.borrower.take(account, self.clock.monotonic())
+        return self.sharing.borrower.admit(account, self.clock.monotonic())
 
 
 async def until(condition):
@@ -110,12 +114,14 @@
         return await self.tasks.__aexit__(*failure)
 
     def know_each_other(self):
-        return all(n.sharing._fleet.known == 2 for n in self.nodes.values())
+        return all(
+            n.sharing._lender_map.known_count == 2 for n in self.nodes.values()
+        )
 
     def sides(self):
         """Returns the node that lends, and the other."""
-        fleet = self.nodes["n1"].sharing._fleet
-        name = fleet.lender("a")
+        lender_map = self.nodes["n1"].sharing._lender_map
+        name = lender_map.lender_of("a")
         (other,) = set(self.nodes) - {name}
         return self.nodes[name], self.nodes[other]
 
@@ -125,12 +131,13 @@
     async with Pair([Account("a", (), None, 50.0, 50.0)]) as pair:
         await until(
             lambda: all(
-                n.sharing._fleet.known == 2 for n in pair.nodes.values()
+                n.sharing._lender_map.known_count == 2
+                for n in pair.nodes.values()
             )
         )
         lender, other = pair.sides()
         assert other.take() is None
-        await until(lambda: lender.sharing.lender.accounts)
+        await until(lambda: lender.sharing.lender.account_count)
         await until(lambda: other.take() is None)
         assert other.sharing.channel.sent
 
@@ -146,7 +153,7 @@
         node.alone = True
         assert node.take() is None
         await until(lambda: node.take() is None)
-        assert node.sharing.lender.accounts == 1
+        assert node.sharing.lender.account_count == 1
         tasks.cancel_scope.cancel()
 
 
@@ -155,30 +162,31 @@
     async with Pair([Account("a", (), None, 50.0, 50.0)]) as pair:
         await until(
             lambda: all(
-                n.sharing._fleet.known == 2 for n in pair.nodes.values()
+                n.sharing._lender_map.known_count == 2
+                for n in pair.nodes.values()
             )
         )
         lender, other = pair.sides()
         lender.socket.close()
         other.take()
         await until(lambda: other.unreachable)
-        assert set(other.unreachable) == {lender.sharing._fleet.own}
+        assert set(other.unreachable) == {lender.sharing._lender_map.own_name}
 
 
 @pytest.mark.anyio
 async def test_members_that_leave_or_are_dead_lend_nothing():
     async with Pair([Account("a", (), None, 50.0, 50.0)]) as pair:
         node = pair.nodes["n1"]
-        fleet = node.sharing._fleet
-        await until(lambda: fleet.known == 2)
+        lender_map = node.sharing._lender_map
+        await until(lambda: lender_map.known_count == 2)
         fact = node.gossip.table.members["n2"]
         dead = MemberFact(*_parts(fact), 2, Announced.ALIVE, Belief.DEAD)
         node.gossip.table.merge_member(dead)
-        await until(lambda: fleet.live == {"n1"})
-        assert fleet.known == 2
+        await until(lambda: lender_map.live == {"n1"})
+        assert lender_map.known_count == 2
         left = MemberFact(*_parts(fact), 3, Announced.LEFT)
         node.gossip.table.merge_member(left)
-        await until(lambda: fleet.known == 1)
+        await until(lambda: lender_map.known_count == 1)
 
 
 def _parts(fact):
@@ -213,7 +221,7 @@
             assert node.take() is None
         await anyio.lowlevel.checkpoint()
         assert not any(n.sharing.channel.sent for n in pair.nodes.values())
-        assert node.sharing._fleet.known == 1
+        assert node.sharing._lender_map.known_count == 1
         for each in pair.nodes.values():
             each.adopt(2, [Account("a", (), None, 50.0, 50.0)])
-        await until(lambda: node.sharing._fleet.known == 2)
+        await until(lambda: node.sharing._lender_map.known_count == 2)
--- a/tests/support/quota_net.py
+++ b/tests/support/quota_net.py
@@ -9,14 +9,14 @@
 from radishwind.accounts import Account
 from radishwind.core import ManualClock
 from radishwind.quotas import Borrower
-from radishwind.quotas import Fleet
 from radishwind.quotas import Lender
+from radishwind.quotas import LenderMap
 from radishwind.quotas import QuotaBounds
 from radishwind.quotas import QuotaLimit
-from radishwind.quotas.messages import Ask
 from radishwind.quotas.messages import decode
 from radishwind.quotas.messages import encode
-from radishwind.quotas.messages import Grant
+from radishwind.quotas.messages import LeaseGrant
+from radishwind.quotas.messages import LeaseRequest
 
 BOUNDS = QuotaBounds(5.0, 0.1, 20.0)
 
@@ -33,11 +33,11 @@
         self.frozen = False
         self.alive = True
         self.hears_at = 0.0
-        self.fleet = Fleet(name, net.now, lambda: len(net.nodes) == 1)
-        self.fleet.follow(members, len(members), net.now)
-        self.lender = Lender(self.fleet, self.limit_of, net.clock)
+        self.lender_map = LenderMap(name, net.now, lambda: len(net.nodes) == 1)
+        self.lender_map.update_members(members, len(members), net.now)
+        self.lender = Lender(self.lender_map, self.limit_of, net.clock)
         self.borrower = Borrower(
-            self.fleet, self.limit_of, net.rng, self.ask_own, self.wake
+            self.lender_map, self.limit_of, net.rng, self.ask_own, self.wake
         )
         net.at(net.now + net.rng.random() * TICK_S, self.tick)
 
@@ -45,7 +45,7 @@
         return self.limits.get(account)
 
     def ask_own(self, ask):
-        grant, short = self.lender.answer(ask, self.net.now)
+        grant, short = self.lender.handle_request(ask, self.net.now)
         self.tell(short)
         return grant
 
@@ -58,7 +58,7 @@
         if self.frozen:
             self.net.at(self.net.now + BATCH_S, self.flush)
             return
-        for lender, ask in self.borrower.flush(self.net.now):
+        for lender, ask in self.borrower.pop_requests(self.net.now):
             self.net.send(self.name, lender, ask)
 
     def tick(self):
@@ -73,7 +73,7 @@
 
     def tell(self, shortages):
         for told in shortages:
-            self.borrower.heard_shortage(told, self.net.now)
+            self.borrower.handle_shortage(told, self.net.now)
             for other in self.net.nodes:
                 if other != self.name:
                     self.net.send(self.name, other, told)
@@ -85,14 +85,14 @@
             self.net.held.append((self, sender, data))
             return
         message = decode(data)
-        if isinstance(message, Ask):
-            grant, short = self.lender.answer(message, self.net.now)
+        if isinstance(message, LeaseRequest):
+            grant, short = self.lender.handle_request(message, self.net.now)
             self.net.send(self.name, sender, grant)
             self.tell(short)
-        elif isinstance(message, Grant):
-            self.borrower.heard_grant(message, self.net.now)
+        elif isinstance(message, LeaseGrant):
+            self.borrower.handle_grant(message, self.net.now)
         else:
-            self.borrower.heard_shortage(message, self.net.now)
+            self.borrower.handle_shortage(message, self.net.now)
 
 
 @dataclasses.dataclass
@@ -126,7 +126,9 @@
             self.run_until(5.0)
 
     def limits_of(self, accounts):
-        return {a.name: QuotaLimit.of(a, self.bounds) for a in accounts}
+        return {
+            a.name: QuotaLimit.for_account(a, self.bounds) for a in accounts
+        }
 
     @property
     def now(self):
@@ -160,7 +162,7 @@
 
     def ask(self, node, account):
         """One request at `node` now; returns whether it was let in."""
-        wait_s = self.nodes[node].borrower.take(account, self.now)
+        wait_s = self.nodes[node].borrower.admit(account, self.now)
         into = self.admitted if wait_s is None else self.refused
         into[account].append(self.now)
         return wait_s is None
@@ -204,7 +206,7 @@
             for name, other in self.nodes.items()
             if other.alive and self.side.get(name) == self.side.get(node.name)
         ]
-        node.fleet.follow(live, len(self.nodes), self.now)
+        node.lender_map.update_members(live, len(self.nodes), self.now)
 
     def freeze(self, name, for_s):
         """Stands still; what comes meanwhile is read afterwards."""
@@ -221,7 +223,10 @@
     def worst(self, account, limit=None):
         """Returns the worst window's requests over its bound."""
         limit = limit or self.limits[account]
-        return worst_window(self.admitted[account], limit.window_s) / limit.most
+        return (
+            worst_window(self.admitted[account], limit.window_s)
+            / limit.max_per_window
+        )
 
 
 def worst_window(times, window_s):
--- a/tests/support/quota_ways.py
+++ b/tests/support/quota_ways.py
@@ -40,7 +40,7 @@
         self._net = net
         self._levels = {}
 
-    def take(self, account, now):
+    def admit(self, account, now):
         limit = self._net.limits[account]
         depth = max(1.0, limit.depth / self._net.count)
         level, at = self._levels.get(account, (depth, now))
@@ -50,7 +50,7 @@
         self._levels[account] = (level - let_in, now)
         return None if let_in else 1.0
 
-    def give_back(self, account, taken_at, now):
+    def refund(self, account, taken_at, now):
         """Counts nothing back."""
 
 
--- a/tests/support/recency_net.py
+++ b/tests/support/recency_net.py
@@ -10,8 +10,8 @@
 from radishwind.http.types import Address
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
-from radishwind.recency import RecencyKeeper
-from radishwind.recency import RecencyTimes
+from radishwind.recency import ProofRenewer
+from radishwind.recency import ProofSchedule
 from radishwind.routes import RouteConfig
 from radishwind.routes import RoutesInForce
 from radishwind.routes.emptied import EmptiedDomains
@@ -112,10 +112,10 @@
         self.heard = []
         self.handler = None
         self.sent = 0
-        self.keeper = RecencyKeeper(
+        self.keeper = ProofRenewer(
             node_name=name,
             failure_domain=domain,
-            times=RecencyTimes(BOUND_S),
+            times=ProofSchedule(BOUND_S),
             clock=net.clock,
             rng=rng,
             directory=self.known,
@@ -133,7 +133,7 @@
             take_emptied=lambda told, source: None,
             emptied=EmptiedDomains,
         )
-        self.keeper.follow(self.side.confirm, self._hear)
+        self.keeper.connect(self.side.confirm, self._hear)
 
     # As a socket.
     def add(self, channel, handler):
@@ -155,8 +155,8 @@
             loop = asyncio.get_running_loop()
             loop.call_later(0.05, self._take, str(version).encode(), "peer")
 
-    def stands(self):
-        return self.keeper.proof.stands(self.net.clock.monotonic())
+    def is_fresh(self):
+        return self.keeper.proof.is_fresh(self.net.clock.monotonic())
 
     def age_s(self):
         return self.keeper.proof.age_s(self.net.clock.monotonic())
@@ -224,7 +224,7 @@
         await asyncio.sleep(seconds)
 
     def standing(self):
-        return {name for name, node in self.nodes.items() if node.stands()}
+        return {name for name, node in self.nodes.items() if node.is_fresh()}
 
     def stop(self):
         for task in self._tasks.values():
