--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -5,7 +5,7 @@
 The first two tables take each step alone, in this process; the third counts
 the store calls of one change. The fourth runs the configuration tasks of many
 nodes in this process, over a sender without sockets, with the default periods
-and no board of rumors; times are those of one busy event loop that all of them
+and no rumor bus; times are those of one busy event loop that all of them
 share.
 """
 
--- a/bench/data_path.py
+++ b/bench/data_path.py
@@ -33,7 +33,7 @@
 from radishwind.http.factory import HttpLibrary
 from radishwind.membership import Directory
 from radishwind.membership import Member
-from radishwind.membership import SilentBoard
+from radishwind.membership import NullRumorBus
 from radishwind.node.callers import CallerListener
 from radishwind.node.in_progress import RequestsInProgress
 from radishwind.peers import ForwardRunner
@@ -62,7 +62,7 @@
     def __init__(self, *members: Member) -> None:
         self._members = members
 
-    def of_service(self, service: str) -> tuple[Member, ...]:
+    def eligible_members(self, service: str) -> tuple[Member, ...]:
         return self._members
 
     def members(self) -> tuple[Member, ...]:
@@ -167,7 +167,7 @@
     server = BackendServer(name, address)
     server.set_listed(True)
     quarantine = Quarantine(
-        target=name, service=SERVICE, clock=clock, board=SilentBoard()
+        target=name, service=SERVICE, clock=clock, rumor_bus=NullRumorBus()
     )
     return TargetPipeline(
         clock=clock,
--- a/bench/membership_states.py
+++ b/bench/membership_states.py
@@ -7,22 +7,22 @@
 import tracemalloc
 from typing import Any
 
-from tests.support.gossip_net import fact_of
 from tests.support.gossip_net import GossipNet
+from tests.support.gossip_net import member_record
 
 from radishwind.config import Configuration
 from radishwind.config.index import ConfigIndex
 from radishwind.core import ManualClock
 from radishwind.http import Address
-from radishwind.membership import Announced
+from radishwind.membership import AdvertisedState
 from radishwind.membership import Gossip
 from radishwind.membership import GossipDirectory
 from radishwind.membership import GossipOptions
-from radishwind.membership.facts import RumorFact
-from radishwind.membership.listing import InventoryListing
-from radishwind.membership.messages import decode
-from radishwind.membership.messages import encode
+from radishwind.membership.allowlist import InventoryAllowlist
+from radishwind.membership.messages import decode_message
+from radishwind.membership.messages import encode_message
 from radishwind.membership.messages import Push
+from radishwind.membership.records import Rumor
 from radishwind.peers import PeerSigner
 from radishwind.peers import PeerVerifier
 
@@ -71,7 +71,7 @@
         config = rng.random() * (_MEMBER_FACTS_S + _CONFIG_FACTS_S)
         number = rng.randrange(size)
         if config < _CONFIG_FACTS_S:
-            fact = RumorFact(
+            fact = Rumor(
                 "config", "root", version, '{"revision":1,"id":"x"}', 30_000
             )
             net.at(at, _publisher(net, number, fact))
@@ -79,9 +79,7 @@
             net.at(at, _turner(net, number))
 
 
-def _publisher(
-    net: GossipNet, number: int, fact: RumorFact
-) -> Callable[[], None]:
+def _publisher(net: GossipNet, number: int, fact: Rumor) -> Callable[[], None]:
     def publish() -> None:
         net.nodes[number].publish(fact, net.now)
         net.send(number, net.nodes[number].tick(net.now))
@@ -92,10 +90,10 @@
 def _turner(net: GossipNet, number: int) -> Callable[[], None]:
     def turn() -> None:
         node = net.nodes[number]
-        new = Announced.DRAINING
-        if node.own.announced is Announced.DRAINING:
-            new = Announced.ALIVE
-        net.send(number, node.announce(new, net.now))
+        new = AdvertisedState.DRAINING
+        if node.own_record.advertised is AdvertisedState.DRAINING:
+            new = AdvertisedState.SERVING
+        net.send(number, node.advertise(new, net.now))
 
     return turn
 
@@ -110,11 +108,14 @@
     else:
         net.fill(size)
     net.run(_SETTLE_S)
-    net.send(1, net.nodes[1].announce(Announced.LEAVING, net.now))
+    net.send(1, net.nodes[1].advertise(AdvertisedState.LEAVING, net.now))
     leave = _time_to_all(
-        net, lambda: net.knowing(1, lambda f: f.announced is Announced.LEAVING)
+        net,
+        lambda: net.count_holding(
+            1, lambda f: f.advertised is AdvertisedState.LEAVING
+        ),
     )
-    fact = RumorFact("config", "root", 1, "{}", 600_000)
+    fact = Rumor("config", "root", 1, "{}", 600_000)
     _publisher(net, 2, fact)()
     key = (fact.topic, fact.key)
     rumor = _time_to_all(
@@ -131,7 +132,7 @@
 
 def _death_s(net: GossipNet) -> float | None:
     net.kill(3)
-    return _time_to_all(net, lambda: net.knowing(3, lambda f: f.gone))
+    return _time_to_all(net, lambda: net.count_holding(3, lambda f: f.is_gone))
 
 
 def _time_to_all(net: GossipNet, count: Callable[[], int]) -> float | None:
@@ -141,12 +142,12 @@
 
 def _fill_views(net: GossipNet, size: int) -> None:
     """Starts nodes that know some of the others each, to save memory."""
-    facts = [fact_of(number) for number in range(size)]
+    facts = [member_record(number) for number in range(size)]
     for number in range(size):
         node = net.add(number)
         for fact in net.rng.sample(facts, _VIEW):
             node.table.merge_member(fact)
-    net.hush()
+    net.discard_pending_updates()
 
 
 def start_row(size: int, seed: int) -> Row:
@@ -178,7 +179,7 @@
 
     def merged() -> bool:
         return all(
-            not fact.belief
+            not fact.liveness
             for node in net.nodes.values()
             for fact in node.table.members.values()
         )
@@ -194,21 +195,24 @@
 def memory_row(size: int) -> Row:
     """Returns the memory of one node's state and directory."""
     clock = ManualClock()
-    data = [encode(Push("x", 0, (fact_of(n),))) for n in range(1, size)]
+    data = [
+        encode_message(Push("x", 0, (member_record(n),)))
+        for n in range(1, size)
+    ]
     gc.collect()
     tracemalloc.start()
-    node = Gossip(fact_of(0), GossipOptions(), random.Random(1), 0.0)
+    node = Gossip(member_record(0), GossipOptions(), random.Random(1), 0.0)
     index = ConfigIndex(Configuration())
     directory = GossipDirectory(
-        node, InventoryListing(lambda: index), clock, 10.0
+        node, InventoryAllowlist(lambda: index), clock, 10.0
     )
     for item in data:
-        for fact in decode(item).members:
+        for fact in decode_message(item).members:
             node.table.merge_member(fact)
     gc.collect()
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    assert directory.of_service("none") == ()
+    assert directory.eligible_members("none") == ()
     return {
         "members": size,
         "MB": held / 1e6,
@@ -243,13 +247,13 @@
 
 def codec_row(count: int = 20_000) -> Row:
     """Returns what the codec costs for a push of one fact."""
-    push = Push("target-00001", 7, (fact_of(8_000, 10**12),))
+    push = Push("target-00001", 7, (member_record(8_000, 10**12),))
     began = time.perf_counter()
     for _ in range(count):
-        data = encode(push)
+        data = encode_message(push)
     encoded = time.perf_counter()
     for _ in range(count):
-        decode(data)
+        decode_message(data)
     decoded = time.perf_counter()
     return {
         "bytes": len(data),
--- a/src/radishwind/entry/tests/test_call_executor.py
+++ b/src/radishwind/entry/tests/test_call_executor.py
@@ -55,7 +55,7 @@
             for i in range(count)
         )
 
-    def of_service(self, service):
+    def eligible_members(self, service):
         return self._members
 
     def members(self):
--- a/src/radishwind/entry/tests/test_key_authenticator.py
+++ b/src/radishwind/entry/tests/test_key_authenticator.py
@@ -49,11 +49,11 @@
 
 
 class One(Directory):
-    def of_service(self, service):
+    def eligible_members(self, service):
         return (Member("n", "s", "d", Address("127.0.0.1", 1)),)
 
     def members(self):
-        return self.of_service("s")
+        return self.eligible_members("s")
 
 
 class Server(AttemptRunner):
--- a/src/radishwind/entry/tests/test_not_run_is_true.py
+++ b/src/radishwind/entry/tests/test_not_run_is_true.py
@@ -29,12 +29,12 @@
 
 
 class Three(Directory):
-    def of_service(self, service):
+    def eligible_members(self, service):
         address = Address("127.0.0.1", 1)
         return tuple(Member(n, "s", "d", address) for n in ("a", "b", "c"))
 
     def members(self):
-        return self.of_service("s")
+        return self.eligible_members("s")
 
 
 class Plays(AttemptRunner):
--- a/src/radishwind/experiment/nodes.py
+++ b/src/radishwind/experiment/nodes.py
@@ -17,7 +17,7 @@
 from radishwind.loads.report_scheduler import ReportScheduler
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
-from radishwind.membership.rumors import SilentBoard
+from radishwind.membership.rumor_bus import NullRumorBus
 from radishwind.peers.listener import PeerListener
 from radishwind.platform import PlatformDialect
 from radishwind.routes.emptied import EmptiedInForce
@@ -57,7 +57,7 @@
         self._members.pop(name, None)
         self._index()
 
-    def of_service(self, service: str) -> tuple[Member, ...]:
+    def eligible_members(self, service: str) -> tuple[Member, ...]:
         return self._by_service.get(service, ())
 
     def members(self) -> tuple[Member, ...]:
@@ -105,7 +105,7 @@
             clock=clock,
             sender=sender,
             dialect=PlatformDialect(),
-            board=SilentBoard(),
+            rumor_bus=NullRumorBus(),
             learns_for_others=lambda: True,
             ready_changed=lambda ready: None,
             switches=switches,
--- a/src/radishwind/membership/__init__.py
+++ b/src/radishwind/membership/__init__.py
@@ -8,25 +8,25 @@
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
 from radishwind.membership.directory import MemberState
-from radishwind.membership.facts import Announced
-from radishwind.membership.facts import MemberFact
 from radishwind.membership.gossip import Gossip
-from radishwind.membership.options import GossipOptions
-from radishwind.membership.rumors import GossipRumorBoard
-from radishwind.membership.rumors import RumorBoard
-from radishwind.membership.rumors import SilentBoard
-from radishwind.membership.view import GossipDirectory
+from radishwind.membership.gossip_directory import GossipDirectory
+from radishwind.membership.gossip_options import GossipOptions
+from radishwind.membership.records import AdvertisedState
+from radishwind.membership.records import MemberRecord
+from radishwind.membership.rumor_bus import GossipRumorBus
+from radishwind.membership.rumor_bus import NullRumorBus
+from radishwind.membership.rumor_bus import RumorBus
 
 __all__ = [
-    "Announced",
+    "AdvertisedState",
     "Directory",
     "Gossip",
     "GossipDirectory",
     "GossipOptions",
-    "GossipRumorBoard",
+    "GossipRumorBus",
     "Member",
-    "MemberFact",
+    "MemberRecord",
     "MemberState",
-    "RumorBoard",
-    "SilentBoard",
+    "NullRumorBus",
+    "RumorBus",
 ]
--- a/src/radishwind/membership/listing.py
+++ b/src/radishwind/membership/allowlist.py
@@ -4,10 +4,10 @@
 from collections.abc import Callable
 
 from radishwind.config.index import ConfigIndex
-from radishwind.membership.facts import MemberFact
+from radishwind.membership.records import MemberRecord
 
 
-class Listing(abc.ABC):
+class MemberAllowlist(abc.ABC):
     """Says which members may be given work."""
 
     @abc.abstractmethod
@@ -15,7 +15,7 @@
         """Returns an object that is another one after each change."""
 
     @abc.abstractmethod
-    def lists(self, fact: MemberFact) -> bool:
+    def allows(self, fact: MemberRecord) -> bool:
         """Returns whether the member of `fact` may be given work."""
 
     @abc.abstractmethod
@@ -23,7 +23,7 @@
         """Returns how many members are listed, as far as that is known."""
 
 
-class InventoryListing(Listing):
+class InventoryAllowlist(MemberAllowlist):
     """Lists what the operators' inventory in force lists."""
 
     def __init__(self, index: Callable[[], ConfigIndex]) -> None:
@@ -32,7 +32,7 @@
     def version(self) -> object:
         return self._index()
 
-    def lists(self, fact: MemberFact) -> bool:
+    def allows(self, fact: MemberRecord) -> bool:
         target = self._index().targets.get(fact.name)
         if target is None:
             return False
@@ -45,13 +45,13 @@
         return len(self._index().targets)
 
 
-class OpenListing(Listing):
+class OpenAllowlist(MemberAllowlist):
     """Lists everyone, where servers announce themselves and none is listed."""
 
     def version(self) -> object:
         return None
 
-    def lists(self, fact: MemberFact) -> bool:
+    def allows(self, fact: MemberRecord) -> bool:
         return True
 
     def size(self) -> int:
--- a/src/radishwind/membership/sync.py
+++ b/src/radishwind/membership/anti_entropy.py
@@ -2,29 +2,33 @@
 
 from collections.abc import Iterable
 
-from radishwind.membership.facts import member_newer
-from radishwind.membership.facts import MemberFact
-from radishwind.membership.facts import rumor_newer
-from radishwind.membership.facts import RumorFact
+from radishwind.membership.membership_table import MembershipTable
 from radishwind.membership.messages import GroupLeaves
 from radishwind.membership.messages import SyncGroups
 from radishwind.membership.messages import SyncLeaves
 from radishwind.membership.messages import SyncNewer
 from radishwind.membership.messages import SyncPage
-from radishwind.membership.table import FactTable
+from radishwind.membership.records import member_newer
+from radishwind.membership.records import MemberRecord
+from radishwind.membership.records import Rumor
+from radishwind.membership.records import rumor_newer
 
 #: Groups told in one answer, so that it stays within a message.
 _MAX_GROUPS_TOLD = 16
 
 
-class Syncer:
+class AntiEntropy:
     """Makes and answers the messages of anti-entropy.
 
     The side that opened it keeps which leaves are still to be exchanged.
     """
 
     def __init__(
-        self, own_name: str, table: FactTable, page_bytes: int, max_pages: int
+        self,
+        own_name: str,
+        table: MembershipTable,
+        page_bytes: int,
+        max_pages: int,
     ) -> None:
         """Makes a syncer.
 
@@ -118,14 +122,14 @@
 
     def _facts_that_fit(
         self, leaves: tuple[int, ...], now: float
-    ) -> tuple[tuple[int, ...], list[MemberFact], list[RumorFact]]:
+    ) -> tuple[tuple[int, ...], list[MemberRecord], list[Rumor]]:
         """Returns the first leaves whose facts fit a page, and the facts."""
-        by_leaf: dict[int, list[MemberFact | RumorFact]] = {}
+        by_leaf: dict[int, list[MemberRecord | Rumor]] = {}
         wanted = frozenset(leaves)
-        for leaf, fact in self._table.facts_in(wanted, now):
+        for leaf, fact in self._table.records_in_leaves(wanted, now):
             by_leaf.setdefault(leaf, []).append(fact)
         fitting: list[int] = []
-        facts: list[MemberFact | RumorFact] = []
+        facts: list[MemberRecord | Rumor] = []
         size = 0
         for leaf in dict.fromkeys(leaves):
             held = by_leaf.get(leaf, [])
@@ -134,20 +138,20 @@
                 break
             fitting.append(leaf)
             facts += held
-        members = [f for f in facts if isinstance(f, MemberFact)]
-        rumors = [f for f in facts if isinstance(f, RumorFact)]
+        members = [f for f in facts if isinstance(f, MemberRecord)]
+        rumors = [f for f in facts if isinstance(f, Rumor)]
         return tuple(fitting), members, rumors
 
 
-def _size(facts: Iterable[MemberFact | RumorFact]) -> int:
+def _size(facts: Iterable[MemberRecord | Rumor]) -> int:
     return sum(fact.size_bytes() for fact in facts)
 
 
-def _news(fact: MemberFact, theirs: MemberFact | None) -> bool:
+def _news(fact: MemberRecord, theirs: MemberRecord | None) -> bool:
     if theirs is None:
-        return not fact.gone
+        return not fact.is_gone
     return member_newer(fact, theirs)
 
 
-def _rumor_news(fact: RumorFact, theirs: RumorFact | None) -> bool:
+def _rumor_news(fact: Rumor, theirs: Rumor | None) -> bool:
     return theirs is None or rumor_newer(fact, theirs)
--- a/src/radishwind/membership/changes.py
+++ b/src/radishwind/membership/change_logger.py
@@ -9,25 +9,25 @@
 from collections.abc import Callable
 from typing import TypeAlias
 
-from radishwind.membership.facts import Announced
-from radishwind.membership.facts import Belief
-from radishwind.membership.facts import MemberFact
+from radishwind.membership.records import AdvertisedState
+from radishwind.membership.records import Liveness
+from radishwind.membership.records import MemberRecord
 
 #: Length of a window (s), and changes told by name in one.
 WINDOW_S = 30.0
-TOLD_PER_WINDOW = 20
+MAX_LINES_PER_WINDOW = 20
 
 Report: TypeAlias = Callable[[str], None]
 
 _WORD_BY_ANNOUNCED = {
-    Announced.ALIVE: "joined",
-    Announced.DRAINING: "drains",
-    Announced.LEAVING: "leaves",
-    Announced.LEFT: "left",
+    AdvertisedState.SERVING: "joined",
+    AdvertisedState.DRAINING: "drains",
+    AdvertisedState.LEAVING: "leaves",
+    AdvertisedState.LEFT: "left",
 }
 
 
-class ChangeTeller:
+class MembershipChangeLogger:
     """Tells each change of state of another member once."""
 
     def __init__(self, own: str, report: Report) -> None:
@@ -43,8 +43,8 @@
         self._told = 0
         self._held: collections.Counter[str] = collections.Counter()
 
-    def changed(
-        self, old: MemberFact | None, new: MemberFact | None, now: float
+    def record_change(
+        self, old: MemberRecord | None, new: MemberRecord | None, now: float
     ) -> None:
         """Takes the old and the new fact of a member, at monotonic `now`."""
         if new is None or new.name == self._own:
@@ -53,7 +53,7 @@
         if word is None:
             return
         self.flush(now)
-        if self._told >= TOLD_PER_WINDOW:
+        if self._told >= MAX_LINES_PER_WINDOW:
             self._held[word] += 1
             return
         self._told += 1
@@ -71,7 +71,7 @@
         self._told = 0
 
 
-def _word(old: MemberFact | None, new: MemberFact) -> str | None:
+def _word(old: MemberRecord | None, new: MemberRecord) -> str | None:
     """Returns what to tell of a change, `None` where the state is the same."""
     before = None if old is None else _state(old)
     now = _state(new)
@@ -84,11 +84,11 @@
     return now
 
 
-def _state(fact: MemberFact) -> str:
-    if fact.announced is Announced.LEFT:
+def _state(fact: MemberRecord) -> str:
+    if fact.advertised is AdvertisedState.LEFT:
         return "left"
-    if fact.belief is Belief.DEAD:
+    if fact.liveness is Liveness.DEAD:
         return "is dead"
-    if fact.belief is Belief.SUSPECT:
+    if fact.liveness is Liveness.SUSPECT:
         return "is suspected"
-    return _WORD_BY_ANNOUNCED[fact.announced]
+    return _WORD_BY_ANNOUNCED[fact.advertised]
--- a/src/radishwind/membership/contacts.py
+++ b/src/radishwind/membership/contact_records.py
@@ -9,16 +9,16 @@
 import msgspec
 
 from radishwind.http.types import Address
-from radishwind.membership.facts import Count
+from radishwind.membership.records import Count
 
-PREFIX = "/radishwind/contacts/"
+CONTACTS_KEY_PREFIX = "/radishwind/contacts/"
 
 #: Addresses kept for each failure domain.
-MAX_CONTACTS = 8
+MAX_CONTACTS_PER_DOMAIN = 8
 #: An address that was not confirmed for this long may be replaced (ms).
-STALE_MS = 3 * 3_600_000
+CONTACT_STALE_AFTER_MS = 3 * 3_600_000
 #: A contact confirms its address when it is older than this (ms).
-RENEW_MS = 3_600_000
+CONTACT_RENEW_AFTER_MS = 3_600_000
 
 
 class Contact(msgspec.Struct, frozen=True, array_like=True):
@@ -26,11 +26,11 @@
 
     Attributes:
       address: a peer listener, `HOST:PORT`.
-      stamped_ms: wall-clock time (ms since the epoch, UTC).
+      confirmed_ms: wall-clock time (ms since the epoch, UTC).
     """
 
     address: str
-    stamped_ms: Count
+    confirmed_ms: Count
 
 
 class ContactRecord(msgspec.Struct, frozen=True):
@@ -39,12 +39,12 @@
     contacts: tuple[Contact, ...] = ()
 
 
-def key_of(failure_domain: str) -> str:
+def contact_key(failure_domain: str) -> str:
     """Returns the key of the record of `failure_domain`."""
-    return PREFIX + failure_domain
+    return CONTACTS_KEY_PREFIX + failure_domain
 
 
-def read_record(value: bytes) -> ContactRecord:
+def decode_contact_record(value: bytes) -> ContactRecord:
     """Returns the record in `value`; an unreadable one counts as empty."""
     try:
         return msgspec.json.decode(value, type=ContactRecord)
@@ -52,18 +52,18 @@
         return ContactRecord()
 
 
-def addresses(record: ContactRecord) -> tuple[Address, ...]:
+def contact_addresses(record: ContactRecord) -> tuple[Address, ...]:
     """Returns the addresses of `record` that can be read."""
     parsed = (_parsed(contact.address) for contact in record.contacts)
     return tuple(address for address in parsed if address is not None)
 
 
-def revised(
+def updated_record(
     record: ContactRecord,
     own: Address,
     unreachable: frozenset[Address],
     now_ms: int,
-    most: int = MAX_CONTACTS,
+    most: int = MAX_CONTACTS_PER_DOMAIN,
 ) -> ContactRecord | None:
     """Returns the record with `own` in it, or `None` where it may stay.
 
@@ -77,12 +77,12 @@
     kept = [
         contact
         for contact in record.contacts
-        if now_ms - contact.stamped_ms < STALE_MS
+        if now_ms - contact.confirmed_ms < CONTACT_STALE_AFTER_MS
         and contact.address != str(own)
         and _parsed(contact.address) not in unreachable
     ]
     mine = [c for c in record.contacts if c.address == str(own)]
-    if mine and now_ms - mine[0].stamped_ms < RENEW_MS:
+    if mine and now_ms - mine[0].confirmed_ms < CONTACT_RENEW_AFTER_MS:
         return None
     if len(kept) >= most:
         return None
--- a/src/radishwind/membership/discovery.py
+++ b/src/radishwind/membership/contact_registry.py
@@ -10,13 +10,13 @@
 
 from radishwind.core.clock import Clock
 from radishwind.http.types import Address
-from radishwind.membership.contacts import addresses
-from radishwind.membership.contacts import ContactRecord
-from radishwind.membership.contacts import key_of
-from radishwind.membership.contacts import MAX_CONTACTS
-from radishwind.membership.contacts import PREFIX
-from radishwind.membership.contacts import read_record
-from radishwind.membership.contacts import revised
+from radishwind.membership.contact_records import contact_addresses
+from radishwind.membership.contact_records import contact_key
+from radishwind.membership.contact_records import ContactRecord
+from radishwind.membership.contact_records import CONTACTS_KEY_PREFIX
+from radishwind.membership.contact_records import decode_contact_record
+from radishwind.membership.contact_records import MAX_CONTACTS_PER_DOMAIN
+from radishwind.membership.contact_records import updated_record
 from radishwind.store import Compare
 from radishwind.store import Put
 from radishwind.store import Store
@@ -39,54 +39,54 @@
       spread_s: the first calls wait up to this long, at random (s), so that
         many nodes that start at once don't call at once.
       backoff_s: the wait after a first failed call (s); doubles.
-      backoff_most_s: the longest wait (s).
+      max_backoff_s: the longest wait (s).
       check_period_s: time between looks at the own domain's record by the
         nodes that rank first in it (s).
-      early_looks: looks at short intervals after the start.
-      calls_at_once: calls a node may make in a row.
+      early_checks: looks at short intervals after the start.
+      burst_calls: calls a node may make in a row.
       calls_per_hour: the rate at which it may make further ones (1/h).
       contacts: addresses kept for each failure domain.
-      stale_first: whether contacts are read as the store remembers them,
-        and anew only where that names nobody; for stores that ask less for
-        such reads.
+      prefers_stale_reads: whether contacts are first read from a possibly stale
+        replica, which costs some stores less, and linearizably only if that
+        list is empty.
     """
 
     spread_s: float = 0.5
     backoff_s: float = 0.5
-    backoff_most_s: float = 60.0
+    max_backoff_s: float = 60.0
     check_period_s: float = 1_800.0
-    early_looks: int = 4
-    calls_at_once: int = 12
+    early_checks: int = 4
+    burst_calls: int = 12
     calls_per_hour: float = 60.0
-    contacts: int = MAX_CONTACTS
-    stale_first: bool = False
+    contacts: int = MAX_CONTACTS_PER_DOMAIN
+    prefers_stale_reads: bool = False
 
 
 #: Addresses of contacts.
 Contacts: TypeAlias = tuple[Address, ...]
 
 
-class Entered(enum.Enum):
+class RegistrationResult(enum.Enum):
     """What became of entering the own address.
 
     Attributes:
       FAILED: the store failed; try again.
-      STANDS: the record may stay as it is.
+      UNCHANGED: the record may stay as it is.
       WRITTEN: the address was written just now.
     """
 
     FAILED = enum.auto()
-    STANDS = enum.auto()
+    UNCHANGED = enum.auto()
     WRITTEN = enum.auto()
 
 
-def backoff_s(options: DiscoveryOptions, doublings: int) -> float:
+def backoff_delay_s(options: DiscoveryOptions, doublings: int) -> float:
     """Returns the wait after `doublings` calls in a row of a kind (s)."""
     wait_s = options.backoff_s * 2.0 ** min(doublings, _MAX_DOUBLINGS)
-    return min(options.backoff_most_s, wait_s)
+    return min(options.max_backoff_s, wait_s)
 
 
-class ContactFinder:
+class ContactRegistry:
     """Reads and writes the contact records; counts its calls."""
 
     def __init__(
@@ -114,14 +114,14 @@
         """
         self._on_listed = listed
         self._store = store
-        self._key = key_of(failure_domain)
+        self._key = contact_key(failure_domain)
         self._own = own
         self._clock = clock
         self._rng = rng
         self._options = options
         self._budget = TokenBucket(
             options.calls_per_hour / 3600,
-            options.calls_at_once,
+            options.burst_calls,
             clock.monotonic(),
         )
         self._unreachable: set[Address] = set()
@@ -136,19 +136,19 @@
     @property
     def contacts(self) -> tuple[Address, ...]:
         """The addresses of the own domain's record as last known."""
-        return addresses(self._record)
+        return contact_addresses(self._record)
 
-    def note_failed(self, address: Address) -> None:
+    def mark_unreachable(self, address: Address) -> None:
         """Notes that nothing answers at `address`; it may be replaced."""
         if len(self._unreachable) >= _MAX_UNREACHABLE:
             self._unreachable.clear()
         self._unreachable.add(address)
 
-    def note_answered(self, address: Address) -> None:
+    def mark_reachable(self, address: Address) -> None:
         """Notes that a node answers at `address`."""
         self._unreachable.discard(address)
 
-    async def read(self, *, newest: bool = False) -> Contacts | None:
+    async def read_contacts(self, *, newest: bool = False) -> Contacts | None:
         """Returns all contacts; `None` if the store failed.
 
         A list that is seconds old will do where it names anybody: a contact
@@ -159,7 +159,7 @@
           newest: whether an old list won't do, after a write of one's own.
         """
         found: Contacts | None = ()
-        if self._options.stale_first and not newest:
+        if self._options.prefers_stale_reads and not newest:
             found = await self._list(allow_stale=True)
         if found is None or found:
             return found
@@ -170,24 +170,26 @@
             return None
         self.calls["read"] += 1
         try:
-            entries = await self._store.list(PREFIX, allow_stale=allow_stale)
+            entries = await self._store.list(
+                CONTACTS_KEY_PREFIX, allow_stale=allow_stale
+            )
         except StoreError:
             self.calls["failed"] += 1
             return None
         if self._on_listed is not None:
             for entry in entries:
                 self._on_listed(entry)
-        records = {e.key: read_record(e.value) for e in entries}
+        records = {e.key: decode_contact_record(e.value) for e in entries}
         self._record = records.get(self._key, ContactRecord())
         own = next((e for e in entries if e.key == self._key), None)
         self._listed = None if allow_stale else (own,)
         self._listed_stale = allow_stale
         found: list[Address] = []
         for record in records.values():
-            found += addresses(record)
+            found += contact_addresses(record)
         return tuple(a for a in dict.fromkeys(found) if a != self._own)
 
-    async def enter(self) -> Entered:
+    async def register(self) -> RegistrationResult:
         """Puts this node into the record if that is short.
 
         A record just listed is written at once. Who comes too late waits a
@@ -195,29 +197,32 @@
         only the first few write. Where the record may stay it makes no call.
         """
         if self._listed_stale and self._revised(self._record) is None:
-            return Entered.STANDS
+            return RegistrationResult.UNCHANGED
         written = self.calls["write"]
         for attempt in range(_WRITE_TRIES):
             if attempt or self._listed is None:
                 await anyio.sleep(self._rng.random() * self._options.spread_s)
-            done = await self._enter_once()
-            if done is Entered.STANDS and self.calls["write"] > written:
+            done = await self._register_once()
+            if (
+                done is RegistrationResult.UNCHANGED
+                and self.calls["write"] > written
+            ):
                 # A write whose answer was lost, or another's: look once more.
-                return Entered.WRITTEN
+                return RegistrationResult.WRITTEN
             if done is not None:
                 return done
-        return Entered.FAILED
+        return RegistrationResult.FAILED
 
-    async def _enter_once(self) -> Entered | None:
+    async def _register_once(self) -> RegistrationResult | None:
         """Returns what became of it; `None` after a lost race."""
         try:
             entry = await self._own_entry()
             self._record = (
-                read_record(entry.value) if entry else ContactRecord()
+                decode_contact_record(entry.value) if entry else ContactRecord()
             )
             new = self._revised(self._record)
             if new is None:
-                return Entered.STANDS
+                return RegistrationResult.UNCHANGED
             self._take_token()
             self.calls["write"] += 1
             result = await self._store.transact(
@@ -229,14 +234,14 @@
             self.calls["failed"] += 1
             return None
         except StoreBudgetError:
-            return Entered.FAILED
+            return RegistrationResult.FAILED
         except StoreError:
             self.calls["failed"] += 1
-            return Entered.FAILED
+            return RegistrationResult.FAILED
         if not result.succeeded:
             return None
         self._record = new
-        return Entered.WRITTEN
+        return RegistrationResult.WRITTEN
 
     async def _own_entry(self) -> StoreEntry | None:
         """Returns the own domain's record, as listed just before or anew."""
@@ -256,4 +261,4 @@
         now_ms = self._clock.wall_ms()
         dead = frozenset(self._unreachable)
         most = self._options.contacts
-        return revised(record, self._own, dead, now_ms, most)
+        return updated_record(record, self._own, dead, now_ms, most)
--- a/src/radishwind/membership/directory.py
+++ b/src/radishwind/membership/directory.py
@@ -45,7 +45,7 @@
     """The members a node knows, as of now."""
 
     @abc.abstractmethod
-    def of_service(self, service: str) -> tuple[Member, ...]:
+    def eligible_members(self, service: str) -> tuple[Member, ...]:
         """Returns the members of `service` that may take new work.
 
         The tuple is the same object until the membership changes, so callers
--- a/src/radishwind/membership/spread.py
+++ b/src/radishwind/membership/dissemination_queue.py
@@ -3,10 +3,10 @@
 import math
 from typing import TypeAlias
 
-from radishwind.membership.facts import MemberFact
-from radishwind.membership.facts import RumorFact
-from radishwind.membership.table import FactTable
-from radishwind.membership.table import RumorKey
+from radishwind.membership.membership_table import MembershipTable
+from radishwind.membership.membership_table import RumorKey
+from radishwind.membership.records import MemberRecord
+from radishwind.membership.records import Rumor
 
 #: A member's name, or a rumor's topic and key.
 FactKey: TypeAlias = str | RumorKey
@@ -15,11 +15,15 @@
 _RIDES_PER_DOUBLING = 1.5
 
 
-class Spreader:
+class DisseminationQueue:
     """Keeps new facts: to be pushed once, and to ride on other messages."""
 
     def __init__(
-        self, table: FactTable, bytes_s: float, burst_bytes: float, now: float
+        self,
+        table: MembershipTable,
+        bytes_s: float,
+        burst_bytes: float,
+        now: float,
     ) -> None:
         self._table = table
         self._bytes_s = bytes_s
@@ -51,7 +55,7 @@
 
     def take_pushes(
         self, limit_bytes: int, copies: int, now: float
-    ) -> tuple[tuple[MemberFact, ...], tuple[RumorFact, ...]]:
+    ) -> tuple[tuple[MemberRecord, ...], tuple[Rumor, ...]]:
         """Returns facts to push to `copies` members, within the byte rate."""
         self._fill(now)
         allowed = min(limit_bytes, int(self._tokens / max(1, copies)))
@@ -61,9 +65,9 @@
         self._tokens -= size * copies
         return self._facts(taken, now)
 
-    def take_rides(
+    def take_piggyback(
         self, limit_bytes: int, now: float
-    ) -> tuple[tuple[MemberFact, ...], tuple[RumorFact, ...]]:
+    ) -> tuple[tuple[MemberRecord, ...], tuple[Rumor, ...]]:
         """Returns facts to carry on a message that is sent anyway."""
         if not self._rides:
             return (), ()
@@ -96,15 +100,15 @@
             taken.append(key)
         return taken, size
 
-    def _fact(self, key: FactKey, now: float) -> MemberFact | RumorFact | None:
+    def _fact(self, key: FactKey, now: float) -> MemberRecord | Rumor | None:
         if isinstance(key, str):
             return self._table.members.get(key)
         return self._table.rumor(key, now)
 
     def _facts(
         self, keys: list[FactKey], now: float
-    ) -> tuple[tuple[MemberFact, ...], tuple[RumorFact, ...]]:
+    ) -> tuple[tuple[MemberRecord, ...], tuple[Rumor, ...]]:
         facts = [self._fact(key, now) for key in keys]
-        members = tuple(f for f in facts if isinstance(f, MemberFact))
-        rumors = tuple(f for f in facts if isinstance(f, RumorFact))
+        members = tuple(f for f in facts if isinstance(f, MemberRecord))
+        rumors = tuple(f for f in facts if isinstance(f, Rumor))
         return members, rumors
--- a/src/radishwind/membership/envelope.py
+++ b/src/radishwind/membership/envelope.py
@@ -2,9 +2,9 @@
 
 import msgspec
 
-from radishwind.membership.facts import Count
 from radishwind.membership.messages import Message
 from radishwind.membership.messages import MessageError
+from radishwind.membership.records import Count
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
--- a/src/radishwind/membership/probe.py
+++ b/src/radishwind/membership/failure_detector.py
@@ -3,13 +3,13 @@
 import math
 import random
 
-from radishwind.membership.facts import Belief
-from radishwind.membership.facts import MemberFact
-from radishwind.membership.options import GossipOptions
-from radishwind.membership.table import FactTable
+from radishwind.membership.gossip_options import GossipOptions
+from radishwind.membership.membership_table import MembershipTable
+from radishwind.membership.records import Liveness
+from radishwind.membership.records import MemberRecord
 
 
-class Prober:
+class FailureDetector:
     """Chooses the members to probe and times suspicion.
 
     Members are probed in a random order, each once before any twice, so that
@@ -20,7 +20,7 @@
     def __init__(
         self,
         own_name: str,
-        table: FactTable,
+        table: MembershipTable,
         options: GossipOptions,
         rng: random.Random,
     ) -> None:
@@ -33,13 +33,13 @@
         self._unanswered: dict[str, float] = {}
         self._suspected: dict[str, float] = {}
         self._dead: dict[str, float] = {}
-        table.listen(self._changed)
+        table.add_member_listener(self._changed)
 
-    def next(self) -> MemberFact | None:
+    def next(self) -> MemberRecord | None:
         """Returns the member to probe now, if there is one."""
         while self._hinted:
             fact = self._table.members.get(self._pop_hint())
-            if fact is not None and not fact.gone:
+            if fact is not None and not fact.is_gone:
                 return fact
         for _ in range(2):
             while self._order:
@@ -94,20 +94,20 @@
 
     def due_forgetting(self, now: float) -> list[str]:
         """Returns the dead that are to be forgotten."""
-        before = now - self._options.forget_s
+        before = now - self._options.forget_after_s
         return [n for n, since in self._dead.items() if since <= before]
 
     def dead_since(self, name: str) -> float | None:
         """Returns when this node learnt of a death (s), if it did."""
         return self._dead.get(name)
 
-    def random_dead(self, now: float) -> MemberFact | None:
+    def random_dead(self, now: float) -> MemberRecord | None:
         """Returns one that may be back: believed dead, or left lately."""
         names = [
             name
             for name, since in self._dead.items()
-            if self._table.members[name].belief is Belief.DEAD
-            or now - since < self._options.return_s
+            if self._table.members[name].liveness is Liveness.DEAD
+            or now - since < self._options.return_window_s
         ]
         return self._table.members[self._rng.choice(names)] if names else None
 
@@ -122,10 +122,12 @@
         del self._hinted[name]
         return name
 
-    def _worth(self, fact: MemberFact) -> bool:
-        return fact.name != self._own_name and not fact.gone
+    def _worth(self, fact: MemberRecord) -> bool:
+        return fact.name != self._own_name and not fact.is_gone
 
-    def _changed(self, old: MemberFact | None, new: MemberFact | None) -> None:
+    def _changed(
+        self, old: MemberRecord | None, new: MemberRecord | None
+    ) -> None:
         if new is None:
             assert old is not None
             self._suspected.pop(old.name, None)
@@ -134,7 +136,7 @@
         if old is None:
             place = self._rng.randrange(len(self._order) + 1)
             self._order.insert(place, new.name)
-        if new.belief is not Belief.SUSPECT:
+        if new.liveness is not Liveness.SUSPECT:
             self._suspected.pop(new.name, None)
-        if not new.gone:
+        if not new.is_gone:
             self._dead.pop(new.name, None)
--- a/src/radishwind/membership/view.py
+++ b/src/radishwind/membership/gossip_directory.py
@@ -2,20 +2,20 @@
 
 from radishwind.core.clock import Clock
 from radishwind.http.types import Address
+from radishwind.membership.allowlist import MemberAllowlist
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
 from radishwind.membership.directory import MemberState
-from radishwind.membership.facts import Announced
-from radishwind.membership.facts import Belief
-from radishwind.membership.facts import MemberFact
 from radishwind.membership.gossip import Gossip
-from radishwind.membership.listing import Listing
+from radishwind.membership.records import AdvertisedState
+from radishwind.membership.records import Liveness
+from radishwind.membership.records import MemberRecord
 
 _STATE_BY_ANNOUNCED = {
-    Announced.ALIVE: MemberState.ALIVE,
-    Announced.DRAINING: MemberState.DRAINING,
-    Announced.LEAVING: MemberState.LEAVING,
-    Announced.LEFT: MemberState.DEAD,
+    AdvertisedState.SERVING: MemberState.ALIVE,
+    AdvertisedState.DRAINING: MemberState.DRAINING,
+    AdvertisedState.LEAVING: MemberState.LEAVING,
+    AdvertisedState.LEFT: MemberState.DEAD,
 }
 
 
@@ -25,29 +25,29 @@
     def __init__(
         self,
         gossip: Gossip,
-        listing: Listing,
+        allowlist: MemberAllowlist,
         clock: Clock,
         refute_grace_s: float,
     ) -> None:
         self._gossip = gossip
-        self._listing = listing
+        self._allowlist = allowlist
         self._clock = clock
         self._refute_grace_s = refute_grace_s
-        self._built_on = listing.version()
+        self._built_on = allowlist.version()
         self._names: dict[str, set[str]] = {}
         self._cached: dict[str, tuple[Member, ...]] = {}
         self._stale: set[str] = set()
         # Each member as made last, with what it was made of: several tasks
         # look at all members many times a second, and few of them change.
-        self._made: dict[str, tuple[MemberFact, int, Member]] = {}
+        self._made: dict[str, tuple[MemberRecord, int, Member]] = {}
         #: Services with a member that is usable for a limited time only.
         self._recheck: dict[str, float] = {}
-        gossip.table.listen(self._changed)
+        gossip.table.add_member_listener(self._changed)
         for fact in gossip.table.members.values():
             self._changed(None, fact)
 
-    def of_service(self, service: str) -> tuple[Member, ...]:
-        version = self._listing.version()
+    def eligible_members(self, service: str) -> tuple[Member, ...]:
+        version = self._allowlist.version()
         if version is not self._built_on:
             self._built_on = version
             self._stale = set(self._cached)
@@ -62,14 +62,14 @@
         facts = self._gossip.table.members
         return tuple(self._member(facts[name]) for name in sorted(facts))
 
-    def refused(self) -> tuple[str, ...]:
+    def disallowed_names(self) -> tuple[str, ...]:
         """Returns the names that are announced otherwise than listed."""
         facts = self._gossip.table.members.values()
         return tuple(
             sorted(
                 f.name
                 for f in facts
-                if not f.gone and not self._listing.lists(f)
+                if not f.is_gone and not self._allowlist.allows(f)
             )
         )
 
@@ -80,9 +80,11 @@
             for name in sorted(self._names.get(service, ()))
         ]
         usable = [
-            f for f in facts if self._listing.lists(f) and self._takes_work(f)
+            f
+            for f in facts
+            if self._allowlist.allows(f) and self._takes_work(f)
         ]
-        fine = [fact for fact in usable if fact.belief is Belief.FINE]
+        fine = [fact for fact in usable if fact.liveness is Liveness.ALIVE]
         built = tuple(self._member(fact) for fact in fine or usable)
         old = self._cached.get(service)
         self._stale.discard(service)
@@ -94,14 +96,14 @@
             self._cached.pop(service, None)
         return built
 
-    def _takes_work(self, fact: MemberFact) -> bool:
-        if fact.announced is not Announced.ALIVE:
+    def _takes_work(self, fact: MemberRecord) -> bool:
+        if fact.advertised is not AdvertisedState.SERVING:
             return False
-        if fact.belief is not Belief.DEAD:
+        if fact.liveness is not Liveness.DEAD:
             return True
         # Where regions meet again each believes the other dead, for a moment:
         # a death is not acted on before its member had time to refute it.
-        since = self._gossip.prober.dead_since(fact.name)
+        since = self._gossip.failure_detector.dead_since(fact.name)
         if since is None:
             return False
         until = since + self._refute_grace_s
@@ -111,7 +113,7 @@
         self._recheck[fact.service] = min(known, until)
         return True
 
-    def _member(self, fact: MemberFact) -> Member:
+    def _member(self, fact: MemberRecord) -> Member:
         revision = self._revision(fact.name)
         made = self._made.get(fact.name)
         if made is not None and made[0] is fact and made[1] == revision:
@@ -120,11 +122,11 @@
         self._made[fact.name] = (fact, revision, member)
         return member
 
-    def _make(self, fact: MemberFact, revision: int) -> Member:
-        state = _STATE_BY_ANNOUNCED[fact.announced]
-        if fact.belief is Belief.DEAD:
+    def _make(self, fact: MemberRecord, revision: int) -> Member:
+        state = _STATE_BY_ANNOUNCED[fact.advertised]
+        if fact.liveness is Liveness.DEAD:
             state = MemberState.DEAD
-        elif fact.belief is Belief.SUSPECT and state is MemberState.ALIVE:
+        elif fact.liveness is Liveness.SUSPECT and state is MemberState.ALIVE:
             state = MemberState.SUSPECT
         return Member(
             fact.name,
@@ -137,11 +139,13 @@
         )
 
     def _revision(self, name: str) -> int:
-        if name == self._gossip.own.name:
+        if name == self._gossip.own_record.name:
             return self._gossip.revision
         return self._gossip.table.revisions.get(name, 0)
 
-    def _changed(self, old: MemberFact | None, new: MemberFact | None) -> None:
+    def _changed(
+        self, old: MemberRecord | None, new: MemberRecord | None
+    ) -> None:
         if old is not None:
             self._stale.add(old.service)
             if new is None or new.service != old.service:
--- a/src/radishwind/membership/options.py
+++ b/src/radishwind/membership/gossip_options.py
@@ -15,20 +15,22 @@
         number of members where that is more than one.
       push_delay_s: new facts are collected this long, then pushed (s).
       fanout: how many members new facts are pushed to.
-      far_pushes: how many members of other failure domains all the nodes of
-        one push a fact to, in the mean.
-      push_bytes_s: the rate of pushed facts over long times (bytes/s).
+      cross_domain_pushes: expected number of members in other failure domains
+        that all nodes of one domain together push an update to.
+      push_rate_bytes_per_s: the rate of pushed facts over long times (bytes/s).
       push_burst_bytes: what may be pushed at once beyond the rate (bytes).
       sync_period_s: time between anti-entropy with a random member (s).
-      sync_soon_s: the same while a difference was found (s).
+      sync_retry_s: the same while a difference was found (s).
       sync_pages: pages exchanged at most in one anti-entropy.
       rejoin_period_s: one of those that are gone is tried in each period (s).
-      return_s: one that left as planned may be started again and find nobody,
-        where the store is away: it is tried for so long (s).
+      return_window_s: how long a member that left as planned is still sent
+        rejoin probes (s): restarted while the store is unavailable, it cannot
+        find its peers by itself.
       refute_grace_s: how long a member believed dead on hearsay may still be
         used where no other is left (s).
-      forget_s: how long the dead are remembered (s); longer than regions may
-        be apart, so that they find each other again.
+      forget_after_s: how long dead members are kept (s); longer than a
+        partition between regions may last, so that its sides find each other
+        again.
       message_bytes: facts carried by one message (bytes).
       page_bytes: facts carried by one page of anti-entropy (bytes).
       max_members: members remembered at most.
@@ -41,16 +43,16 @@
     suspicion_periods: float = 4.0
     push_delay_s: float = 0.05
     fanout: int = 4
-    far_pushes: float = 8.0
-    push_bytes_s: float = 5_000.0
+    cross_domain_pushes: float = 8.0
+    push_rate_bytes_per_s: float = 5_000.0
     push_burst_bytes: float = 65_536.0
     sync_period_s: float = 10.0
-    sync_soon_s: float = 0.5
+    sync_retry_s: float = 0.5
     sync_pages: int = 8
     rejoin_period_s: float = 10.0
-    return_s: float = 30.0
+    return_window_s: float = 30.0
     refute_grace_s: float = 10.0
-    forget_s: float = 7_200.0
+    forget_after_s: float = 7_200.0
     message_bytes: int = 6_000
     page_bytes: int = 30_000
     max_members: int = 20_000
--- a/src/radishwind/membership/table.py
+++ b/src/radishwind/membership/membership_table.py
@@ -10,17 +10,17 @@
 
 import msgspec
 
-from radishwind.membership.digest import DigestTree
-from radishwind.membership.digest import leaf_of
-from radishwind.membership.facts import Belief
-from radishwind.membership.facts import member_newer
-from radishwind.membership.facts import MemberFact
-from radishwind.membership.facts import rumor_newer
-from radishwind.membership.facts import RumorFact
+from radishwind.membership.digest_tree import DigestTree
+from radishwind.membership.digest_tree import leaf_of
+from radishwind.membership.records import Liveness
+from radishwind.membership.records import member_newer
+from radishwind.membership.records import MemberRecord
+from radishwind.membership.records import Rumor
+from radishwind.membership.records import rumor_newer
 
 #: Takes the old fact of a member, if there was one, and the new one.
 MemberListener: TypeAlias = Callable[
-    [MemberFact | None, MemberFact | None], None
+    [MemberRecord | None, MemberRecord | None], None
 ]
 RumorKey: TypeAlias = tuple[str, str]
 
@@ -33,11 +33,11 @@
 class _HeldRumor(msgspec.Struct, frozen=True):
     """A rumor and when it is forgotten (monotonic s)."""
 
-    fact: RumorFact
+    fact: Rumor
     expires: float
 
 
-class FactTable:
+class MembershipTable:
     """The newest fact of each member and of each rumor."""
 
     def __init__(self, max_members: int, max_rumors: int) -> None:
@@ -47,23 +47,23 @@
         self._places: dict[str, int] = {}
         self._rumors: dict[RumorKey, _HeldRumor] = {}
         self._listeners: list[MemberListener] = []
-        self.members: dict[str, MemberFact] = {}
+        self.members: dict[str, MemberRecord] = {}
         #: The configuration revision that each member told last.
         self.revisions: dict[str, int] = {}
         self.digests = DigestTree()
         #: Members that are not gone, by failure domain.
-        self.living: collections.Counter[str] = collections.Counter()
+        self.live_by_domain: collections.Counter[str] = collections.Counter()
 
-    def listen(self, listener: MemberListener) -> None:
+    def add_member_listener(self, listener: MemberListener) -> None:
         """Calls `listener` after each change of a member."""
         self._listeners.append(listener)
 
-    def merge_member(self, fact: MemberFact) -> bool:
+    def merge_member(self, fact: MemberRecord) -> bool:
         """Takes `fact` if it is news; returns whether it was."""
         old = self.members.get(fact.name)
         if old is None:
             # The gone are not learnt anew, else they would never be forgotten.
-            if fact.gone or len(self.members) >= self._max_members:
+            if fact.is_gone or len(self.members) >= self._max_members:
                 return False
         elif not member_newer(fact, old):
             return False
@@ -83,7 +83,7 @@
             self._places[last] = place
         self._tell(old, None)
 
-    def merge_rumor(self, fact: RumorFact, now: float) -> bool:
+    def merge_rumor(self, fact: Rumor, now: float) -> bool:
         """Takes `fact` if it is news; returns whether it was."""
         key = (fact.topic, fact.key)
         old = self._rumors.get(key)
@@ -105,7 +105,7 @@
         for key in late:
             self._toggle_rumor(self._rumors.pop(key).fact)
 
-    def rumor(self, key: RumorKey, now: float) -> RumorFact | None:
+    def rumor(self, key: RumorKey, now: float) -> Rumor | None:
         """Returns the rumor of `key` with the time it has left."""
         held = self._rumors.get(key)
         if held is None or held.expires <= now:
@@ -113,13 +113,13 @@
         left_ms = int((held.expires - now) * 1000)
         return msgspec.structs.replace(held.fact, ttl_ms=left_ms)
 
-    def rumors(self) -> tuple[RumorFact, ...]:
+    def rumors(self) -> tuple[Rumor, ...]:
         """Returns every rumor held."""
         return tuple(held.fact for held in self._rumors.values())
 
-    def facts_in(
+    def records_in_leaves(
         self, leaves: Container[int], now: float
-    ) -> Iterator[tuple[int, MemberFact | RumorFact]]:
+    ) -> Iterator[tuple[int, MemberRecord | Rumor]]:
         """Yields the facts that fall into `leaves`, each with its leaf."""
         for name, member in self.members.items():
             leaf = leaf_of(name)
@@ -136,8 +136,8 @@
         rng: random.Random,
         count: int,
         exclude: Container[str],
-        fits: Callable[[MemberFact], bool] | None = None,
-    ) -> list[MemberFact]:
+        fits: Callable[[MemberRecord], bool] | None = None,
+    ) -> list[MemberRecord]:
         """Returns up to `count` members at random that are not gone.
 
         Args:
@@ -146,13 +146,13 @@
           exclude: names left out.
           fits: returns whether a member may be taken; by default any.
         """
-        chosen: dict[str, MemberFact] = {}
+        chosen: dict[str, MemberRecord] = {}
         if not self._names:
             return []
         tries = _SAMPLE_TRIES_PER_MEMBER * count + len(self._names) // 2
         for _ in range(min(tries, _MOST_SAMPLE_TRIES_PER_MEMBER * count)):
             fact = self.members[rng.choice(self._names)]
-            if fact.gone or fact.name in exclude:
+            if fact.is_gone or fact.name in exclude:
                 continue
             if fits is None or fits(fact):
                 chosen[fact.name] = fact
@@ -160,7 +160,7 @@
                 break
         return list(chosen.values())
 
-    def _put(self, old: MemberFact | None, fact: MemberFact) -> None:
+    def _put(self, old: MemberRecord | None, fact: MemberRecord) -> None:
         if old is None:
             self._places[fact.name] = len(self._names)
             self._names.append(fact.name)
@@ -172,11 +172,11 @@
         self._count(fact, 1)
         self._tell(old, fact)
 
-    def _count(self, fact: MemberFact, by: int) -> None:
-        if not fact.gone:
-            self.living[fact.failure_domain] += by
+    def _count(self, fact: MemberRecord, by: int) -> None:
+        if not fact.is_gone:
+            self.live_by_domain[fact.failure_domain] += by
 
-    def _tell(self, old: MemberFact | None, new: MemberFact | None) -> None:
+    def _tell(self, old: MemberRecord | None, new: MemberRecord | None) -> None:
         for listener in self._listeners:
             listener(old, new)
 
@@ -184,13 +184,13 @@
         key = min(self._rumors, key=lambda k: self._rumors[k].expires)
         self._toggle_rumor(self._rumors.pop(key).fact)
 
-    def _toggle_member(self, fact: MemberFact) -> None:
+    def _toggle_member(self, fact: MemberRecord) -> None:
         # The gone don't count: nodes forget them at different times.
-        if not fact.gone:
-            version = f"{fact.incarnation}.{int(fact.belief)}.{fact.address}"
+        if not fact.is_gone:
+            version = f"{fact.incarnation}.{int(fact.liveness)}.{fact.address}"
             self.digests.toggle(fact.name, version)
 
-    def _toggle_rumor(self, fact: RumorFact) -> None:
+    def _toggle_rumor(self, fact: Rumor) -> None:
         key = _rumor_key((fact.topic, fact.key))
         self.digests.toggle(key, f"{fact.version}.{fact.value}")
 
@@ -199,14 +199,14 @@
     return f"{key[0]}\n{key[1]}"
 
 
-def _interned(fact: MemberFact) -> MemberFact:
+def _interned(fact: MemberRecord) -> MemberRecord:
     """Returns `fact` sharing its strings, as many members have the same."""
-    return MemberFact(
+    return MemberRecord(
         fact.name,
         sys.intern(fact.service),
         sys.intern(fact.failure_domain),
         fact.address,
         fact.incarnation,
-        fact.announced,
-        Belief(fact.belief),
+        fact.advertised,
+        Liveness(fact.liveness),
     )
--- a/src/radishwind/membership/messages.py
+++ b/src/radishwind/membership/messages.py
@@ -7,17 +7,17 @@
 
 from radishwind.core.codes import ResultCode
 from radishwind.core.errors import RadishwindError
-from radishwind.membership.digest import GROUPS
-from radishwind.membership.digest import LEAVES
-from radishwind.membership.digest import LEAVES_PER_GROUP
-from radishwind.membership.facts import AddressText
-from radishwind.membership.facts import Count
-from radishwind.membership.facts import MAX_NAME_CHARS
-from radishwind.membership.facts import MemberFact
-from radishwind.membership.facts import RumorFact
+from radishwind.membership.digest_tree import GROUPS
+from radishwind.membership.digest_tree import LEAVES
+from radishwind.membership.digest_tree import LEAVES_PER_GROUP
+from radishwind.membership.records import AddressText
+from radishwind.membership.records import Count
+from radishwind.membership.records import MAX_NAME_CHARS
+from radishwind.membership.records import MemberRecord
+from radishwind.membership.records import Rumor
 
 #: The control path of all of them.
-CONTROL_NAME = "gossip"
+GOSSIP_CONTROL_NAME = "gossip"
 
 #: The most a message may be (bytes); pages of anti-entropy are the longest.
 MAX_MESSAGE_BYTES = 48 * 1024
@@ -45,8 +45,8 @@
 
     sender: _Name
     revision: Count = 0
-    members: tuple[MemberFact, ...] = ()
-    rumors: tuple[RumorFact, ...] = ()
+    members: tuple[MemberRecord, ...] = ()
+    rumors: tuple[Rumor, ...] = ()
 
 
 class Ping(_Message, frozen=True, array_like=True, tag="ping"):
@@ -66,7 +66,7 @@
     address: AddressText = ""
 
 
-class Relayed(_Message, frozen=True, array_like=True, tag="relayed"):
+class RelayedAck(_Message, frozen=True, array_like=True, tag="relayed"):
     """Tells that `target` answered the ping that was asked for."""
 
     target: _Name = ""
@@ -117,7 +117,7 @@
     Ping
     | Ack
     | PingRequest
-    | Relayed
+    | RelayedAck
     | Push
     | SyncGroups
     | SyncLeaves
@@ -129,12 +129,12 @@
 _decoder: msgspec.json.Decoder[Message] = msgspec.json.Decoder(Message)
 
 
-def encode(message: Message) -> bytes:
+def encode_message(message: Message) -> bytes:
     """Returns `message` as JSON."""
     return _encoder.encode(message)
 
 
-def decode(data: bytes) -> Message:
+def decode_message(data: bytes) -> Message:
     """Returns the message in `data`.
 
     Raises:
--- a/src/radishwind/membership/outbox.py
+++ b/src/radishwind/membership/outbox.py
@@ -1,10 +1,10 @@
 """Collects the messages that one step of the state machine wants sent."""
 
 from radishwind.http.types import Address
-from radishwind.membership.actions import Call
-from radishwind.membership.actions import Purpose
-from radishwind.membership.facts import MemberFact
 from radishwind.membership.messages import Message
+from radishwind.membership.outgoing_message import MessagePurpose
+from radishwind.membership.outgoing_message import OutgoingMessage
+from radishwind.membership.records import MemberRecord
 
 _TIMEOUT_S = 2.0
 
@@ -13,29 +13,33 @@
     """The calls of the step in progress, in order."""
 
     def __init__(self) -> None:
-        self._calls: list[Call] = []
+        self._calls: list[OutgoingMessage] = []
 
     def send(
         self,
-        to: MemberFact,
+        to: MemberRecord,
         message: Message,
-        purpose: Purpose,
+        purpose: MessagePurpose,
         requester: str = "",
         timeout_s: float = _TIMEOUT_S,
     ) -> None:
         """Adds a message to a member."""
         address = Address.parse(to.address)
         self._calls.append(
-            Call(address, message, timeout_s, purpose, to.name, requester)
+            OutgoingMessage(
+                address, message, timeout_s, purpose, to.name, requester
+            )
         )
 
     def send_to_address(
-        self, address: Address, message: Message, purpose: Purpose
+        self, address: Address, message: Message, purpose: MessagePurpose
     ) -> None:
         """Adds a message to whoever is at `address`."""
-        self._calls.append(Call(address, message, _TIMEOUT_S, purpose))
+        self._calls.append(
+            OutgoingMessage(address, message, _TIMEOUT_S, purpose)
+        )
 
-    def flush(self) -> list[Call]:
+    def flush(self) -> list[OutgoingMessage]:
         """Returns the calls and empties the outbox."""
         calls, self._calls = self._calls, []
         return calls
--- a/src/radishwind/membership/actions.py
+++ b/src/radishwind/membership/outgoing_message.py
@@ -8,20 +8,20 @@
 from radishwind.membership.messages import Message
 
 
-class Purpose(enum.Enum):
+class MessagePurpose(enum.Enum):
     """Why a message is sent; decides what its answer or failure means."""
 
     PROBE = "probe"
     REQUEST_PROBE = "request probe"
     RELAYED_PROBE = "relayed probe"
-    TELL = "tell"
+    NOTIFY = "tell"
     JOIN = "join"
     REJOIN = "rejoin"
     SYNC_GROUPS = "sync groups"
     SYNC_PAGE = "sync page"
 
 
-class Call(msgspec.Struct, frozen=True):
+class OutgoingMessage(msgspec.Struct, frozen=True):
     """One message to send; its answer or failure is to be reported back.
 
     Attributes:
@@ -36,6 +36,6 @@
     address: Address
     message: Message
     timeout_s: float
-    purpose: Purpose
+    purpose: MessagePurpose
     member: str = ""
     requester: str = ""
--- a/src/radishwind/membership/pings.py
+++ b/src/radishwind/membership/probe_sender.py
@@ -3,23 +3,23 @@
 from collections.abc import Callable
 import random
 
-from radishwind.membership.actions import Call
-from radishwind.membership.actions import Purpose
-from radishwind.membership.facts import Belief
-from radishwind.membership.facts import MemberFact
-from radishwind.membership.facts import unique_members
+from radishwind.membership.dissemination_queue import DisseminationQueue
+from radishwind.membership.failure_detector import FailureDetector
+from radishwind.membership.gossip_options import GossipOptions
+from radishwind.membership.membership_table import MembershipTable
 from radishwind.membership.messages import Message
 from radishwind.membership.messages import Ping
 from radishwind.membership.messages import PingRequest
-from radishwind.membership.messages import Relayed
-from radishwind.membership.options import GossipOptions
+from radishwind.membership.messages import RelayedAck
 from radishwind.membership.outbox import Outbox
-from radishwind.membership.probe import Prober
-from radishwind.membership.spread import Spreader
-from radishwind.membership.table import FactTable
+from radishwind.membership.outgoing_message import MessagePurpose
+from radishwind.membership.outgoing_message import OutgoingMessage
+from radishwind.membership.records import Liveness
+from radishwind.membership.records import MemberRecord
+from radishwind.membership.records import unique_members
 
 
-class Pings:
+class ProbeSender:
     """Puts pings, and what others are asked to ping, into the outbox."""
 
     def __init__(
@@ -28,9 +28,9 @@
         own_name: str,
         options: GossipOptions,
         rng: random.Random,
-        table: FactTable,
-        prober: Prober,
-        spreader: Spreader,
+        table: MembershipTable,
+        failure_detector: FailureDetector,
+        spreader: DisseminationQueue,
         outbox: Outbox,
         revision: Callable[[], int],
     ) -> None:
@@ -41,7 +41,7 @@
           options: of membership.
           rng: chooses who is asked to help.
           table: the facts.
-          prober: says who is to be probed.
+          failure_detector: says who is to be probed.
           spreader: gives facts that ride on pings.
           outbox: takes the messages.
           revision: returns the configuration revision in force here.
@@ -50,41 +50,41 @@
         self._options = options
         self._rng = rng
         self._table = table
-        self._prober = prober
+        self._failure_detector = failure_detector
         self._spreader = spreader
         self._outbox = outbox
         self._revision = revision
 
     def probe(self, now: float) -> None:
-        """Pings the member whose turn it is."""
-        fact = self._prober.next()
+        """ProbeSender the member whose turn it is."""
+        fact = self._failure_detector.next()
         if fact is None:
             return
-        members, rumors = self._spreader.take_rides(
+        members, rumors = self._spreader.take_piggyback(
             self._options.message_bytes, now
         )
-        if fact.belief is not Belief.FINE:
+        if fact.liveness is not Liveness.ALIVE:
             members = unique_members((fact, self._own, *members))
         self._outbox.send(
             fact,
             Ping(self._name, self._revision(), members, rumors, fact.name),
-            Purpose.PROBE,
+            MessagePurpose.PROBE,
             timeout_s=self._options.probe_timeout_s,
         )
 
     def try_rejoin(self, now: float) -> None:
         """Asks one that is gone, and says who asks: it may know nobody."""
-        fact = self._prober.random_dead(now)
+        fact = self._failure_detector.random_dead(now)
         if fact is None:
             return
         told = (fact, self._own)
         ping = Ping(self._name, self._revision(), told, (), fact.name)
-        self._outbox.send(fact, ping, Purpose.REJOIN)
+        self._outbox.send(fact, ping, MessagePurpose.REJOIN)
 
-    def ask_others(self, call: Call, now: float) -> None:
+    def ask_others(self, call: OutgoingMessage, now: float) -> None:
         """Asks others to ping a member that did not answer `call`."""
         name = call.member
-        if not self._prober.failed(name, now):
+        if not self._failure_detector.failed(name, now):
             return
         helpers = self._table.sample(
             self._rng,
@@ -95,10 +95,10 @@
             request = PingRequest(
                 self._name, self._revision(), (), (), name, str(call.address)
             )
-            self._outbox.send(helper, request, Purpose.REQUEST_PROBE)
+            self._outbox.send(helper, request, MessagePurpose.REQUEST_PROBE)
 
     def probe_for(self, message: PingRequest) -> None:
-        """Pings the member that a peer asked to ping."""
+        """ProbeSender the member that a peer asked to ping."""
         fact = self._table.members.get(message.target)
         if fact is None or message.sender not in self._table.members:
             return
@@ -106,20 +106,20 @@
         self._outbox.send(
             fact,
             ping,
-            Purpose.RELAYED_PROBE,
+            MessagePurpose.RELAYED_PROBE,
             message.sender,
             self._options.probe_timeout_s,
         )
 
-    def relay(self, call: Call, answer: Message) -> None:
+    def relay(self, call: OutgoingMessage, answer: Message) -> None:
         """Tells the peer that asked for a ping that it was answered."""
         requester = self._table.members.get(call.requester)
         if answer.sender != call.member or requester is None:
             return
         facts = (self._table.members[call.member],)
-        told = Relayed(self._name, self._revision(), facts, (), call.member)
-        self._outbox.send(requester, told, Purpose.TELL)
+        told = RelayedAck(self._name, self._revision(), facts, (), call.member)
+        self._outbox.send(requester, told, MessagePurpose.NOTIFY)
 
     @property
-    def _own(self) -> MemberFact:
+    def _own(self) -> MemberRecord:
         return self._table.members[self._name]
--- a/src/radishwind/membership/push.py
+++ b/src/radishwind/membership/push_peer_selector.py
@@ -2,12 +2,12 @@
 
 import random
 
-from radishwind.membership.facts import MemberFact
-from radishwind.membership.options import GossipOptions
-from radishwind.membership.table import FactTable
+from radishwind.membership.gossip_options import GossipOptions
+from radishwind.membership.membership_table import MembershipTable
+from radishwind.membership.records import MemberRecord
 
 
-class PushAudience:
+class PushPeerSelector:
     """Near members, and at times a far one.
 
     Bytes between failure domains have their price, so that all nodes of a
@@ -18,7 +18,7 @@
     def __init__(
         self,
         name: str,
-        table: FactTable,
+        table: MembershipTable,
         options: GossipOptions,
         rng: random.Random,
     ) -> None:
@@ -27,7 +27,7 @@
         self._options = options
         self._rng = rng
 
-    def choose(self, domain: str) -> list[MemberFact]:
+    def choose(self, domain: str) -> list[MemberRecord]:
         """Returns whom one push goes to.
 
         Args:
@@ -36,14 +36,16 @@
         wanted = self._options.fanout - 1
         peers = self._sample(domain, wanted, near=True)
         far = wanted - len(peers)
-        share = self._options.far_pushes / max(1, self._table.living[domain])
+        share = self._options.cross_domain_pushes / max(
+            1, self._table.live_by_domain[domain]
+        )
         if self._rng.random() < share:
             far += 1
         return peers + self._sample(domain, far, near=False)
 
     def _sample(
         self, domain: str, count: int, *, near: bool
-    ) -> list[MemberFact]:
+    ) -> list[MemberRecord]:
         return self._table.sample(
             self._rng,
             count,
--- a/src/radishwind/membership/ranking.py
+++ b/src/radishwind/membership/ranking.py
@@ -5,13 +5,13 @@
 import xxhash
 
 
-def rank(name: str) -> int:
+def hash_rank(name: str) -> int:
     """Returns the rank of `name`; evenly spread and the same everywhere."""
     return xxhash.xxh64_intdigest(name.encode())
 
 
 def ranks_among_first(name: str, names: Iterable[str], count: int) -> bool:
     """Returns whether fewer than `count` of `names` rank before `name`."""
-    own = (rank(name), name)
-    before = sum((rank(other), other) < own for other in names)
+    own = (hash_rank(name), name)
+    before = sum((hash_rank(other), other) < own for other in names)
     return before < count
--- a/src/radishwind/membership/facts.py
+++ b/src/radishwind/membership/records.py
@@ -40,24 +40,24 @@
 _RUMOR_OVERHEAD_BYTES = 44
 
 
-class Announced(enum.IntEnum):
+class AdvertisedState(enum.IntEnum):
     """What a member says of itself; each change raises its incarnation."""
 
-    ALIVE = 0
+    SERVING = 0
     DRAINING = 1
     LEAVING = 2
     LEFT = 3
 
 
-class Belief(enum.IntEnum):
+class Liveness(enum.IntEnum):
     """What peers believe of one incarnation of a member."""
 
-    FINE = 0
+    ALIVE = 0
     SUSPECT = 1
     DEAD = 2
 
 
-class MemberFact(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class MemberRecord(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """One incarnation of a member and what is believed of it.
 
     Attributes:
@@ -66,9 +66,9 @@
       failure_domain: where it stands.
       address: its peer listener, `HOST:PORT`.
       incarnation: raised by the member alone, at each start (wall-clock ms),
-        change of `announced` and refutation.
-      announced: what it says of itself.
-      belief: what peers believe; only higher in the same incarnation.
+        change of `advertised` and refutation.
+      advertised: what it says of itself.
+      liveness: what peers believe; only higher in the same incarnation.
     """
 
     name: _Name
@@ -76,13 +76,16 @@
     failure_domain: _Name
     address: AddressText
     incarnation: Count
-    announced: Announced = Announced.ALIVE
-    belief: Belief = Belief.FINE
+    advertised: AdvertisedState = AdvertisedState.SERVING
+    liveness: Liveness = Liveness.ALIVE
 
     @property
-    def gone(self) -> bool:
+    def is_gone(self) -> bool:
         """Whether it left or is believed dead."""
-        return self.belief is Belief.DEAD or self.announced is Announced.LEFT
+        return (
+            self.liveness is Liveness.DEAD
+            or self.advertised is AdvertisedState.LEFT
+        )
 
     def size_bytes(self) -> int:
         """Returns about how long it is on the wire (bytes)."""
@@ -91,7 +94,7 @@
         return strings + _MEMBER_OVERHEAD_BYTES
 
 
-class RumorFact(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class Rumor(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """A small fact on a topic.
 
     Attributes:
@@ -114,28 +117,28 @@
         return strings + self.value.count('"') + _RUMOR_OVERHEAD_BYTES
 
 
-def member_newer(new: MemberFact, old: MemberFact) -> bool:
+def member_newer(new: MemberRecord, old: MemberRecord) -> bool:
     """Returns whether `new` replaces `old`; both are of one name.
 
-    The incarnation decides, then the belief. The rest only makes the order
+    The incarnation decides, then the liveness. The rest only makes the order
     total where two processes were given one name.
     """
     if new.incarnation != old.incarnation:
         return new.incarnation > old.incarnation
-    if new.belief is not old.belief:
-        return new.belief > old.belief
+    if new.liveness is not old.liveness:
+        return new.liveness > old.liveness
     return _tie(new) > _tie(old)
 
 
-def rumor_newer(new: RumorFact, old: RumorFact) -> bool:
+def rumor_newer(new: Rumor, old: Rumor) -> bool:
     """Returns whether `new` replaces `old`; both are of one topic and key."""
     return (new.version, new.value) > (old.version, old.value)
 
 
-def unique_members(facts: tuple[MemberFact, ...]) -> tuple[MemberFact, ...]:
+def unique_members(facts: tuple[MemberRecord, ...]) -> tuple[MemberRecord, ...]:
     """Returns the last fact of each member."""
     return tuple({fact.name: fact for fact in facts}.values())
 
 
-def _tie(fact: MemberFact) -> tuple[int, str, str, str]:
-    return (fact.announced, fact.address, fact.service, fact.failure_domain)
+def _tie(fact: MemberRecord) -> tuple[int, str, str, str]:
+    return (fact.advertised, fact.address, fact.service, fact.failure_domain)
--- a/src/radishwind/membership/rumors.py
+++ b/src/radishwind/membership/rumor_bus.py
@@ -7,16 +7,16 @@
 import msgspec
 
 from radishwind.core.clock import Clock
-from radishwind.membership.facts import MAX_TTL_MS
-from radishwind.membership.facts import MAX_VALUE_CHARS
-from radishwind.membership.facts import RumorFact
 from radishwind.membership.gossip import Gossip
+from radishwind.membership.records import MAX_TTL_MS
+from radishwind.membership.records import MAX_VALUE_CHARS
+from radishwind.membership.records import Rumor
 
 #: Takes the key and the value of a fact that is new to this node.
 RumorHandler: TypeAlias = Callable[[str, bytes], None]
 
 
-class RumorBoard(abc.ABC):
+class RumorBus(abc.ABC):
     """Spreads facts between peers; the newest version of each key wins.
 
     Facts are small (values up to 512 bytes of JSON), rare, and forgotten after
@@ -42,7 +42,7 @@
         """Calls `handler` for each fact of `topic` new to this node."""
 
 
-class SilentBoard(RumorBoard):
+class NullRumorBus(RumorBus):
     """Tells nobody; for a node alone and for tests."""
 
     def publish(
@@ -54,7 +54,7 @@
         """Does nothing."""
 
 
-class GossipRumorBoard(RumorBoard):
+class GossipRumorBus(RumorBus):
     """Spreads rumors on the messages of membership.
 
     `publish` only adds to the state machine; its daemon is woken by `wake`.
@@ -67,7 +67,7 @@
         self._clock = clock
         self._wake = wake
         self._handlers: dict[str, list[RumorHandler]] = {}
-        gossip.on_rumor(self._heard)
+        gossip.add_rumor_listener(self._heard)
 
     def publish(
         self, topic: str, key: str, version: int, value: bytes, ttl_s: float
@@ -82,19 +82,19 @@
             if fact.topic == topic:
                 handler(fact.key, fact.value.encode())
 
-    def _heard(self, fact: RumorFact) -> None:
+    def _heard(self, fact: Rumor) -> None:
         for handler in self._handlers.get(fact.topic, ()):
             handler(fact.key, fact.value.encode())
 
 
 def _checked(
     topic: str, key: str, version: int, value: bytes, ttl_s: float
-) -> RumorFact:
+) -> Rumor:
     """Returns the fact, or raises `ValueError` if peers would refuse it."""
     ttl_ms = min(MAX_TTL_MS, int(ttl_s * 1000))
     raw = (topic, key, version, value.decode(), ttl_ms)
     try:
-        return msgspec.convert(raw, RumorFact)
+        return msgspec.convert(raw, Rumor)
     except msgspec.ValidationError as exc:
         raise ValueError(
             f"expected a value of at most {MAX_VALUE_CHARS} characters and "
--- a/src/radishwind/membership/tests/test_start_of_all.py
+++ b/src/radishwind/membership/tests/test_fleet_start.py
@@ -8,12 +8,12 @@
 import msgspec
 import pytest
 from tests.support import gossip_net
-from tests.support.gossip_net import fact_of
 from tests.support.gossip_net import GossipNet
+from tests.support.gossip_net import member_record
 
-from radishwind.membership import Announced
-from radishwind.membership.actions import Purpose
-from radishwind.membership.facts import Belief
+from radishwind.membership import AdvertisedState
+from radishwind.membership.outgoing_message import MessagePurpose
+from radishwind.membership.records import Liveness
 from radishwind.node.peer_search import MISSING_LOOKS_S
 from radishwind.peers.datagrams import MAX_DATAGRAM_BYTES
 from radishwind.sidecar.options import GOSSIP
@@ -42,7 +42,9 @@
         def start():
             self.add(number)
             node = self.nodes[number]
-            self.send(number, node.announce(Announced.DRAINING, self.now))
+            self.send(
+                number, node.advertise(AdvertisedState.DRAINING, self.now)
+            )
             self.at(self.now + self.rng.random() * 0.15, search)
             self.at(self.now + self.rng.random() * 1.5, serve)
 
@@ -57,7 +59,7 @@
 
         def serve():
             node = self.nodes[number]
-            self.send(number, node.announce(Announced.ALIVE, self.now))
+            self.send(number, node.advertise(AdvertisedState.SERVING, self.now))
 
         return start
 
@@ -66,15 +68,18 @@
             return
         members = self.nodes[number].table.members
         contacts = range(min(CONTACTS, self.size))
-        missing = [n for n in contacts if fact_of(n).name not in members]
+        missing = [n for n in contacts if member_record(n).name not in members]
         self.join(number, missing)
 
     def _send(self, number, call):
-        told = call.purpose in (Purpose.TELL, Purpose.REQUEST_PROBE)
-        size = len(gossip_net.encode(call.message))
+        told = call.purpose in (
+            MessagePurpose.NOTIFY,
+            MessagePurpose.REQUEST_PROBE,
+        )
+        size = len(gossip_net.encode_message(call.message))
         if told and call.member:
             self.longest_push = max(self.longest_push, size)
-        elif call.purpose is not Purpose.PROBE:
+        elif call.purpose is not MessagePurpose.PROBE:
             self.by_http += 1
         other = self._numbers.get(call.address)
         if other is not None and other % DOMAINS != number % DOMAINS:
@@ -87,7 +92,7 @@
         if any(len(node.table.members) < self.size for node in nodes):
             return False
         serving = sum(
-            fact.announced is Announced.ALIVE and not fact.gone
+            fact.advertised is AdvertisedState.SERVING and not fact.is_gone
             for node in nodes
             for fact in node.table.members.values()
         )
@@ -99,10 +104,10 @@
     def fact(number, incarnation=1_000):
         domain = f"domain-{number % DOMAINS}"
         return msgspec.structs.replace(
-            fact_of(number, incarnation), failure_domain=domain
+            member_record(number, incarnation), failure_domain=domain
         )
 
-    monkeypatch.setattr(gossip_net, "fact_of", fact)
+    monkeypatch.setattr(gossip_net, "member_record", fact)
 
 
 @pytest.mark.parametrize("size", [12, 74, 300])
@@ -138,10 +143,10 @@
     fleet = Fleet(74)
     fleet.run(8.0)
     fleet.kill(7)
-    name = fact_of(7).name
+    name = member_record(7).name
 
     def all_know():
-        return all(n.table.members[name].gone for n in fleet.nodes.values())
+        return all(n.table.members[name].is_gone for n in fleet.nodes.values())
 
     took_s = fleet.run_until(all_know, 12.0)
 
@@ -173,11 +178,11 @@
     fleet.fill(20)
     fleet.run(1.0)
     fleet.kill(7)
-    name = fact_of(7).name
+    name = member_record(7).name
 
     def suspected():
         return any(
-            node.table.members[name].belief is Belief.SUSPECT
+            node.table.members[name].liveness is Liveness.SUSPECT
             for node in fleet.nodes.values()
         )
 
--- a/src/radishwind/membership/tests/test_gossip.py
+++ b/src/radishwind/membership/tests/test_gossip.py
@@ -3,15 +3,15 @@
 import random
 
 import pytest
-from tests.support.gossip_net import fact_of
 from tests.support.gossip_net import GossipNet
+from tests.support.gossip_net import member_record
 
-from radishwind.membership import Announced
+from radishwind.membership import AdvertisedState
 from radishwind.membership import GossipOptions
-from radishwind.membership.actions import Purpose
-from radishwind.membership.facts import Belief
-from radishwind.membership.facts import RumorFact
 from radishwind.membership.messages import Ping
+from radishwind.membership.outgoing_message import MessagePurpose
+from radishwind.membership.records import Liveness
+from radishwind.membership.records import Rumor
 
 SIZE = 30
 
@@ -25,7 +25,7 @@
 
 
 def everyone_holds(net, number, test):
-    return lambda: net.knowing(number, test) == len(net.nodes)
+    return lambda: net.count_holding(number, test) == len(net.nodes)
 
 
 def test_nodes_that_know_one_contact_learn_of_all():
@@ -46,56 +46,65 @@
     net.run(60.0)
 
     facts = [f for n in net.nodes.values() for f in n.table.members.values()]
-    assert {f.belief for f in facts} == {Belief.FINE}
+    assert {f.liveness for f in facts} == {Liveness.ALIVE}
     assert {f.incarnation for f in facts} == {1_000}
 
 
 def test_death_is_found_and_told_to_all(net):
     net.kill(3)
 
-    took = net.run_until(everyone_holds(net, 3, lambda f: f.gone), 60.0)
+    took = net.run_until(everyone_holds(net, 3, lambda f: f.is_gone), 60.0)
 
     assert took is not None
 
 
 def test_leaving_is_told_to_all_within_two_seconds(net):
-    net.send(4, net.nodes[4].announce(Announced.LEAVING, net.now))
+    net.send(4, net.nodes[4].advertise(AdvertisedState.LEAVING, net.now))
 
     took = net.run_until(
-        everyone_holds(net, 4, lambda f: f.announced is Announced.LEAVING), 2.0
+        everyone_holds(
+            net, 4, lambda f: f.advertised is AdvertisedState.LEAVING
+        ),
+        2.0,
     )
 
     assert took is not None
 
 
 def test_drain_that_ends_is_told_to_all(net):
-    for announced in (Announced.DRAINING, Announced.ALIVE):
-        net.send(4, net.nodes[4].announce(announced, net.now))
+    for announced in (AdvertisedState.DRAINING, AdvertisedState.SERVING):
+        net.send(4, net.nodes[4].advertise(announced, net.now))
         took = net.run_until(
-            everyone_holds(net, 4, lambda f, a=announced: f.announced is a), 2.0
+            everyone_holds(net, 4, lambda f, a=announced: f.advertised is a),
+            2.0,
         )
         assert took is not None
 
 
 def test_end_of_a_drain_does_not_take_leaving_back():
     node = GossipNet().add(1)
-    node.announce(Announced.LEAVING, 0.0)
+    node.advertise(AdvertisedState.LEAVING, 0.0)
 
-    node.announce(Announced.ALIVE, 0.0)
+    node.advertise(AdvertisedState.SERVING, 0.0)
 
-    assert node.own.announced is Announced.LEAVING
+    assert node.own_record.advertised is AdvertisedState.LEAVING
 
 
 def test_paused_process_that_comes_back_refutes(net):
     net.pause(5)
     suspected = net.run_until(
-        lambda: net.knowing(5, lambda f: f.belief is Belief.SUSPECT) > 0, 60.0
+        lambda: (
+            net.count_holding(5, lambda f: f.liveness is Liveness.SUSPECT) > 0
+        ),
+        60.0,
     )
     net.resume(5)
 
     took = net.run_until(
         everyone_holds(
-            net, 5, lambda f: f.belief is Belief.FINE and f.incarnation > 1_000
+            net,
+            5,
+            lambda f: f.liveness is Liveness.ALIVE and f.incarnation > 1_000,
         ),
         20.0,
     )
@@ -107,11 +116,11 @@
 def test_paused_process_believed_dead_comes_back(net):
     net.pause(5)
     net.run(60.0)
-    believed = net.knowing(5, lambda f: f.belief is Belief.DEAD)
+    believed = net.count_holding(5, lambda f: f.liveness is Liveness.DEAD)
     net.resume(5)
 
     took = net.run_until(
-        everyone_holds(net, 5, lambda f: f.belief is Belief.FINE), 30.0
+        everyone_holds(net, 5, lambda f: f.liveness is Liveness.ALIVE), 30.0
     )
 
     assert believed == SIZE - 1
@@ -125,8 +134,8 @@
 
     net.run(0.2)
 
-    beliefs = {f.belief for f in net.nodes[5].table.members.values()}
-    assert beliefs == {Belief.FINE}
+    beliefs = {f.liveness for f in net.nodes[5].table.members.values()}
+    assert beliefs == {Liveness.ALIVE}
 
 
 def test_sides_apart_for_an_hour_merge():
@@ -134,21 +143,21 @@
     net.fill(12)
     net.side = {number: number % 2 for number in range(12)}
     net.run(3_600.0)
-    apart = net.knowing(0, lambda f: f.gone)
-    net.send(2, net.nodes[2].announce(Announced.DRAINING, net.now))
+    apart = net.count_holding(0, lambda f: f.is_gone)
+    net.send(2, net.nodes[2].advertise(AdvertisedState.DRAINING, net.now))
     net.side = {}
 
     def merged():
         tables = [n.table.members for n in net.nodes.values()]
         return all(t == tables[0] for t in tables) and all(
-            f.belief is Belief.FINE for f in tables[0].values()
+            f.liveness is Liveness.ALIVE for f in tables[0].values()
         )
 
     took = net.run_until(merged, 120.0)
 
     assert apart == 6
     assert took is not None
-    assert net.nodes[1].table.members[fact_of(2).name].announced == 1
+    assert net.nodes[1].table.members[member_record(2).name].advertised == 1
 
 
 def test_restarted_process_replaces_its_dead_self(net):
@@ -158,7 +167,9 @@
     net.join(6, [1])
 
     took = net.run_until(
-        everyone_holds(net, 6, lambda f: not f.gone and f.incarnation == 2_000),
+        everyone_holds(
+            net, 6, lambda f: not f.is_gone and f.incarnation == 2_000
+        ),
         20.0,
     )
 
@@ -171,26 +182,26 @@
     net.add(6, incarnation=10)
     net.join(6, [1])
 
-    took = net.run_until(everyone_holds(net, 6, lambda f: not f.gone), 20.0)
+    took = net.run_until(everyone_holds(net, 6, lambda f: not f.is_gone), 20.0)
 
     assert took is not None
 
 
 def test_dead_are_forgotten_by_rule():
-    net = GossipNet(GossipOptions(forget_s=30.0))
+    net = GossipNet(GossipOptions(forget_after_s=30.0))
     net.fill(5)
     net.kill(2)
 
     net.run(120.0)
 
-    assert net.knowing(2, lambda f: True) == 0
+    assert net.count_holding(2, lambda f: True) == 0
 
 
 def test_rumour_reaches_all_and_is_forgotten(net):
     heard = []
     for node in net.nodes.values():
-        node.on_rumor(heard.append)
-    fact = RumorFact("config", "root", 7, '{"revision":7}', 20_000)
+        node.add_rumor_listener(heard.append)
+    fact = Rumor("config", "root", 7, '{"revision":7}', 20_000)
     net.nodes[0].publish(fact, net.now)
     net.send(0, net.nodes[0].tick(net.now))
 
@@ -204,7 +215,7 @@
 
 
 def test_late_joiner_hears_of_rumours(net):
-    net.nodes[0].publish(RumorFact("q", "k", 1, "{}", 600_000), net.now)
+    net.nodes[0].publish(Rumor("q", "k", 1, "{}", 600_000), net.now)
     net.run(20.0)
     net.add(SIZE)
     net.join(SIZE, [3])
@@ -219,45 +230,47 @@
     net.fill(10)
     node = net.nodes[0]
     net.run(0.01)
-    node.suspect_hint(fact_of(7).name, net.now)
+    node.probe_soon(member_record(7).name, net.now)
 
-    calls = [c for c in node.tick(net.now) if c.purpose is Purpose.PROBE]
+    calls = [c for c in node.tick(net.now) if c.purpose is MessagePurpose.PROBE]
 
-    assert [call.member for call in calls] == [fact_of(7).name]
+    assert [call.member for call in calls] == [member_record(7).name]
 
 
 def test_answer_by_another_member_is_a_failed_probe():
     net = GossipNet()
     net.fill(10)
     calls = net.nodes[0].tick(1.0)
-    probe = next(c for c in calls if c.purpose is Purpose.PROBE)
-    other = next(n for n in net.nodes if fact_of(n).name != probe.member)
+    probe = next(c for c in calls if c.purpose is MessagePurpose.PROBE)
+    other = next(n for n in net.nodes if member_record(n).name != probe.member)
     answer, _ = net.nodes[other].receive(probe.message, 1.0)
 
-    asked = net.nodes[0].answered(probe, answer, 1.0)
+    asked = net.nodes[0].handle_answer(probe, answer, 1.0)
 
-    assert {c.purpose for c in asked} == {Purpose.REQUEST_PROBE}
+    assert {c.purpose for c in asked} == {MessagePurpose.REQUEST_PROBE}
 
 
 def test_second_process_of_our_name_is_counted_and_contradicted_rarely():
     node = GossipNet().add(1)
-    place = (*_fields(fact_of(1))[:3], "10.9.9.9:8081")
+    place = (*_fields(member_record(1))[:3], "10.9.9.9:8081")
 
     for incarnation in range(9_000, 14_000, 1_000):
-        other = type(node.own)(*place, incarnation)
+        other = type(node.own_record)(*place, incarnation)
         node.receive(Ping("x", members=(other,)), 1.0)
 
-    assert node.conflicts == 5
-    assert node.own.incarnation == 9_001
+    assert node.name_conflicts == 5
+    assert node.own_record.incarnation == 9_001
 
 
 def test_unknown_dead_are_not_learnt():
     node = GossipNet().add(1)
-    dead = type(fact_of(2))(*_fields(fact_of(2))[:5], 0, Belief.DEAD)
+    dead = type(member_record(2))(
+        *_fields(member_record(2))[:5], 0, Liveness.DEAD
+    )
 
     node.receive(Ping("x", members=(dead,)), 1.0)
 
-    assert list(node.table.members) == [fact_of(1).name]
+    assert list(node.table.members) == [member_record(1).name]
 
 
 def test_same_seed_gives_the_same_session():
@@ -285,7 +298,7 @@
 
     def settled():
         return all(
-            f.belief is Belief.FINE
+            f.liveness is Liveness.ALIVE
             for n in net.nodes.values()
             for f in n.table.members.values()
         )
@@ -301,7 +314,7 @@
 def test_a_node_that_starts_again_and_finds_nobody_is_found(net, how):
     """As where the store, by which it would find others, is away."""
     if how == "stopped as planned":
-        net.send(3, net.nodes[3].announce(Announced.LEFT, net.now))
+        net.send(3, net.nodes[3].advertise(AdvertisedState.LEFT, net.now))
         net.run(0.2)
     net.kill(3)
     net.run(3.0)
@@ -315,7 +328,7 @@
 
 
 def test_who_left_for_good_is_not_looked_for_without_end(net):
-    net.send(3, net.nodes[3].announce(Announced.LEFT, net.now))
+    net.send(3, net.nodes[3].advertise(AdvertisedState.LEFT, net.now))
     net.run(0.2)
     net.kill(3)
     net.run(60.0)
@@ -325,7 +338,7 @@
         for _ in range(200)
         for node in net.nodes.values()
         for call in node.tick(net.now + 1.0)
-        if call.purpose is Purpose.REJOIN
+        if call.purpose is MessagePurpose.REJOIN
     ]
 
     assert tried == []
--- a/src/radishwind/membership/tests/test_view.py
+++ b/src/radishwind/membership/tests/test_gossip_directory.py
@@ -2,20 +2,20 @@
 
 import msgspec
 import pytest
-from tests.support.gossip_net import fact_of
 from tests.support.gossip_net import GossipNet
+from tests.support.gossip_net import member_record
 
 from radishwind.config import Configuration
 from radishwind.config import Inventory
 from radishwind.config import Target
 from radishwind.config.index import ConfigIndex
 from radishwind.core import ManualClock
-from radishwind.membership import Announced
+from radishwind.membership import AdvertisedState
 from radishwind.membership import GossipDirectory
 from radishwind.membership import MemberState
-from radishwind.membership.facts import Belief
-from radishwind.membership.listing import InventoryListing
+from radishwind.membership.allowlist import InventoryAllowlist
 from radishwind.membership.messages import Ping
+from radishwind.membership.records import Liveness
 
 SERVICE = "service-0"
 GRACE_S = 10.0
@@ -25,18 +25,18 @@
     def __init__(self):
         self.clock = ManualClock()
         self.node = GossipNet().add(0)
-        self.index = self.listing(range(4))
+        self.index = self.allowlist(range(4))
         self.directory = GossipDirectory(
             self.node,
-            InventoryListing(lambda: self.index),
+            InventoryAllowlist(lambda: self.index),
             self.clock,
             GRACE_S,
         )
         for number in (1, 2):
-            self.hear(fact_of(number))
+            self.hear(member_record(number))
 
-    def listing(self, numbers):
-        facts = [fact_of(number) for number in numbers]
+    def allowlist(self, numbers):
+        facts = [member_record(number) for number in numbers]
         targets = tuple(
             Target(f.name, f.service, f.failure_domain, 9) for f in facts
         )
@@ -48,7 +48,7 @@
         self.node.receive(ping, self.clock.monotonic())
 
     def names(self):
-        return [m.name[-1] for m in self.directory.of_service(SERVICE)]
+        return [m.name[-1] for m in self.directory.eligible_members(SERVICE)]
 
 
 @pytest.fixture
@@ -57,49 +57,52 @@
 
 
 def test_same_tuple_until_the_service_changes(setup):
-    first = setup.directory.of_service(SERVICE)
-    setup.hear(fact_of(20))
-    setup.index = setup.listing(range(5))
-    same = setup.directory.of_service(SERVICE)
-    setup.hear(fact_of(3))
+    first = setup.directory.eligible_members(SERVICE)
+    setup.hear(member_record(20))
+    setup.index = setup.allowlist(range(5))
+    same = setup.directory.eligible_members(SERVICE)
+    setup.hear(member_record(3))
 
     assert same is first
     assert setup.names() == ["0", "1", "2", "3"]
 
 
 def test_member_missing_from_the_inventory_is_reported_and_left_out(setup):
-    setup.hear(fact_of(5))
+    setup.hear(member_record(5))
 
     assert setup.names() == ["0", "1", "2"]
-    assert setup.directory.refused() == (fact_of(5).name,)
+    assert setup.directory.disallowed_names() == (member_record(5).name,)
 
 
 @pytest.mark.parametrize(
     "changes", [{"service": "service-9"}, {"failure_domain": "elsewhere"}]
 )
 def test_member_announced_otherwise_than_listed_is_left_out(setup, changes):
-    setup.hear(fact_of(3), **changes)
+    setup.hear(member_record(3), **changes)
 
     assert setup.names() == ["0", "1", "2"]
-    assert setup.directory.of_service("service-9") == ()
-    assert setup.directory.refused() == (fact_of(3).name,)
+    assert setup.directory.eligible_members("service-9") == ()
+    assert setup.directory.disallowed_names() == (member_record(3).name,)
 
 
 @pytest.mark.parametrize(
-    "announced", [Announced.DRAINING, Announced.LEAVING, Announced.LEFT]
+    "announced",
+    [AdvertisedState.DRAINING, AdvertisedState.LEAVING, AdvertisedState.LEFT],
 )
 def test_leaving_and_draining_take_no_new_work(setup, announced):
-    setup.hear(fact_of(1), incarnation=1_001, announced=announced)
+    setup.hear(member_record(1), incarnation=1_001, advertised=announced)
 
     assert setup.names() == ["0", "2"]
 
 
 def test_suspected_member_is_the_last_resort(setup):
-    setup.hear(fact_of(1), belief=Belief.SUSPECT)
+    setup.hear(member_record(1), liveness=Liveness.SUSPECT)
     beside = setup.names()
-    setup.hear(fact_of(2), belief=Belief.SUSPECT)
-    setup.hear(fact_of(0), incarnation=1_001, announced=Announced.LEAVING)
-    setup.node.announce(Announced.LEAVING, 0.0)
+    setup.hear(member_record(2), liveness=Liveness.SUSPECT)
+    setup.hear(
+        member_record(0), incarnation=1_001, advertised=AdvertisedState.LEAVING
+    )
+    setup.node.advertise(AdvertisedState.LEAVING, 0.0)
 
     assert beside == ["0", "2"]
     assert setup.names() == ["1", "2"]
@@ -107,21 +110,21 @@
 
 def test_leaving_member_that_is_suspected_takes_no_new_work(setup):
     setup.hear(
-        fact_of(1),
+        member_record(1),
         incarnation=1_001,
-        announced=Announced.LEAVING,
-        belief=Belief.SUSPECT,
+        advertised=AdvertisedState.LEAVING,
+        liveness=Liveness.SUSPECT,
     )
-    setup.hear(fact_of(2), belief=Belief.SUSPECT)
-    setup.node.announce(Announced.LEAVING, 0.0)
+    setup.hear(member_record(2), liveness=Liveness.SUSPECT)
+    setup.node.advertise(AdvertisedState.LEAVING, 0.0)
 
     assert setup.names() == ["2"]
 
 
 def test_death_on_hearsay_is_usable_only_until_the_grace_is_over(setup):
     for number in (1, 2):
-        setup.hear(fact_of(number), belief=Belief.DEAD)
-    setup.node.announce(Announced.DRAINING, 0.0)
+        setup.hear(member_record(number), liveness=Liveness.DEAD)
+    setup.node.advertise(AdvertisedState.DRAINING, 0.0)
     at_once = setup.names()
     setup.clock.advance(GRACE_S)
 
@@ -131,8 +134,8 @@
 
 def test_members_tell_state_and_revision(setup):
     setup.node.revision = 8
-    setup.node.receive(Ping(fact_of(1).name, revision=7), 0.0)
-    setup.hear(fact_of(2), belief=Belief.DEAD)
+    setup.node.receive(Ping(member_record(1).name, revision=7), 0.0)
+    setup.hear(member_record(2), liveness=Liveness.DEAD)
 
     members = setup.directory.members()
 
@@ -147,16 +150,18 @@
 def test_a_member_is_made_anew_only_where_its_fact_changed(setup):
     before = {m.name: m for m in setup.directory.members()}
 
-    setup.hear(fact_of(2), incarnation=1_001, announced=Announced.DRAINING)
+    setup.hear(
+        member_record(2), incarnation=1_001, advertised=AdvertisedState.DRAINING
+    )
 
     after = {m.name: m for m in setup.directory.members()}
     changed = {name for name in after if after[name] is not before[name]}
-    assert changed == {fact_of(2).name}
-    assert after[fact_of(2).name].state is MemberState.DRAINING
+    assert changed == {member_record(2).name}
+    assert after[member_record(2).name].state is MemberState.DRAINING
 
 
 def test_a_member_tells_the_revision_heard_last(setup):
-    name = fact_of(1).name
+    name = member_record(1).name
     setup.node.receive(Ping(name, 7), setup.clock.monotonic())
 
     by_name = {m.name: m for m in setup.directory.members()}
@@ -165,7 +170,7 @@
 
 
 def test_a_member_that_is_forgotten_is_listed_no_more(setup):
-    name = fact_of(2).name
+    name = member_record(2).name
     setup.directory.members()
 
     setup.node.table.forget_member(name)
--- a/src/radishwind/membership/tests/test_facts.py
+++ b/src/radishwind/membership/tests/test_records.py
@@ -4,32 +4,32 @@
 from hypothesis import strategies as st
 import msgspec
 import pytest
-from tests.support.gossip_net import fact_of
 from tests.support.gossip_net import GossipNet
+from tests.support.gossip_net import member_record
 
-from radishwind.membership.facts import Announced
-from radishwind.membership.facts import Belief
-from radishwind.membership.facts import member_newer
-from radishwind.membership.facts import MemberFact
-from radishwind.membership.facts import RumorFact
-from radishwind.membership.messages import decode
-from radishwind.membership.messages import encode
+from radishwind.membership.membership_table import MembershipTable
+from radishwind.membership.messages import decode_message
+from radishwind.membership.messages import encode_message
 from radishwind.membership.messages import MessageError
 from radishwind.membership.messages import Ping
-from radishwind.membership.table import FactTable
+from radishwind.membership.records import AdvertisedState
+from radishwind.membership.records import Liveness
+from radishwind.membership.records import member_newer
+from radishwind.membership.records import MemberRecord
+from radishwind.membership.records import Rumor
 
 FACTS = st.builds(
-    MemberFact,
+    MemberRecord,
     st.sampled_from(["a", "b"]),
     st.sampled_from(["s", "t"]),
     st.just("d"),
     st.sampled_from(["10.0.0.1:1", "10.0.0.2:1"]),
     st.integers(0, 3),
-    st.sampled_from(Announced),
-    st.sampled_from(Belief),
+    st.sampled_from(AdvertisedState),
+    st.sampled_from(Liveness),
 )
 RUMORS = st.builds(
-    RumorFact,
+    Rumor,
     st.just("t"),
     st.sampled_from(["a", "b"]),
     st.integers(0, 3),
@@ -39,10 +39,10 @@
 
 
 def held_after(facts):
-    table = FactTable(10, 10)
+    table = MembershipTable(10, 10)
     # A table learns of the living only; here both names are known before.
     for name in ("a", "b"):
-        table.merge_member(MemberFact(name, "-", "-", "0:0", 0))
+        table.merge_member(MemberRecord(name, "-", "-", "0:0", 0))
     for fact in facts:
         table.merge_member(fact)
     return table.members, table.digests.groups()
@@ -55,7 +55,7 @@
 
 @given(st.lists(FACTS, max_size=8))
 def test_merging_is_monotone(facts):
-    table = FactTable(10, 10)
+    table = MembershipTable(10, 10)
     for fact in facts:
         old = table.members.get(fact.name)
         news = table.merge_member(fact)
@@ -67,7 +67,7 @@
 @given(st.lists(RUMORS, max_size=6).flatmap(lambda r: st.permutations(r + r)))
 def test_rumours_merge_in_any_order(rumors):
     def held(facts):
-        table = FactTable(10, 10)
+        table = MembershipTable(10, 10)
         for fact in facts:
             table.merge_rumor(fact, 0.0)
         return set(table.rumors()), table.digests.groups()
@@ -77,10 +77,10 @@
 
 @given(st.lists(FACTS, max_size=6))
 def test_digest_is_that_of_a_table_built_anew(facts):
-    table = FactTable(10, 10)
+    table = MembershipTable(10, 10)
     for fact in facts:
         table.merge_member(fact)
-    rebuilt = FactTable(10, 10)
+    rebuilt = MembershipTable(10, 10)
     for fact in table.members.values():
         rebuilt.merge_member(fact)
 
@@ -88,18 +88,18 @@
 
 
 def test_rumours_are_bounded_and_the_soonest_to_end_goes():
-    table = FactTable(10, 3)
+    table = MembershipTable(10, 3)
     for number in range(5):
-        fact = RumorFact("t", str(number), 1, "", 1_000 * (number + 1))
+        fact = Rumor("t", str(number), 1, "", 1_000 * (number + 1))
         table.merge_rumor(fact, 0.0)
 
     assert {f.key for f in table.rumors()} == {"2", "3", "4"}
 
 
 def test_members_are_bounded():
-    table = FactTable(3, 3)
+    table = MembershipTable(3, 3)
     for number in range(5):
-        table.merge_member(fact_of(number))
+        table.merge_member(member_record(number))
 
     assert len(table.members) == 3
 
@@ -107,7 +107,7 @@
 @given(st.binary(max_size=200))
 def test_bytes_that_are_no_message_are_refused(data):
     with pytest.raises(MessageError):
-        decode(data)
+        decode_message(data)
 
 
 @given(
@@ -123,7 +123,7 @@
 def test_any_json_is_refused_or_handled(value):
     node = GossipNet().add(0)
     try:
-        message = decode(msgspec.json.encode(value))
+        message = decode_message(msgspec.json.encode(value))
     except MessageError:
         return
     node.receive(message, 1.0)
@@ -133,12 +133,12 @@
     "address", ["", "host", "h:99999", "h:1\n", "h h:1", "http://h:1", ":1"]
 )
 def test_address_that_cannot_be_dialled_is_malformed(address):
-    fact = MemberFact("a", "s", "d", address, 1)
+    fact = MemberRecord("a", "s", "d", address, 1)
 
     with pytest.raises(MessageError):
-        decode(encode(Ping("x", members=(fact,))))
+        decode_message(encode_message(Ping("x", members=(fact,))))
 
 
 def test_message_beyond_the_bound_is_refused():
     with pytest.raises(MessageError, match="at most"):
-        decode(b" " * 100_000)
+        decode_message(b" " * 100_000)
--- a/src/radishwind/node/app.py
+++ b/src/radishwind/node/app.py
@@ -17,8 +17,8 @@
 from radishwind.hedging import QuantileHedgePolicy
 from radishwind.http import make_sender
 from radishwind.http import make_server
-from radishwind.membership import Announced
-from radishwind.membership.listing import InventoryListing
+from radishwind.membership import AdvertisedState
+from radishwind.membership.allowlist import InventoryAllowlist
 from radishwind.node.admin import AdminListener
 from radishwind.node.callers import CallerListener
 from radishwind.node.claims import make_claims
@@ -85,7 +85,7 @@
             settings=self._settings,
             clock=self._clock,
             rng=self._rng,
-            listing=InventoryListing(lambda: self._index),
+            allowlist=InventoryAllowlist(lambda: self._index),
             client=self._client,
             store=self._stores.control,
         )
@@ -108,7 +108,7 @@
             self._settings,
             self._clock,
             self._sender,
-            self._membership.board,
+            self._membership.rumor_bus,
             self._ready_changed,
         )
         self._target = self._target_side.pipeline
@@ -173,7 +173,7 @@
             stores=self._stores,
             directory=self._membership.directory,
             peers=self._client,
-            board=self._membership.board,
+            rumor_bus=self._membership.rumor_bus,
             listener=self._peers,
             admin=self._admin,
             observation=self._observation,
@@ -218,7 +218,7 @@
 
     async def _stop(self) -> None:
         """Tells first, then refuses, then finishes what is in progress."""
-        self._membership.announce(Announced.LEAVING)
+        self._membership.announce(AdvertisedState.LEAVING)
         self._callers.ask_to_close()
         self._attempts.ask_to_close()
         await anyio.sleep(self._settings.leave_notice_s)
@@ -246,7 +246,7 @@
         if self._stopping.is_set():
             return
         self._membership.announce(
-            Announced.ALIVE if ready else Announced.DRAINING
+            AdvertisedState.SERVING if ready else AdvertisedState.DRAINING
         )
 
     def _rules_for(self, service: str) -> ServiceRules:
--- a/src/radishwind/node/config.py
+++ b/src/radishwind/node/config.py
@@ -9,7 +9,7 @@
 from radishwind.core import Clock
 from radishwind.http import Sender
 from radishwind.membership.directory import Directory
-from radishwind.membership.rumors import RumorBoard
+from radishwind.membership.rumor_bus import RumorBus
 from radishwind.node.admin import AdminListener
 from radishwind.node.config_admin import ConfigAdmin
 from radishwind.node.config_tasks import ConfigTasks
@@ -78,7 +78,7 @@
     stores: NodeStores,
     directory: Directory,
     peers: PeerClient,
-    board: RumorBoard,
+    rumor_bus: RumorBus,
     listener: PeerListener,
     admin: AdminListener,
     observation: Observation,
@@ -92,7 +92,7 @@
         store=stores.control,
         directory=directory,
         peers=peers,
-        board=board,
+        rumor_bus=rumor_bus,
         adopted=adopted,
         report=PartLogger("config", clock).info,
     )
--- a/src/radishwind/node/config_tasks.py
+++ b/src/radishwind/node/config_tasks.py
@@ -2,7 +2,7 @@
 
 Three ways lead to it. Peers: whoever adopts a revision tells a few others,
 who ask it for the difference and tell on; a slow random exchange catches what
-that missed. The board of rumors, where there is one. The store
+that missed. The rumor bus, where there is one. The store
 (`config_store`): a few nodes of each failure domain watch it, the others read
 it rarely.
 """
@@ -29,7 +29,7 @@
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
 from radishwind.membership.directory import MemberState
-from radishwind.membership.rumors import RumorBoard
+from radishwind.membership.rumor_bus import RumorBus
 from radishwind.node.config_periods import ConfigPeriods
 from radishwind.node.config_store import StoreFollower
 from radishwind.node.peer_security import advertised
@@ -54,7 +54,7 @@
 
 
 class RumorOfRevision(msgspec.Struct, frozen=True):
-    """What the board carries: the newest revision.
+    """What the rumor bus carries: the newest revision.
 
     It names no node to ask, since all would ask that one.
     """
@@ -80,7 +80,7 @@
         store: Store,
         directory: Directory,
         peers: PeerClient,
-        board: RumorBoard,
+        rumor_bus: RumorBus,
         adopted: Callable[[ConfigIndex], None],
         report: Callable[[str], None],
         periods: ConfigPeriods = _USUAL_PERIODS,
@@ -94,7 +94,7 @@
           store: the store, within the node's budget.
           directory: the members known.
           peers: sends control messages.
-          board: spreads the newest revision.
+          rumor_bus: spreads the newest revision.
           adopted: called with each configuration put in force.
           report: takes a sentence for the log.
           periods: how often the tasks act.
@@ -103,7 +103,7 @@
         self._clock = clock
         self._rng = rng
         self._directory = directory
-        self._board = board
+        self._rumor_bus = rumor_bus
         self._on_adopted = adopted
         self._report = report
         self._periods = periods
@@ -138,7 +138,7 @@
             report=report,
             periods=periods,
         )
-        board.subscribe(RUMOR_TOPIC, self._take_rumor)
+        rumor_bus.subscribe(RUMOR_TOPIC, self._take_rumor)
 
     @property
     def watching(self) -> bool:
@@ -196,7 +196,7 @@
         self._newly_adopted.set()
         if source is not Source.STORE:
             return
-        self._board.publish(
+        self._rumor_bus.publish(
             RUMOR_TOPIC,
             _RUMOR_KEY,
             snapshot.revision,
--- a/src/radishwind/node/gossip_datagrams.py
+++ b/src/radishwind/node/gossip_datagrams.py
@@ -14,13 +14,13 @@
 
 from radishwind.core.clock import Clock
 from radishwind.http.types import Address
-from radishwind.membership.actions import Call
-from radishwind.membership.actions import Purpose
 from radishwind.membership.envelope import decode_envelope
 from radishwind.membership.envelope import encode_envelope
 from radishwind.membership.envelope import Envelope
 from radishwind.membership.messages import Message
 from radishwind.membership.messages import MessageError
+from radishwind.membership.outgoing_message import MessagePurpose
+from radishwind.membership.outgoing_message import OutgoingMessage
 from radishwind.peers.datagrams import Channel
 from radishwind.peers.datagrams import PeerSocket
 
@@ -35,10 +35,14 @@
 QUESTION_PART = 0.5
 
 #: Messages whose answer says nothing.
-_TOLD = (Purpose.TELL, Purpose.REQUEST_PROBE)
+_TOLD = (MessagePurpose.NOTIFY, MessagePurpose.REQUEST_PROBE)
 
 #: Questions that fit a datagram, with their answers.
-_ASKED = (Purpose.PROBE, Purpose.RELAYED_PROBE, Purpose.REJOIN)
+_ASKED = (
+    MessagePurpose.PROBE,
+    MessagePurpose.RELAYED_PROBE,
+    MessagePurpose.REJOIN,
+)
 
 _FIRST_NUMBERS = 2**32
 
@@ -81,7 +85,7 @@
         self._questions: dict[int, _Question] = {}
         socket.add(Channel.GOSSIP, self._received)
 
-    def tell(self, call: Call) -> bool:
+    def tell(self, call: OutgoingMessage) -> bool:
         """Returns whether `call` wants no answer and was sent.
 
         A contact whose name isn't known is met by HTTP, which shows whether
@@ -91,7 +95,7 @@
             return False
         return self._send(Envelope(0, False, call.message), call.address)
 
-    async def ask(self, call: Call) -> Message | None:
+    async def ask(self, call: OutgoingMessage) -> Message | None:
         """Returns the answer to `call`; `None` if none came in its part."""
         if call.purpose not in _ASKED:
             return None
--- a/src/radishwind/node/membership_tasks.py
+++ b/src/radishwind/node/membership_tasks.py
@@ -14,23 +14,23 @@
 from radishwind.http import Response
 from radishwind.http.types import Address
 from radishwind.http.types import whole_body
-from radishwind.membership import Announced
+from radishwind.membership import AdvertisedState
 from radishwind.membership import Gossip
 from radishwind.membership import GossipDirectory
 from radishwind.membership import GossipOptions
-from radishwind.membership import GossipRumorBoard
-from radishwind.membership import MemberFact
-from radishwind.membership.actions import Call
-from radishwind.membership.changes import ChangeTeller
-from radishwind.membership.discovery import ContactFinder
-from radishwind.membership.discovery import DiscoveryOptions
-from radishwind.membership.listing import Listing
-from radishwind.membership.messages import CONTROL_NAME
-from radishwind.membership.messages import decode
-from radishwind.membership.messages import encode
+from radishwind.membership import GossipRumorBus
+from radishwind.membership import MemberRecord
+from radishwind.membership.allowlist import MemberAllowlist
+from radishwind.membership.change_logger import MembershipChangeLogger
+from radishwind.membership.contact_registry import ContactRegistry
+from radishwind.membership.contact_registry import DiscoveryOptions
+from radishwind.membership.messages import decode_message
+from radishwind.membership.messages import encode_message
+from radishwind.membership.messages import GOSSIP_CONTROL_NAME
 from radishwind.membership.messages import MAX_MESSAGE_BYTES
 from radishwind.membership.messages import Message
 from radishwind.membership.messages import MessageError
+from radishwind.membership.outgoing_message import OutgoingMessage
 from radishwind.node.gossip_datagrams import GossipDatagrams
 from radishwind.node.gossip_datagrams import RoundTripTaker
 from radishwind.node.peer_search import PeerSearch
@@ -64,7 +64,7 @@
         settings: NodeSettings,
         clock: Clock,
         rng: random.Random,
-        listing: Listing,
+        allowlist: MemberAllowlist,
         client: PeerClient,
         store: Store,
         options: GossipOptions | None = None,
@@ -79,7 +79,7 @@
           settings: of the node.
           clock: the clock.
           rng: the random source.
-          listing: whom the inventory lists.
+          allowlist: whom the inventory lists.
           client: sends messages by HTTP.
           store: holds the contacts.
           options: of gossip; by default those of `settings`.
@@ -89,7 +89,7 @@
           round_trip: takes how long short messages took there and back.
         """
         self._clock = clock
-        self._listing = listing
+        self._allowlist = allowlist
         self._client = client
         options = options or GossipOptions(
             probe_period_s=settings.probe_period_s,
@@ -99,19 +99,21 @@
             _own_fact(settings, clock), options, rng, clock.monotonic()
         )
         self.directory = GossipDirectory(
-            self.gossip, listing, clock, options.refute_grace_s
+            self.gossip, allowlist, clock, options.refute_grace_s
         )
-        self.board = GossipRumorBoard(self.gossip, clock, self._wake)
-        self._teller = ChangeTeller(
+        self.rumor_bus = GossipRumorBus(self.gossip, clock, self._wake)
+        self._change_logger = MembershipChangeLogger(
             settings.target, PartLogger("membership", clock).info
         )
-        self.gossip.table.listen(
-            lambda old, new: self._teller.changed(old, new, self._now())
+        self.gossip.table.add_member_listener(
+            lambda old, new: self._change_logger.record_change(
+                old, new, self._now()
+            )
         )
         discovery = discovery or DiscoveryOptions(
             spread_s=settings.start_spread_s
         )
-        self._finder = ContactFinder(
+        self._finder = ContactRegistry(
             store=store,
             failure_domain=settings.failure_domain,
             own=advertised(settings),
@@ -142,7 +144,9 @@
 
     def listen_on(self, listener: PeerListener) -> None:
         """Receives the messages of membership on `listener`."""
-        listener.add_control(CONTROL_NAME, self._handle, MAX_MESSAGE_BYTES)
+        listener.add_control(
+            GOSSIP_CONTROL_NAME, self._handle, MAX_MESSAGE_BYTES
+        )
 
     async def run(self) -> None:
         """Runs until cancelled."""
@@ -151,17 +155,17 @@
             tasks.start_soon(self._search.run)
             await self._tick_forever()
 
-    def announce(self, announced: Announced) -> None:
+    def announce(self, announced: AdvertisedState) -> None:
         """Tells everyone that this node drains, leaves or is back."""
-        self._start(self.gossip.announce(announced, self._now()))
+        self._start(self.gossip.advertise(announced, self._now()))
 
     def serve(self, service: str) -> None:
         """Tells everyone that the server beside now gives `service`."""
-        self._start(self.gossip.serve(service, self._now()))
+        self._start(self.gossip.set_service(service, self._now()))
 
     async def say_left(self) -> None:
         """Tells some peers that this node is gone; the last word."""
-        calls = self.gossip.announce(Announced.LEFT, self._now())
+        calls = self.gossip.advertise(AdvertisedState.LEFT, self._now())
         with anyio.move_on_after(_LAST_WORD_S):
             async with anyio.create_task_group() as tasks:
                 for call in calls:
@@ -169,7 +173,7 @@
 
     def unreachable(self, name: str) -> None:
         """Takes a hint: the node of `name` took no connection."""
-        self.gossip.suspect_hint(name, self._now())
+        self.gossip.probe_soon(name, self._now())
         self._wake()
 
     def node_count(self) -> int:
@@ -179,7 +183,7 @@
         itself, and those believed dead may be apart and still there.
         """
         known = len(self.gossip.table.members)
-        return max(known, self._listing.size())
+        return max(known, self._allowlist.size())
 
     def is_alone(self) -> bool:
         """Returns whether the store has told that no other node is there."""
@@ -204,9 +208,9 @@
             "member_states": states,
             "members_dead": self._gone_names(left=False),
             "members_left": self._gone_names(left=True),
-            "not_in_inventory": list(self.directory.refused()),
-            "incarnation": self.gossip.own.incarnation,
-            "name_conflicts": self.gossip.conflicts,
+            "not_in_inventory": list(self.directory.disallowed_names()),
+            "incarnation": self.gossip.own_record.incarnation,
+            "name_conflicts": self.gossip.name_conflicts,
             "gossip_traffic": msgspec.to_builtins(self.traffic),
             "contact_store_calls": dict(self._finder.calls),
         }
@@ -216,7 +220,8 @@
         names = [
             fact.name
             for fact in self.gossip.table.members.values()
-            if fact.gone and (fact.announced is Announced.LEFT) is left
+            if fact.is_gone
+            and (fact.advertised is AdvertisedState.LEFT) is left
         ]
         return sorted(names)[:_NAMES_TOLD]
 
@@ -233,14 +238,14 @@
     async def _tick_forever(self) -> None:
         while True:
             self._start(self.gossip.tick(self._now()))
-            self._teller.flush(self._now())
+            self._change_logger.flush(self._now())
             self._sleeps_until = self.gossip.next_due()
             wait_s = self._sleeps_until - self._now()
             with anyio.move_on_after(max(0.0, wait_s)):
                 await self._woken.wait()
             self._woken = anyio.Event()
 
-    def _start(self, calls: Iterable[Call]) -> None:
+    def _start(self, calls: Iterable[OutgoingMessage]) -> None:
         for call in calls:
             if self._datagrams is not None and self._datagrams.tell(call):
                 continue
@@ -251,13 +256,13 @@
             self._in_flight += 1
             self._tasks.start_soon(self._perform_counted, call)
 
-    async def _perform_counted(self, call: Call) -> None:
+    async def _perform_counted(self, call: OutgoingMessage) -> None:
         try:
             await self._perform(call)
         finally:
             self._in_flight -= 1
 
-    async def _perform(self, call: Call) -> None:
+    async def _perform(self, call: OutgoingMessage) -> None:
         if self._datagrams is not None:
             answer = await self._datagrams.ask(call)
             if answer is not None:
@@ -265,24 +270,24 @@
                 return
         await self._perform_by_http(call)
 
-    async def _perform_by_http(self, call: Call) -> None:
-        data = encode(call.message)
+    async def _perform_by_http(self, call: OutgoingMessage) -> None:
+        data = encode_message(call.message)
         self.traffic.sent(len(data))
         try:
             answer = await self._client.call(
-                call.address, CONTROL_NAME, data, call.timeout_s
+                call.address, GOSSIP_CONTROL_NAME, data, call.timeout_s
             )
-            message = decode(answer)
+            message = decode_message(answer)
         except (PeerError, MessageError):
-            self._finder.note_failed(call.address)
-            self._start(self.gossip.failed(call, self._now()))
+            self._finder.mark_unreachable(call.address)
+            self._start(self.gossip.handle_failure(call, self._now()))
             return
         self.traffic.received(len(answer))
         self._take_answer(call, message)
 
-    def _take_answer(self, call: Call, answer: Message) -> None:
-        self._finder.note_answered(call.address)
-        self._start(self.gossip.answered(call, answer, self._now()))
+    def _take_answer(self, call: OutgoingMessage, answer: Message) -> None:
+        self._finder.mark_reachable(call.address)
+        self._start(self.gossip.handle_answer(call, answer, self._now()))
         self._wake_if_due_sooner()
 
     def _received(self, message: Message) -> Message:
@@ -295,11 +300,11 @@
     async def _handle(self, request: Request) -> Response:
         body = await whole_body(request.body)
         try:
-            message = decode(body)
+            message = decode_message(body)
         except MessageError as exc:
             return problem(exc.code, exc.args[0], "not-run")
         self.traffic.received(len(body))
-        data = encode(self._received(message))
+        data = encode_message(self._received(message))
         self.traffic.sent(len(data))
         return Response(200, _JSON, data, len(data))
 
@@ -334,12 +339,12 @@
         self.bytes_received += size_bytes
 
 
-def _own_fact(settings: NodeSettings, clock: Clock) -> MemberFact:
+def _own_fact(settings: NodeSettings, clock: Clock) -> MemberRecord:
     # The wall clock keeps incarnations rising over restarts without a disk;
     # where it went back, peers tell us and we raise ours above.
     incarnation = clock.wall_ms()
     own: Address = advertised(settings)
-    return MemberFact(
+    return MemberRecord(
         settings.target,
         settings.service,
         settings.failure_domain,
--- a/src/radishwind/node/peer_search.py
+++ b/src/radishwind/node/peer_search.py
@@ -9,11 +9,11 @@
 from radishwind.core import Clock
 from radishwind.http.types import Address
 from radishwind.membership import Gossip
-from radishwind.membership.actions import Call
-from radishwind.membership.discovery import backoff_s
-from radishwind.membership.discovery import ContactFinder
-from radishwind.membership.discovery import DiscoveryOptions
-from radishwind.membership.discovery import Entered
+from radishwind.membership.contact_registry import backoff_delay_s
+from radishwind.membership.contact_registry import ContactRegistry
+from radishwind.membership.contact_registry import DiscoveryOptions
+from radishwind.membership.contact_registry import RegistrationResult
+from radishwind.membership.outgoing_message import OutgoingMessage
 from radishwind.membership.ranking import ranks_among_first
 from radishwind.settings import NodeSettings
 
@@ -44,9 +44,9 @@
         clock: Clock,
         rng: random.Random,
         gossip: Gossip,
-        finder: ContactFinder,
+        finder: ContactRegistry,
         options: DiscoveryOptions,
-        start: Callable[[Iterable[Call]], None],
+        start: Callable[[Iterable[OutgoingMessage]], None],
     ) -> None:
         """Wires the search.
 
@@ -66,7 +66,7 @@
         self._finder = finder
         self._options = options
         self._start = start
-        self._own = Address.parse(gossip.own.address)
+        self._own = Address.parse(gossip.own_record.address)
         self._gone_before: frozenset[Address] = frozenset()
         # The contacts of all failure domains, as read last.
         self._contacts: tuple[Address, ...] = ()
@@ -99,12 +99,13 @@
             return False
         if not self._is_contact():
             return True
-        entered = await self._finder.enter()
-        if entered is Entered.WRITTEN and not await self._read_and_join(
-            newest=True
+        entered = await self._finder.register()
+        if (
+            entered is RegistrationResult.WRITTEN
+            and not await self._read_and_join(newest=True)
         ):
             return False
-        if entered is Entered.FAILED:
+        if entered is RegistrationResult.FAILED:
             return False
         self._note_nobody()
         return True
@@ -115,7 +116,7 @@
         self.found_nobody = True
 
     async def _read_and_join(self, *, newest: bool = False) -> bool:
-        contacts = await self._finder.read(newest=newest)
+        contacts = await self._finder.read_contacts(newest=newest)
         if contacts is None:
             return False
         self._contacts = contacts
@@ -125,7 +126,7 @@
     def _missing(self) -> tuple[Address, ...]:
         """Returns the contacts that this node knows no living member at."""
         facts = self._gossip.table.members.values()
-        known = {fact.address for fact in facts if not fact.gone}
+        known = {fact.address for fact in facts if not fact.is_gone}
         return tuple(c for c in self._contacts if str(c) not in known)
 
     def _join(self, contacts: tuple[Address, ...]) -> None:
@@ -163,17 +164,17 @@
         stay_gone = gone & self._gone_before
         self._gone_before = gone
         for address in stay_gone:
-            self._finder.note_failed(address)
+            self._finder.mark_unreachable(address)
         return bool(stay_gone) and self._is_contact()
 
     def _gone_contacts(self) -> frozenset[Address]:
         """Returns the contacts that are gone; none if this node is one."""
         contacts = self._finder.contacts
-        own = self._gossip.own.address
+        own = self._gossip.own_record.address
         if any(str(contact) == own for contact in contacts):
             return frozenset()
         facts = self._gossip.table.members.values()
-        living = {fact.address for fact in facts if not fact.gone}
+        living = {fact.address for fact in facts if not fact.is_gone}
         return frozenset(c for c in contacts if str(c) not in living)
 
     def _pause_s(self, looks: int, failures: int) -> float:
@@ -183,13 +184,13 @@
           looks: looks that succeeded since the start.
           failures: looks that failed since the last success.
         """
-        if failures or self._alone() or looks <= self._options.early_looks:
-            return backoff_s(self._options, failures or looks)
+        if failures or self._alone() or looks <= self._options.early_checks:
+            return backoff_delay_s(self._options, failures or looks)
         return self._options.check_period_s
 
     def _alone(self) -> bool:
         facts = self._gossip.table.members.values()
-        return sum(not fact.gone for fact in facts) <= 1
+        return sum(not fact.is_gone for fact in facts) <= 1
 
     def _is_contact(self) -> bool:
         facts = self._gossip.table.members.values()
@@ -197,7 +198,7 @@
             fact.name
             for fact in facts
             if fact.failure_domain == self._settings.failure_domain
-            and not fact.gone
+            and not fact.is_gone
         ]
         return ranks_among_first(
             self._settings.target, names, self._options.contacts
--- a/src/radishwind/node/target.py
+++ b/src/radishwind/node/target.py
@@ -9,7 +9,7 @@
 from radishwind.config.index import ConfigIndex
 from radishwind.core import Clock
 from radishwind.http import Sender
-from radishwind.membership import RumorBoard
+from radishwind.membership import RumorBus
 from radishwind.node.admin import AdminListener
 from radishwind.node.observe import Observation
 from radishwind.probing import HealthEstimator
@@ -33,7 +33,7 @@
         settings: NodeSettings,
         clock: Clock,
         sender: Sender,
-        board: RumorBoard,
+        rumor_bus: RumorBus,
         ready_changed: Callable[[bool], None],
     ) -> None:
         self._settings = settings
@@ -46,7 +46,7 @@
             target=settings.target,
             service=settings.service,
             clock=clock,
-            board=board,
+            rumor_bus=rumor_bus,
         )
         health = HealthEstimator()
         self._watch = ExchangeRecorder(clock, health, self.quarantine)
--- a/src/radishwind/node/tests/test_config_tasks.py
+++ b/src/radishwind/node/tests/test_config_tasks.py
@@ -10,7 +10,7 @@
 
 from radishwind.config.records import ROOT_KEY
 from radishwind.http import Request
-from radishwind.membership.ranking import rank
+from radishwind.membership.ranking import hash_rank
 from radishwind.node.config_periods import ConfigPeriods
 from radishwind.standins.store import StoreFaults
 from radishwind.store import Put
@@ -136,7 +136,7 @@
 
 async def test_a_watch_ends_once_others_rank_before():
     async with running(0) as (fleet, tasks):
-        names = sorted((f"svc-0000-{n}" for n in range(6)), key=rank)
+        names = sorted((f"svc-0000-{n}" for n in range(6)), key=hash_rank)
         standin = fleet.desk.standin
         for name in reversed(names):
             fleet.start(tasks, name, "dom-a")
--- a/src/radishwind/node/tests/test_gossip_datagrams.py
+++ b/src/radishwind/node/tests/test_gossip_datagrams.py
@@ -8,14 +8,14 @@
 
 from radishwind.core.clock import ManualClock
 from radishwind.http.types import Address
-from radishwind.membership.actions import Call
-from radishwind.membership.actions import Purpose
 from radishwind.membership.envelope import encode_envelope
 from radishwind.membership.envelope import Envelope
-from radishwind.membership.facts import MemberFact
 from radishwind.membership.messages import Ack
 from radishwind.membership.messages import Ping
 from radishwind.membership.messages import Push
+from radishwind.membership.outgoing_message import MessagePurpose
+from radishwind.membership.outgoing_message import OutgoingMessage
+from radishwind.membership.records import MemberRecord
 from radishwind.node.gossip_datagrams import GossipDatagrams
 from radishwind.peers.datagrams import MAX_DATAGRAM_BYTES
 from radishwind.peers.datagrams import PeerSocket
@@ -73,7 +73,7 @@
 
 
 def call(message, purpose, member="other", timeout_s=0.02):
-    return Call(OTHER, message, timeout_s, purpose, member)
+    return OutgoingMessage(OTHER, message, timeout_s, purpose, member)
 
 
 @pytest.fixture
@@ -92,7 +92,7 @@
     one, got = pair
     ping = Ping("one", 1, (), (), "other")
 
-    answer = await one.ask(call(ping, Purpose.PROBE))
+    answer = await one.ask(call(ping, MessagePurpose.PROBE))
 
     assert answer == Ack("other", 3)
     assert got == [ping]
@@ -102,7 +102,7 @@
     one, _ = pair
     net.loses = True
 
-    answer = await one.ask(call(Ping("one"), Purpose.PROBE))
+    answer = await one.ask(call(Ping("one"), MessagePurpose.PROBE))
 
     assert answer is None
     assert net.carried == 1
@@ -110,9 +110,9 @@
 
 async def test_a_push_wants_no_answer(net, pair):
     one, got = pair
-    push = Push("one", 1, (MemberFact("a", "s", "d", "10.0.0.9:1", 4),))
+    push = Push("one", 1, (MemberRecord("a", "s", "d", "10.0.0.9:1", 4),))
 
-    assert one.tell(call(push, Purpose.TELL))
+    assert one.tell(call(push, MessagePurpose.NOTIFY))
     assert got == [push]
     assert net.carried == 1
 
@@ -120,22 +120,24 @@
 async def test_a_contact_of_unknown_name_is_left_to_http(net, pair):
     one, _ = pair
 
-    assert not one.tell(call(Push("one"), Purpose.TELL, member=""))
+    assert not one.tell(call(Push("one"), MessagePurpose.NOTIFY, member=""))
     assert net.carried == 0
 
 
 async def test_what_is_too_long_is_left_to_http(net, pair):
     one, _ = pair
     facts = tuple(
-        MemberFact(f"member-{n}", "s" * 60, "d", "10.0.0.9:1", 4)
+        MemberRecord(f"member-{n}", "s" * 60, "d", "10.0.0.9:1", 4)
         for n in range(MAX_DATAGRAM_BYTES // 60)
     )
 
-    assert not one.tell(call(Push("one", 1, facts), Purpose.TELL))
+    assert not one.tell(call(Push("one", 1, facts), MessagePurpose.NOTIFY))
     assert net.carried == 0
 
 
-@pytest.mark.parametrize("purpose", [Purpose.JOIN, Purpose.SYNC_PAGE])
+@pytest.mark.parametrize(
+    "purpose", [MessagePurpose.JOIN, MessagePurpose.SYNC_PAGE]
+)
 async def test_anti_entropy_is_left_to_http(net, pair, purpose):
     one, _ = pair
 
@@ -152,7 +154,9 @@
     async with anyio.create_task_group() as tasks:
 
         async def ask():
-            answers.append(await one.ask(call(Ping("one"), Purpose.PROBE)))
+            answers.append(
+                await one.ask(call(Ping("one"), MessagePurpose.PROBE))
+            )
 
         tasks.start_soon(ask)
         await anyio.lowlevel.checkpoint()
--- a/src/radishwind/node/tests/test_peer_search.py
+++ b/src/radishwind/node/tests/test_peer_search.py
@@ -8,12 +8,12 @@
 
 from radishwind.core import ManualClock
 from radishwind.http import Address
-from radishwind.membership import Announced
+from radishwind.membership import AdvertisedState
 from radishwind.membership import Gossip
 from radishwind.membership import GossipOptions
-from radishwind.membership import MemberFact
-from radishwind.membership.discovery import ContactFinder
-from radishwind.membership.discovery import DiscoveryOptions
+from radishwind.membership import MemberRecord
+from radishwind.membership.contact_registry import ContactRegistry
+from radishwind.membership.contact_registry import DiscoveryOptions
 from radishwind.node import peer_search
 from radishwind.node.peer_search import MISSING_LOOKS_S
 from radishwind.node.peer_search import PeerSearch
@@ -23,7 +23,7 @@
 from radishwind.store import StoreUnavailableError
 
 STORE = Address("127.0.0.1", 2379)
-OPTIONS = DiscoveryOptions(spread_s=0.0, early_looks=0, contacts=2)
+OPTIONS = DiscoveryOptions(spread_s=0.0, early_checks=0, contacts=2)
 pytestmark = pytest.mark.anyio
 
 
@@ -33,7 +33,9 @@
 
 
 def fact(number, **said):
-    return MemberFact(f"t-{number}", "s", "a", f"10.0.0.1:{number}", 1, **said)
+    return MemberRecord(
+        f"t-{number}", "s", "a", f"10.0.0.1:{number}", 1, **said
+    )
 
 
 class Node:
@@ -53,7 +55,7 @@
             peer_listen=address,
             admin_listen=address,
         )
-        self.finder = ContactFinder(
+        self.finder = ContactRegistry(
             store=EtcdStore(sender, STORE),
             failure_domain="a",
             own=address,
@@ -136,7 +138,7 @@
     if call == "get":
         # A first write that lost its race reads once more.
         monkeypatch.setattr(node.finder, "_listed", None)
-        monkeypatch.setattr(node.finder, "read", _nobody)
+        monkeypatch.setattr(node.finder, "read_contacts", _nobody)
 
     await node.search._look()
 
@@ -154,7 +156,9 @@
     third.know(fact(1), fact(2))
 
     assert not third.search._is_to_replace_one()
-    third.know(MemberFact("t-1", "s", "a", "10.0.0.1:1", 2, Announced.LEFT))
+    third.know(
+        MemberRecord("t-1", "s", "a", "10.0.0.1:1", 2, AdvertisedState.LEFT)
+    )
 
     assert not third.search._is_to_replace_one(), "it may be starting again"
     assert third.search._is_to_replace_one()
--- a/src/radishwind/platform/tests/test_foreign.py
+++ b/src/radishwind/platform/tests/test_foreign.py
@@ -15,7 +15,7 @@
 from radishwind.http.types import Request
 from radishwind.http.types import Response
 from radishwind.loads import load_message
-from radishwind.membership import contacts
+from radishwind.membership import contact_records
 from radishwind.membership import messages
 from radishwind.peers.attempts import PeerMalformedError
 from radishwind.peers.attempts import read_attempt
@@ -212,14 +212,16 @@
 @given(as_bytes(JSON))
 def test_what_peers_tell(data):
     for decode, refusal in (
-        (messages.decode, messages.MessageError),
+        (messages.decode_message, messages.MessageError),
         (route_messages.decode, route_messages.FeedMalformedError),
         (lambda raw: read_attempt(raw.decode("latin-1")), PeerMalformedError),
     ):
         with contextlib.suppress(refusal):
             decode(data)
     load_message.decode(data)
-    found = contacts.addresses(contacts.read_record(data))
+    found = contact_records.contact_addresses(
+        contact_records.decode_contact_record(data)
+    )
     assert all(isinstance(address, Address) for address in found)
 
 
--- a/src/radishwind/quarantine/gate.py
+++ b/src/radishwind/quarantine/gate.py
@@ -9,7 +9,7 @@
 
 from radishwind.core.clock import Clock
 from radishwind.core.codes import ResultCode
-from radishwind.membership.rumors import RumorBoard
+from radishwind.membership.rumor_bus import RumorBus
 from radishwind.outcomes.model import NotRun
 from radishwind.quarantine.crashes import Suspect
 from radishwind.quarantine.fingerprint import fingerprint
@@ -44,18 +44,18 @@
 
 
 class Quarantine(QuarantineGate):
-    """One book for each service called; facts come by the rumor board."""
+    """One book for each service called; facts come by the rumor bus."""
 
     def __init__(
-        self, *, target: str, service: str, clock: Clock, board: RumorBoard
+        self, *, target: str, service: str, clock: Clock, rumor_bus: RumorBus
     ) -> None:
         self._target = target
         self._service = service
         self._clock = clock
-        self._board = board
+        self._rumor_bus = rumor_bus
         self._books: dict[str, SuspectBook] = {}
         self._log = PartLogger("quarantine", clock)
-        board.subscribe(TOPIC, self._learn)
+        rumor_bus.subscribe(TOPIC, self._learn)
 
     def serve(self, service: str) -> None:
         """Takes that the server beside now gives `service`."""
@@ -116,7 +116,7 @@
     def _tell(self, fact: Fact) -> None:
         self._take(self._service, fact)
         kind = "crash" if fact.crashed_ms else "clear"
-        self._board.publish(
+        self._rumor_bus.publish(
             TOPIC,
             f"{self._service}/{fact.fingerprint}/{self._target}/{kind}",
             self._clock.wall_ms(),
--- a/src/radishwind/quarantine/tests/test_quarantine.py
+++ b/src/radishwind/quarantine/tests/test_quarantine.py
@@ -103,9 +103,9 @@
 
 
 def test_every_node_refuses_what_crashed_two_targets():
-    clock, board = ManualClock(), DirectBoard()
+    clock, rumor_bus = ManualClock(), DirectBoard()
     nodes = [
-        Quarantine(target=name, service="s", clock=clock, board=board)
+        Quarantine(target=name, service="s", clock=clock, rumor_bus=rumor_bus)
         for name in ("a", "b", "c")
     ]
     nodes[0].crashed(
@@ -129,9 +129,11 @@
 
 
 def test_a_malformed_fact_is_left_out():
-    board = DirectBoard()
-    node = Quarantine(target="a", service="s", clock=ManualClock(), board=board)
-    board.publish("quarantine", "s/f/b/crash", 1, b'["f"', 1.0)
+    rumor_bus = DirectBoard()
+    node = Quarantine(
+        target="a", service="s", clock=ManualClock(), rumor_bus=rumor_bus
+    )
+    rumor_bus.publish("quarantine", "s/f/b/crash", 1, b'["f"', 1.0)
     assert node.status() == {}
 
 
--- a/src/radishwind/recency/sources.py
+++ b/src/radishwind/recency/sources.py
@@ -8,7 +8,7 @@
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
 from radishwind.membership.directory import MemberState
-from radishwind.membership.ranking import rank
+from radishwind.membership.ranking import hash_rank
 from radishwind.routes.neighbours import watchers_each
 
 #: Those that read the store first, which relays ask before others.
@@ -111,7 +111,7 @@
     """
     counts: dict[str, int] = {}
     numbered: list[tuple[int, int, str]] = []
-    for ranked, name, domain in sorted((rank(n), n, d) for d, n in places):
+    for ranked, name, domain in sorted((hash_rank(n), n, d) for d, n in places):
         number = counts.get(domain, 0)
         counts[domain] = number + 1
         numbered.append((number, ranked, name))
--- a/src/radishwind/recency/tests/test_seeker.py
+++ b/src/radishwind/recency/tests/test_seeker.py
@@ -23,7 +23,7 @@
             Member(name, "s", name[0], Address(name, 1)) for name in names
         )
 
-    def of_service(self, service):
+    def eligible_members(self, service):
         return self._members
 
     def members(self):
--- a/src/radishwind/recency/tests/test_sources.py
+++ b/src/radishwind/recency/tests/test_sources.py
@@ -19,7 +19,7 @@
     def __init__(self, *members):
         self._members = members
 
-    def of_service(self, service):
+    def eligible_members(self, service):
         return self._members
 
     def members(self):
--- a/src/radishwind/routes/feed.py
+++ b/src/radishwind/routes/feed.py
@@ -21,8 +21,8 @@
 from radishwind.http.types import whole_body
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
-from radishwind.membership.facts import MAX_VALUE_CHARS
-from radishwind.membership.rumors import RumorBoard
+from radishwind.membership.records import MAX_VALUE_CHARS
+from radishwind.membership.rumor_bus import RumorBus
 from radishwind.outcomes import problem
 from radishwind.peers.client import PeerClient
 from radishwind.peers.client import PeerError
@@ -91,7 +91,7 @@
         in_force: RoutesInForce,
         emptied: EmptiedInForce,
         directory: Directory,
-        board: RumorBoard,
+        rumor_bus: RumorBus,
         peers: PeerClient,
         clock: Clock,
         rng: random.Random,
@@ -110,7 +110,7 @@
           in_force: takes configurations.
           emptied: takes the emptied failure domains.
           directory: the nodes there are.
-          board: tells all nodes what is new.
+          rumor_bus: tells all nodes what is new.
           peers: calls other nodes.
           clock: the clock.
           rng: the random source of pauses.
@@ -140,7 +140,7 @@
         self._decode = decode
         self._in_force = in_force
         self._emptied = emptied
-        self._board = board
+        self._rumor_bus = rumor_bus
         self._peers = peers
         self._rng = rng
         self._first_wait_s = first_wait_s
@@ -151,8 +151,8 @@
         # The version that is packed, and packed; made for the first peer.
         self._packed = (0, b"")
         self._tasks: anyio.abc.TaskGroup | None = None
-        board.subscribe(TOPIC, self._on_rumor)
-        board.subscribe(EMPTIED_TOPIC, self._on_emptied_rumor)
+        rumor_bus.subscribe(TOPIC, self._on_rumor)
+        rumor_bus.subscribe(EMPTIED_TOPIC, self._on_emptied_rumor)
         in_force.listen(self._adopted)
 
     async def run(self) -> None:
@@ -253,14 +253,14 @@
     def _tell_emptied(self) -> None:
         told = self._emptied.domains
         value = encode_rumor(told, MAX_VALUE_CHARS)
-        self._board.publish(
+        self._rumor_bus.publish(
             EMPTIED_TOPIC, "domains", told.revision, value, _RUMOR_S
         )
 
     def _adopted(self, cfg: RouteConfig) -> None:
         self._heard_version = max(self._heard_version, cfg.version)
         value = msgspec.json.encode([cfg.version, self._node_name])
-        self._board.publish(TOPIC, "version", cfg.version, value, _RUMOR_S)
+        self._rumor_bus.publish(TOPIC, "version", cfg.version, value, _RUMOR_S)
         self._push_soon(Offer(self._pack(), self._emptied.domains))
 
     def _push_soon(self, offer: Offer) -> None:
--- a/src/radishwind/routes/neighbours.py
+++ b/src/radishwind/routes/neighbours.py
@@ -9,7 +9,7 @@
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
 from radishwind.membership.directory import MemberState
-from radishwind.membership.ranking import rank
+from radishwind.membership.ranking import hash_rank
 from radishwind.membership.ranking import ranks_among_first
 
 #: Nodes of a failure domain that watch the store: one may be cut off from it.
@@ -84,9 +84,9 @@
         """
         near = self.near()
         parts = self._watchers()
-        own = rank(self._node_name)
-        number = sum(rank(m.name) < own for m in near) % parts
-        return [m for m in near if rank(m.name) % parts == number]
+        own = hash_rank(self._node_name)
+        number = sum(hash_rank(m.name) < own for m in near) % parts
+        return [m for m in near if hash_rank(m.name) % parts == number]
 
     def _watchers(self) -> int:
         """Returns how many nodes of a failure domain watch the store."""
--- a/src/radishwind/routes/tests/test_emptied.py
+++ b/src/radishwind/routes/tests/test_emptied.py
@@ -157,11 +157,11 @@
 class Node:
     """One feed with what it keeps."""
 
-    def __init__(self, store, board=None, name="own", watches=True):
+    def __init__(self, store, rumor_bus=None, name="own", watches=True):
         clock = ManualClock()
         self.routes = RoutesInForce(clock)
         self.emptied = EmptiedInForce(clock)
-        self.board = board or Board()
+        self.rumor_bus = rumor_bus or Board()
         self.peers = Peers()
         self.feed = RouteFeed(
             node_name=name,
@@ -172,7 +172,7 @@
             in_force=self.routes,
             emptied=self.emptied,
             directory=Names("own", *(f"p-{number}" for number in range(8))),
-            board=self.board,
+            rumor_bus=self.rumor_bus,
             peers=self.peers,
             clock=clock,
             rng=random.Random(1),
@@ -208,7 +208,9 @@
 
     await run(node, steps)
     assert store.reads == 1
-    versions = [v for topic, v, _ in node.board.told if topic == EMPTIED_TOPIC]
+    versions = [
+        v for topic, v, _ in node.rumor_bus.told if topic == EMPTIED_TOPIC
+    ]
     assert versions == sorted(set(versions))
 
 
@@ -270,7 +272,7 @@
     async def steps():
         await node.until(())
         rumor = msgspec.json.encode([store.revision, ["b"]])
-        node.board.publish(EMPTIED_TOPIC, "domains", 1, rumor, 1.0)
+        node.rumor_bus.publish(EMPTIED_TOPIC, "domains", 1, rumor, 1.0)
         await node.until("b")
 
     await run(node, steps)
@@ -307,7 +309,7 @@
     node.feed._on_emptied_rumor("domains", msgspec.json.encode([20, ["b"]]))
 
     assert node.emptied.names == frozenset()
-    told = [told for told in node.board.told if told[0] == EMPTIED_TOPIC]
+    told = [told for told in node.rumor_bus.told if told[0] == EMPTIED_TOPIC]
     assert [(v, msgspec.json.decode(raw)) for _, v, raw in told] == [
         (50, [50, []])
     ]
@@ -319,7 +321,7 @@
 
     node.feed._take_emptied(of(20, *names), "test")
 
-    raw = node.board.told[-1][2]
+    raw = node.rumor_bus.told[-1][2]
     assert msgspec.json.decode(raw) == [20, None]
     other = Node(KeptStore())
     other.routes.adopt(RouteConfig(7, (ROUTE,), {}), b"7", "test")
--- a/src/radishwind/routes/tests/test_feed.py
+++ b/src/radishwind/routes/tests/test_feed.py
@@ -10,7 +10,7 @@
 from radishwind.http.types import Request
 from radishwind.membership.directory import Member
 from radishwind.membership.directory import MemberState
-from radishwind.membership.ranking import rank
+from radishwind.membership.ranking import hash_rank
 from radishwind.routes import messages
 from radishwind.routes import Part
 from radishwind.routes import Route
@@ -103,7 +103,7 @@
         in_force=in_force,
         emptied=EmptiedInForce(ManualClock()),
         directory=directory,
-        board=Board(),
+        rumor_bus=Board(),
         peers=Peers(),
         clock=ManualClock(),
         rng=random.Random(1),
@@ -319,7 +319,7 @@
 
 async def test_a_watcher_of_a_large_failure_domain_pushes_to_few_at_once():
     names = [f"t-{number}" for number in range(40)]
-    first = min(names, key=rank)
+    first = min(names, key=hash_rank)
     made, in_force = feed(Store(), Directory(*names), 60.0, first)
     made._peers = SlowPeers()
     in_force.adopt(decode(b"7"), b"7", "test")
--- a/src/radishwind/routing/placement.py
+++ b/src/radishwind/routing/placement.py
@@ -45,7 +45,7 @@
         self._directory = directory
 
     def candidates(self, call: "Call") -> Sequence[Member]:
-        return self._directory.of_service(call.service)
+        return self._directory.eligible_members(call.service)
 
 
 class RestrictedPlacement(UnrestrictedPlacement):
--- a/src/radishwind/routing/tests/test_placement.py
+++ b/src/radishwind/routing/tests/test_placement.py
@@ -18,7 +18,7 @@
     def __init__(self, members=MEMBERS):
         self._members = members
 
-    def of_service(self, service):
+    def eligible_members(self, service):
         return self._members if service == "s" else ()
 
 
--- a/src/radishwind/sidecar/app.py
+++ b/src/radishwind/sidecar/app.py
@@ -13,8 +13,8 @@
 from radishwind.http.httptools_sender import HttptoolsSender
 from radishwind.http.types import Request
 from radishwind.http.types import Response
-from radishwind.membership.facts import Announced
-from radishwind.membership.listing import OpenListing
+from radishwind.membership.allowlist import OpenAllowlist
+from radishwind.membership.records import AdvertisedState
 from radishwind.node.callers import CallerListener
 from radishwind.node.in_progress import RequestsInProgress
 from radishwind.node.membership_tasks import MembershipTasks
@@ -116,7 +116,7 @@
             settings=membership_settings(settings),
             clock=self._clock,
             rng=self._rng,
-            listing=OpenListing(),
+            allowlist=OpenAllowlist(),
             client=self._peers.client,
             store=self._store,
             options=GOSSIP,
@@ -156,7 +156,7 @@
             clock=self._clock,
             sender=self._server_sender,
             dialect=PlatformDialect(),
-            board=self._membership.board,
+            rumor_bus=self._membership.rumor_bus,
             ready_changed=self._ready_changed,
             learns_for_others=lambda: self._control.learns_for_others(),
             switches=self._switches,
@@ -324,7 +324,7 @@
 
     def _say_leaving(self) -> None:
         self._leaving = True
-        self._membership.announce(Announced.LEAVING)
+        self._membership.announce(AdvertisedState.LEAVING)
         self._loads.tell()
 
     async def _close_senders(self) -> None:
@@ -364,7 +364,9 @@
             return
         if ready:
             self._membership.serve(self._target.server.service)
-        announced = Announced.ALIVE if ready else Announced.DRAINING
+        announced = (
+            AdvertisedState.SERVING if ready else AdvertisedState.DRAINING
+        )
         self._membership.announce(announced)
 
     def _words_left_out(self) -> dict[str, int]:
--- a/src/radishwind/sidecar/control_side.py
+++ b/src/radishwind/sidecar/control_side.py
@@ -79,7 +79,7 @@
             clock=clock,
             store=store,
             directory=membership.directory,
-            board=membership.board,
+            rumor_bus=membership.rumor_bus,
             peers=client,
             rng=rng,
             learned=target.server.mark_leaving,
@@ -91,7 +91,7 @@
             service=lambda: target.server.service,
             is_on_duty=lambda: self._ranks_among(1),
             first_start=settings.first_start,
-            board=membership.board,
+            rumor_bus=membership.rumor_bus,
         )
         self._feed = RouteFeed(
             node_name=settings.node,
@@ -102,7 +102,7 @@
             in_force=routes,
             emptied=emptied,
             directory=membership.directory,
-            board=membership.board,
+            rumor_bus=membership.rumor_bus,
             peers=client,
             clock=clock,
             rng=rng,
@@ -172,7 +172,7 @@
         service = self._target.server.service
         return [
             member.name
-            for member in self._membership.directory.of_service(service)
+            for member in self._membership.directory.eligible_members(service)
             if member.name != self._settings.node
         ]
 
--- a/src/radishwind/sidecar/habits.py
+++ b/src/radishwind/sidecar/habits.py
@@ -17,8 +17,8 @@
 from radishwind.admission.room import Knee
 from radishwind.admission.room import RoomLearner
 from radishwind.core.clock import Clock
-from radishwind.membership.rumors import RumorBoard
-from radishwind.membership.rumors import SilentBoard
+from radishwind.membership.rumor_bus import NullRumorBus
+from radishwind.membership.rumor_bus import RumorBus
 from radishwind.store.base import Put
 from radishwind.store.base import Store
 from radishwind.store.base import StoreError
@@ -146,7 +146,7 @@
         service: Callable[[], str],
         is_on_duty: Callable[[], bool],
         first_start: bool,
-        board: RumorBoard | None = None,
+        rumor_bus: RumorBus | None = None,
     ) -> None:
         """Wires the task.
 
@@ -157,7 +157,7 @@
           service: returns the service of the server beside.
           is_on_duty: returns whether this node is the one that keeps.
           first_start: whether nothing can have been kept.
-          board: tells the nodes that run; by default nobody.
+          rumor_bus: tells the nodes that run; by default nobody.
         """
         self._clock = clock
         self._store = store
@@ -170,8 +170,8 @@
         self._log = PartLogger("habits", clock)
         # What this node told last, or heard.
         self._told = HabitRecord()
-        self._board = board or SilentBoard()
-        self._board.subscribe(TOPIC, self._on_rumor)
+        self._rumor_bus = rumor_bus or NullRumorBus()
+        self._rumor_bus.subscribe(TOPIC, self._on_rumor)
 
     async def run(self) -> None:
         """Runs until cancelled."""
@@ -217,7 +217,7 @@
             return
         self._told = found
         version = self._clock.wall_ms()
-        self._board.publish(
+        self._rumor_bus.publish(
             TOPIC, self._service(), version, _encode(found), _RUMOR_S
         )
 
--- a/src/radishwind/sidecar/loads.py
+++ b/src/radishwind/sidecar/loads.py
@@ -11,9 +11,9 @@
 from radishwind.loads import ReportScheduler
 from radishwind.membership.directory import Member
 from radishwind.membership.directory import MemberState
-from radishwind.membership.facts import MemberFact
 from radishwind.membership.gossip import Gossip
-from radishwind.membership.view import GossipDirectory
+from radishwind.membership.gossip_directory import GossipDirectory
+from radishwind.membership.records import MemberRecord
 from radishwind.peers.datagrams import PeerSocket
 from radishwind.peers.traffic import PeerTraffic
 from radishwind.routing.fresh_load_chooser import FreshLoadChooser
@@ -73,7 +73,7 @@
         self._traffic = traffic
         self._stale = True
         self._channel = LoadChannel(socket, self._heard)
-        gossip.table.listen(self._changed)
+        gossip.table.add_member_listener(self._changed)
 
     async def run(self) -> None:
         """Tells until cancelled."""
@@ -120,7 +120,9 @@
             self._clock.monotonic(),
         )
 
-    def _changed(self, old: MemberFact | None, new: MemberFact | None) -> None:
+    def _changed(
+        self, old: MemberRecord | None, new: MemberRecord | None
+    ) -> None:
         self._stale = True
 
     def _follow(self) -> None:
--- a/src/radishwind/sidecar/options.py
+++ b/src/radishwind/sidecar/options.py
@@ -1,7 +1,7 @@
 """The limits and times of a node on the platform, and where they come from."""
 
-from radishwind.membership.discovery import DiscoveryOptions
-from radishwind.membership.options import GossipOptions
+from radishwind.membership.contact_registry import DiscoveryOptions
+from radishwind.membership.gossip_options import GossipOptions
 from radishwind.routing.cost_weights import CostWeights
 from radishwind.settings.node import NodeSettings
 from radishwind.settings.placed import PlacedSettings
@@ -66,8 +66,8 @@
     push_delay_s=0.05,
     rejoin_period_s=2.0,
     sync_period_s=8.0,
-    sync_soon_s=0.3,
-    forget_s=120.0,
+    sync_retry_s=0.3,
+    forget_after_s=120.0,
     message_bytes=DATAGRAM_FACTS_BYTES,
 )
 
@@ -75,12 +75,12 @@
 DISCOVERY = DiscoveryOptions(
     spread_s=START_SPREAD_S,
     backoff_s=0.3,
-    backoff_most_s=1.0,
-    early_looks=0,
-    calls_at_once=30,
+    max_backoff_s=1.0,
+    early_checks=0,
+    burst_calls=30,
     calls_per_hour=1200.0,
     contacts=3,
-    stale_first=True,
+    prefers_stale_reads=True,
 )
 
 STORE_BUDGET = StoreBudget(
--- a/src/radishwind/sidecar/peer_side.py
+++ b/src/radishwind/sidecar/peer_side.py
@@ -113,7 +113,7 @@
             store=store,
             clock=self._clock,
             rng=rng,
-            board=membership.board,
+            rumor_bus=membership.rumor_bus,
             makes=self._ranks_first,
             spread_s=start_spread_s(self._settings),
             entropy=os.urandom,
--- a/src/radishwind/sidecar/quotas.py
+++ b/src/radishwind/sidecar/quotas.py
@@ -7,10 +7,10 @@
 from radishwind.accounts import AccountIndex
 from radishwind.core.clock import Clock
 from radishwind.http.types import Address
-from radishwind.membership.facts import Announced
-from radishwind.membership.facts import Belief
-from radishwind.membership.facts import MemberFact
 from radishwind.membership.gossip import Gossip
+from radishwind.membership.records import AdvertisedState
+from radishwind.membership.records import Liveness
+from radishwind.membership.records import MemberRecord
 from radishwind.node.membership_tasks import MembershipTasks
 from radishwind.peers.datagrams import PeerSocket
 from radishwind.quotas import Borrower
@@ -91,7 +91,7 @@
             lambda: [self._addresses[n] for n in self._others()],
             lambda: self._limits.any,
         )
-        membership.gossip.table.listen(self._changed)
+        membership.gossip.table.add_member_listener(self._changed)
         routes.listen(lambda cfg: self._woken.set())
 
     async def run(self) -> None:
@@ -125,7 +125,9 @@
         for name in self.borrower.unresponsive_lenders(now):
             self._membership.unreachable(name)
 
-    def _changed(self, old: MemberFact | None, new: MemberFact | None) -> None:
+    def _changed(
+        self, old: MemberRecord | None, new: MemberRecord | None
+    ) -> None:
         self._stale = True
 
     def _follow(self, gossip: Gossip, now: float) -> None:
@@ -133,7 +135,9 @@
         self._stale = False
         facts = gossip.table.members
         live = [name for name, fact in facts.items() if _may_lend(fact)]
-        known = sum(f.announced is not Announced.LEFT for f in facts.values())
+        known = sum(
+            f.advertised is not AdvertisedState.LEFT for f in facts.values()
+        )
         self._addresses.clear()
         for name in live:
             self._addresses[name] = Address.parse(facts[name].address)
@@ -183,6 +187,6 @@
         return book
 
 
-def _may_lend(fact: MemberFact) -> bool:
-    fine = fact.belief is Belief.FINE
-    return fine and fact.announced < Announced.LEAVING
+def _may_lend(fact: MemberRecord) -> bool:
+    fine = fact.liveness is Liveness.ALIVE
+    return fine and fact.advertised < AdvertisedState.LEAVING
--- a/src/radishwind/sidecar/secret.py
+++ b/src/radishwind/sidecar/secret.py
@@ -13,8 +13,10 @@
 import msgspec
 
 from radishwind.core.clock import Clock
-from radishwind.membership.contacts import PREFIX as CONTACTS_PREFIX
-from radishwind.membership.rumors import RumorBoard
+from radishwind.membership.contact_records import (
+    CONTACTS_KEY_PREFIX as CONTACTS_PREFIX,
+)
+from radishwind.membership.rumor_bus import RumorBus
 from radishwind.peers.keyring import Keyring
 from radishwind.store.base import Compare
 from radishwind.store.base import Put
@@ -89,7 +91,7 @@
         store: Store,
         clock: Clock,
         rng: random.Random,
-        board: RumorBoard,
+        rumor_bus: RumorBus,
         makes: Callable[[], bool],
         spread_s: float,
         entropy: Callable[[int], bytes],
@@ -101,7 +103,7 @@
           store: the platform's store.
           clock: the clock.
           rng: the random source of pauses.
-          board: tells that there is a record.
+          rumor_bus: tells that there is a record.
           makes: returns whether this node is the one to make the record.
           spread_s: how long the first listing of the contacts may take to
             begin (s), which mostly brings the secret.
@@ -111,7 +113,7 @@
         self._store = store
         self._clock = clock
         self._rng = rng
-        self._board = board
+        self._rumor_bus = rumor_bus
         self._makes = makes
         self._spread_s = spread_s
         self._entropy = entropy
@@ -123,7 +125,7 @@
         self._unread = False
         self._due = anyio.Event()
         self._told = anyio.Event()
-        board.subscribe(TOPIC, self._on_rumor)
+        rumor_bus.subscribe(TOPIC, self._on_rumor)
         keyring.listen(self._wanted)
 
     def listed(self, entry: StoreEntry) -> None:
@@ -259,4 +261,4 @@
 
     def _tell(self, revision: int) -> None:
         value = msgspec.json.encode(revision)
-        self._board.publish(TOPIC, "record", revision, value, _RUMOR_S)
+        self._rumor_bus.publish(TOPIC, "record", revision, value, _RUMOR_S)
--- a/src/radishwind/sidecar/target_side.py
+++ b/src/radishwind/sidecar/target_side.py
@@ -14,7 +14,7 @@
 from radishwind.core.clock import Clock
 from radishwind.entry.nested_routes import LocalConcurrency
 from radishwind.http.sender import Sender
-from radishwind.membership.rumors import RumorBoard
+from radishwind.membership.rumor_bus import RumorBus
 from radishwind.probing.health import HealthEstimator
 from radishwind.quarantine.gate import Quarantine
 from radishwind.routes.emptied import EmptiedDomains
@@ -60,7 +60,7 @@
         clock: Clock,
         sender: Sender,
         dialect: ServerDialect,
-        board: RumorBoard,
+        rumor_bus: RumorBus,
         ready_changed: Callable[[bool], None],
         learns_for_others: Callable[[], bool],
         switches: Switches = ALL_ON,
@@ -73,7 +73,7 @@
           clock: the clock.
           sender: sends to the server.
           dialect: makes requests for it and reads its answers.
-          board: tells what crashed the server.
+          rumor_bus: tells what crashed the server.
           ready_changed: told whether the server takes new work.
           learns_for_others: returns whether this node learns of the server
             before it is used, and tells the other nodes of the service.
@@ -94,7 +94,7 @@
             target=settings.node,
             service=settings.service,
             clock=clock,
-            board=board,
+            rumor_bus=rumor_bus,
         )
         self.pulse = LoadMonitor(
             clock,
--- a/src/radishwind/sidecar/tests/test_forged.py
+++ b/src/radishwind/sidecar/tests/test_forged.py
@@ -19,11 +19,11 @@
 from radishwind.loads.load_message import LoadMessage
 from radishwind.membership.envelope import encode_envelope
 from radishwind.membership.envelope import Envelope
-from radishwind.membership.facts import MemberFact
-from radishwind.membership.facts import RumorFact
-from radishwind.membership.messages import CONTROL_NAME as GOSSIP
-from radishwind.membership.messages import encode as encode_message
+from radishwind.membership.messages import encode_message as encode_message
+from radishwind.membership.messages import GOSSIP_CONTROL_NAME as GOSSIP
 from radishwind.membership.messages import Push
+from radishwind.membership.records import MemberRecord
+from radishwind.membership.records import Rumor
 from radishwind.peers.attempts import ANSWER_FIELD
 from radishwind.peers.attempts import ATTEMPT_FIELD
 from radishwind.peers.attempts import AttemptInfo
@@ -98,7 +98,7 @@
         if secret is not None:
             self.peers.keyring.learn(secret, 1)
         self.adopt(accounts=accounts)
-        fact = MemberFact("b-1", "s", "b", str(PEER), 5)
+        fact = MemberRecord("b-1", "s", "b", str(PEER), 5)
         self.node._membership._received(Push("b-1", 0, (fact,)))
         self.heard = []
         for channel in (Channel.RECENCY, Channel.QUOTAS):
@@ -206,7 +206,7 @@
 class Fact:
     """A fact on a member: it is at another address."""
 
-    push = Push("b-1", 0, (MemberFact("b-1", "s", "b", "10.6.6.6:1", 99),))
+    push = Push("b-1", 0, (MemberRecord("b-1", "s", "b", "10.6.6.6:1", 99),))
 
     async def send(self, sender):
         data = encode_envelope(Envelope(0, False, self.push))
@@ -225,7 +225,7 @@
 class Joined(Fact):
     """A fact on a member that nobody knows."""
 
-    push = Push("z-9", 0, (MemberFact("z-9", "s", "b", "10.6.6.6:1", 99),))
+    push = Push("z-9", 0, (MemberRecord("z-9", "s", "b", "10.6.6.6:1", 99),))
 
 
 class Offer:
@@ -251,7 +251,7 @@
 class EmptiedRumor:
     async def send(self, sender):
         value = routes.encode_rumor(EmptiedDomains(9, frozenset({"a"})), 400)
-        rumor = RumorFact("emptied", "domains", 9, value.decode(), 60_000)
+        rumor = Rumor("emptied", "domains", 9, value.decode(), 60_000)
         push = Push("b-1", 0, (), (rumor,))
         data = encode_envelope(Envelope(0, False, push))
         sender.here.datagram(sender.datagram(Channel.GOSSIP, data))
@@ -272,7 +272,7 @@
 
 class LeavingRumor(Leaving):
     async def send(self, sender):
-        rumor = RumorFact("leaving", "i-1", 1, "1", 60_000)
+        rumor = Rumor("leaving", "i-1", 1, "1", 60_000)
         push = Push("b-1", 0, (), (rumor,))
         data = encode_envelope(Envelope(0, False, push))
         sender.here.datagram(sender.datagram(Channel.GOSSIP, data))
@@ -423,7 +423,7 @@
 async def test_unsigned_forward_of_a_stranger_is_refused(here):
     here.node._membership.gossip.table.members.pop("b-1")
     here.node._membership._received(
-        Push("b-2", 0, (MemberFact("b-2", "s", "b", "10.0.0.3:7600", 5),))
+        Push("b-2", 0, (MemberRecord("b-2", "s", "b", "10.0.0.3:7600", 5),))
     )
 
     assert await Sender(here, None).forward(PUBLIC, account="") == 6001
--- a/src/radishwind/sidecar/tests/test_habits.py
+++ b/src/radishwind/sidecar/tests/test_habits.py
@@ -44,7 +44,12 @@
 
 class Node:
     def __init__(
-        self, store, monkeypatch, first_start=False, on_duty=True, board=None
+        self,
+        store,
+        monkeypatch,
+        first_start=False,
+        on_duty=True,
+        rumor_bus=None,
     ):
         self.clock = ManualClock()
         pulse = LoadMonitor(self.clock)
@@ -57,7 +62,7 @@
             service=lambda: "s",
             is_on_duty=lambda: on_duty,
             first_start=first_start,
-            board=board,
+            rumor_bus=rumor_bus,
         )
         self.left_s = 0.0
         monkeypatch.setattr(habits.anyio, "sleep", self.sleep)
@@ -262,25 +267,25 @@
 async def test_what_one_node_finds_the_others_of_its_service_expect(
     store, monkeypatch
 ):
-    board = Board()
-    other = Node(Store(), monkeypatch, on_duty=False, board=board)
-    node = Node(store, monkeypatch, board=board)
+    rumor_bus = Board()
+    other = Node(Store(), monkeypatch, on_duty=False, rumor_bus=rumor_bus)
+    node = Node(store, monkeypatch, rumor_bus=rumor_bus)
     node.findings.spells.interval_s = 0.15
 
     await node.run(10.0)
 
-    assert board.published == ["s"]
+    assert rumor_bus.published == ["s"]
     assert other.findings.spells.expected_s
 
 
 async def test_a_node_that_is_not_on_duty_tells_nothing(store, monkeypatch):
-    board = Board()
-    node = Node(store, monkeypatch, on_duty=False, board=board)
+    rumor_bus = Board()
+    node = Node(store, monkeypatch, on_duty=False, rumor_bus=rumor_bus)
     node.findings.spells.interval_s = 0.15
 
     await node.run(10.0)
 
-    assert board.published == []
+    assert rumor_bus.published == []
 
 
 @pytest.mark.parametrize(
@@ -295,9 +300,9 @@
 async def test_no_word_is_taken_that_is_of_another_service_or_unreadable(
     store, monkeypatch, key, value
 ):
-    board = Board()
-    node = Node(store, monkeypatch, on_duty=False, board=board)
+    rumor_bus = Board()
+    node = Node(store, monkeypatch, on_duty=False, rumor_bus=rumor_bus)
 
-    board.publish("habits", key, 1, value, 1.0)
+    rumor_bus.publish("habits", key, 1, value, 1.0)
 
     assert not node.findings.spells.expected_s
--- a/src/radishwind/sidecar/tests/test_quotas.py
+++ b/src/radishwind/sidecar/tests/test_quotas.py
@@ -11,11 +11,11 @@
 from radishwind.accounts import Account
 from radishwind.core.clock import BootClock
 from radishwind.http.types import Address
-from radishwind.membership.facts import Announced
-from radishwind.membership.facts import Belief
-from radishwind.membership.facts import MemberFact
 from radishwind.membership.gossip import Gossip
-from radishwind.membership.options import GossipOptions
+from radishwind.membership.gossip_options import GossipOptions
+from radishwind.membership.records import AdvertisedState
+from radishwind.membership.records import Liveness
+from radishwind.membership.records import MemberRecord
 from radishwind.peers.datagrams import PeerSocket
 from radishwind.quotas.messages import encode
 from radishwind.quotas.messages import LeaseRequest
@@ -51,7 +51,7 @@
         clock, rng = BootClock(), random.Random(name)
         self.address = members[name]
         facts = [
-            MemberFact(other, "s", "d", str(address), 1)
+            MemberRecord(other, "s", "d", str(address), 1)
             for other, address in members.items()
         ]
         own = next(fact for fact in facts if fact.name == name)
@@ -180,11 +180,13 @@
         lender_map = node.sharing._lender_map
         await until(lambda: lender_map.known_count == 2)
         fact = node.gossip.table.members["n2"]
-        dead = MemberFact(*_parts(fact), 2, Announced.ALIVE, Belief.DEAD)
+        dead = MemberRecord(
+            *_parts(fact), 2, AdvertisedState.SERVING, Liveness.DEAD
+        )
         node.gossip.table.merge_member(dead)
         await until(lambda: lender_map.live == {"n1"})
         assert lender_map.known_count == 2
-        left = MemberFact(*_parts(fact), 3, Announced.LEFT)
+        left = MemberRecord(*_parts(fact), 3, AdvertisedState.LEFT)
         node.gossip.table.merge_member(left)
         await until(lambda: lender_map.known_count == 1)
 
--- a/src/radishwind/sidecar/tests/test_secret.py
+++ b/src/radishwind/sidecar/tests/test_secret.py
@@ -9,9 +9,9 @@
 import pytest
 
 from radishwind.core import ManualClock
-from radishwind.membership.contacts import addresses
-from radishwind.membership.contacts import PREFIX
-from radishwind.membership.contacts import read_record as read_contacts
+from radishwind.membership.contact_records import contact_addresses
+from radishwind.membership.contact_records import CONTACTS_KEY_PREFIX
+from radishwind.membership.contact_records import decode_contact_record
 from radishwind.peers.keyring import Keyring
 from radishwind.sidecar import secret
 from radishwind.sidecar.secret import KEY
@@ -99,7 +99,7 @@
 
 
 class Node:
-    def __init__(self, store, board, number=1, makes=True):
+    def __init__(self, store, rumor_bus, number=1, makes=True):
         self.clock = ManualClock()
         self.keyring = Keyring(self.clock)
         rng = random.Random(number)
@@ -108,7 +108,7 @@
             store=store,
             clock=self.clock,
             rng=rng,
-            board=board,
+            rumor_bus=rumor_bus,
             makes=lambda: makes,
             spread_s=0.0,
             entropy=rng.randbytes,
@@ -121,7 +121,7 @@
 
 
 @pytest.fixture
-def board():
+def rumor_bus():
     return Board()
 
 
@@ -163,11 +163,11 @@
 
 
 async def test_others_wait_for_who_is_to_make_it(
-    store, board, running, monkeypatch
+    store, rumor_bus, running, monkeypatch
 ):
     monkeypatch.setattr(secret, "OTHERS_WAIT_S", WITHIN_S)
-    maker = Node(store, board, 1)
-    others = [Node(store, board, i, makes=False) for i in range(2, 9)]
+    maker = Node(store, rumor_bus, 1)
+    others = [Node(store, rumor_bus, i, makes=False) for i in range(2, 9)]
     for node in (maker, *others):
         node.keyring.follow(True, lenient=False)
     running(*others, maker)
@@ -180,14 +180,14 @@
 
 
 async def test_where_nothing_is_refused_yet_an_old_answer_is_waited_for(
-    store, board, running, monkeypatch
+    store, rumor_bus, running, monkeypatch
 ):
     monkeypatch.setattr(secret, "_AGED_READS", 10_000)
     # However long the maker takes, the others wait for its word.
     monkeypatch.setattr(secret, "OTHERS_WAIT_S", 60.0)
     store.behind = True
-    maker = Node(store, board, 1)
-    others = [Node(store, board, i, makes=False) for i in range(2, 9)]
+    maker = Node(store, rumor_bus, 1)
+    others = [Node(store, rumor_bus, i, makes=False) for i in range(2, 9)]
     for node in (maker, *others):
         node.keyring.follow(True, lenient=True)
     running(*others, maker)
@@ -200,11 +200,11 @@
 
 
 async def test_an_answer_that_stays_old_is_not_waited_for_long(
-    store, board, running
+    store, rumor_bus, running
 ):
     store.behind = True
-    maker = Node(store, board, 1)
-    other = Node(store, board, 2, makes=False)
+    maker = Node(store, rumor_bus, 1)
+    other = Node(store, rumor_bus, 2, makes=False)
     for node in (maker, other):
         node.keyring.follow(True, lenient=True)
     running(other, maker)
@@ -212,24 +212,24 @@
     await until(lambda: not other.keyring.lacks)
 
 
-async def test_the_secret_is_told_to_nobody(store, board, running):
-    node = Node(store, board)
+async def test_the_secret_is_told_to_nobody(store, rumor_bus, running):
+    node = Node(store, rumor_bus)
     node.keyring.follow(True, lenient=False)
     running(node)
 
-    await until(lambda: board.told)
+    await until(lambda: rumor_bus.told)
 
-    assert board.told == [msgspec.json.encode(store.revision)]
+    assert rumor_bus.told == [msgspec.json.encode(store.revision)]
 
 
 async def test_a_start_takes_it_from_the_list_of_contacts(
-    store, board, running
+    store, rumor_bus, running
 ):
     value = msgspec.json.encode(SecretRecord(b"s" * SECRET_BYTES))
-    node = Node(store, board)
+    node = Node(store, rumor_bus)
     running(node)
 
-    node.keeper.listed(StoreEntry(PREFIX + "a", b"{}", 3, 3))
+    node.keeper.listed(StoreEntry(CONTACTS_KEY_PREFIX + "a", b"{}", 3, 3))
     node.keeper.listed(StoreEntry(KEY, value, 4, 4))
     node.keyring.follow(True, lenient=False)
     await settled()
@@ -257,12 +257,12 @@
 def test_the_record_counts_as_no_contact():
     value = msgspec.json.encode(SecretRecord(b"s" * SECRET_BYTES))
 
-    assert KEY.startswith(PREFIX)
-    assert addresses(read_contacts(value)) == ()
+    assert KEY.startswith(CONTACTS_KEY_PREFIX)
+    assert contact_addresses(decode_contact_record(value)) == ()
 
 
-async def test_without_accounts_no_call_is_made(store, board, running):
-    node = Node(store, board)
+async def test_without_accounts_no_call_is_made(store, rumor_bus, running):
+    node = Node(store, rumor_bus)
     running(node)
 
     node.keyring.follow(False, lenient=False)
@@ -271,8 +271,8 @@
     assert store.calls == []
 
 
-async def test_a_known_secret_costs_no_further_call(store, board, running):
-    node = Node(store, board)
+async def test_a_known_secret_costs_no_further_call(store, rumor_bus, running):
+    node = Node(store, rumor_bus)
     node.keyring.follow(True, lenient=False)
     running(node)
     await until(lambda: not node.keyring.lacks)
@@ -285,9 +285,11 @@
     assert len(store.calls) == before
 
 
-async def test_a_store_that_comes_back_is_asked_again(store, board, running):
+async def test_a_store_that_comes_back_is_asked_again(
+    store, rumor_bus, running
+):
     store.away = True
-    node = Node(store, board)
+    node = Node(store, rumor_bus)
     node.keyring.follow(True, lenient=False)
     running(node)
     await until(lambda: len(store.calls) >= 2)
@@ -298,9 +300,9 @@
     await until(lambda: not node.keyring.lacks)
 
 
-async def test_a_write_whose_answer_is_lost_is_found(store, board, running):
+async def test_a_write_whose_answer_is_lost_is_found(store, rumor_bus, running):
     store.lost = 1
-    node = Node(store, board)
+    node = Node(store, rumor_bus)
     node.keyring.follow(True, lenient=False)
     running(node)
 
@@ -310,11 +312,11 @@
 
 
 async def test_an_old_answer_without_it_makes_no_second_secret(
-    store, board, running
+    store, rumor_bus, running
 ):
     store.replace(msgspec.json.encode(SecretRecord(b"s" * SECRET_BYTES)))
     store.behind = True
-    node = Node(store, board)
+    node = Node(store, rumor_bus)
     node.keyring.follow(True, lenient=False)
     running(node)
 
@@ -326,10 +328,10 @@
 
 @pytest.mark.parametrize("value", [b"", b"\xff", b"{}", b'{"secret":"c3M="}'])
 async def test_a_record_nobody_can_read_is_replaced(
-    store, board, running, value
+    store, rumor_bus, running, value
 ):
     store.replace(value)
-    node = Node(store, board)
+    node = Node(store, rumor_bus)
     node.keyring.follow(True, lenient=False)
     running(node)
 
@@ -339,9 +341,9 @@
 
 
 async def test_a_removed_record_is_made_anew_and_all_read_it(
-    store, board, running
+    store, rumor_bus, running
 ):
-    nodes = [Node(store, board, i, makes=i == 1) for i in range(1, 4)]
+    nodes = [Node(store, rumor_bus, i, makes=i == 1) for i in range(1, 4)]
     for node in nodes:
         node.keyring.follow(True, lenient=False)
     running(*nodes)
@@ -349,7 +351,7 @@
     before = nodes[0].keyring.signing
 
     store.value = None
-    started = Node(store, board, 9)
+    started = Node(store, rumor_bus, 9)
     started.keyring.follow(True, lenient=False)
     running(started)
     nodes.append(started)
@@ -359,8 +361,8 @@
     assert all(before in n.keyring.accepted for n in nodes[:3])
 
 
-async def test_forged_messages_cause_few_looks(store, board, running):
-    node = Node(store, board)
+async def test_forged_messages_cause_few_looks(store, rumor_bus, running):
+    node = Node(store, rumor_bus)
     node.keyring.follow(True, lenient=False)
     running(node)
     await until(lambda: not node.keyring.lacks)
@@ -379,18 +381,20 @@
     assert len(store.calls) <= before + 40
 
 
-async def test_a_malformed_rumor_changes_nothing(store, board, running):
-    node = Node(store, board)
+async def test_a_malformed_rumor_changes_nothing(store, rumor_bus, running):
+    node = Node(store, rumor_bus)
     running(node)
 
-    board.publish("peer-secret", "record", 1, b'"x"', 1.0)
+    rumor_bus.publish("peer-secret", "record", 1, b'"x"', 1.0)
     await settled()
 
     assert store.calls == []
 
 
-async def test_looks_are_spaced_while_the_store_is_away(store, board, running):
-    node = Node(store, board)
+async def test_looks_are_spaced_while_the_store_is_away(
+    store, rumor_bus, running
+):
+    node = Node(store, rumor_bus)
     node.keyring.follow(True, lenient=False)
     running(node)
     await until(lambda: not node.keyring.lacks)
@@ -398,7 +402,7 @@
     before = len(store.calls)
 
     store.replace(msgspec.json.encode(SecretRecord(b"n" * SECRET_BYTES)))
-    for handler in board.handlers:
+    for handler in rumor_bus.handlers:
         handler("record", msgspec.json.encode(store.revision))
     await settled()
     assert len(store.calls) == before + 1
@@ -414,8 +418,10 @@
     assert len(store.calls) == before + 2
 
 
-async def test_a_rumor_is_followed_at_once_after_doubts(store, board, running):
-    node = Node(store, board)
+async def test_a_rumor_is_followed_at_once_after_doubts(
+    store, rumor_bus, running
+):
+    node = Node(store, rumor_bus)
     node.keyring.follow(True, lenient=False)
     running(node)
     await until(lambda: not node.keyring.lacks)
@@ -423,7 +429,7 @@
     await settled()
 
     store.replace(msgspec.json.encode(SecretRecord(b"n" * SECRET_BYTES)))
-    for handler in board.handlers:
+    for handler in rumor_bus.handlers:
         handler("record", msgspec.json.encode(store.revision))
 
     await until(lambda: node.keyring.signing == b"n" * SECRET_BYTES)
--- a/src/radishwind/sidecar/tests/test_target_side.py
+++ b/src/radishwind/sidecar/tests/test_target_side.py
@@ -10,7 +10,7 @@
 from radishwind.http.types import Address
 from radishwind.http.types import Request
 from radishwind.http.types import Response
-from radishwind.membership.rumors import SilentBoard
+from radishwind.membership.rumor_bus import NullRumorBus
 from radishwind.outcomes.model import Done
 from radishwind.platform import PlatformDialect
 from radishwind.routes.emptied import EmptiedDomains
@@ -78,7 +78,7 @@
             clock=self.clock,
             sender=self.sender,
             dialect=PlatformDialect(),
-            board=SilentBoard(),
+            rumor_bus=NullRumorBus(),
             ready_changed=lambda ready: None,
             learns_for_others=lambda: True,
         )
--- a/src/radishwind/target/leaving.py
+++ b/src/radishwind/target/leaving.py
@@ -19,7 +19,7 @@
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
 from radishwind.membership.directory import MemberState
-from radishwind.membership.rumors import RumorBoard
+from radishwind.membership.rumor_bus import RumorBus
 from radishwind.peers.client import PeerClient
 from radishwind.peers.client import PeerError
 from radishwind.store.base import Put
@@ -59,7 +59,7 @@
         clock: Clock,
         store: Store,
         directory: Directory,
-        board: RumorBoard,
+        rumor_bus: RumorBus,
         peers: PeerClient,
         rng: random.Random,
         learned: Callable[[ServerProcess], object],
@@ -71,7 +71,7 @@
           clock: the clock.
           store: the platform's store.
           directory: the nodes there are.
-          board: tells every node.
+          rumor_bus: tells every node.
           peers: calls other nodes.
           rng: chooses the peers that are asked.
           learned: takes each life that leaves.
@@ -80,13 +80,13 @@
         self._clock = clock
         self._store = store
         self._directory = directory
-        self._board = board
+        self._rumor_bus = rumor_bus
         self._peers = peers
         self._rng = rng
         self._learned = learned
         self._log = PartLogger("leaving", clock)
         self._kept: set[str] = set()
-        board.subscribe(TOPIC, self._on_rumor)
+        rumor_bus.subscribe(TOPIC, self._on_rumor)
 
     async def load(self) -> bool:
         """Reads the records of the store; returns whether that worked."""
@@ -140,7 +140,7 @@
         return Response(200, (), _KEPT, len(_KEPT))
 
     def _tell_all(self, key: str) -> None:
-        self._board.publish(TOPIC, key, 1, msgspec.json.encode(1), KEPT_S)
+        self._rumor_bus.publish(TOPIC, key, 1, msgspec.json.encode(1), KEPT_S)
 
     async def _keep_in_store(self, key: str, kept: anyio.Event) -> None:
         try:
--- a/src/radishwind/target/tests/test_leaving_records.py
+++ b/src/radishwind/target/tests/test_leaving_records.py
@@ -10,7 +10,7 @@
 from radishwind.http.types import Request
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
-from radishwind.membership.rumors import SilentBoard
+from radishwind.membership.rumor_bus import NullRumorBus
 from radishwind.peers.client import HttpPeerClient
 from radishwind.store.base import StoreUnavailableError
 from radishwind.target.leaving import LeavingRecords
@@ -26,7 +26,7 @@
         raise StoreUnavailableError("away")
 
 
-class Board(SilentBoard):
+class Board(NullRumorBus):
     def __init__(self):
         self.told = []
 
@@ -41,7 +41,7 @@
             for i in range(count)
         )
 
-    def of_service(self, service):
+    def eligible_members(self, service):
         return self._members
 
     def members(self):
@@ -61,13 +61,13 @@
         pass
 
 
-def records(network, board, count):
+def records(network, rumor_bus, count):
     return LeavingRecords(
         node_name="own",
         clock=ManualClock(),
         store=StoreAway(),
         directory=Peers(count),
-        board=board,
+        rumor_bus=rumor_bus,
         peers=HttpPeerClient(network),
         rng=random.Random(1),
         learned=lambda life: None,
@@ -76,12 +76,12 @@
 
 async def test_two_peers_are_enough():
     network, boards = Network(), [Board() for _ in range(3)]
-    for port, board in enumerate(boards):
-        network.peers[port] = records(network, board, 0)
+    for port, rumor_bus in enumerate(boards):
+        network.peers[port] = records(network, rumor_bus, 0)
 
     assert await records(network, Board(), 3).persist(LIFE, 5.0)
 
-    assert sum(board.told == [LIFE.key] for board in boards) >= 2
+    assert sum(rumor_bus.told == [LIFE.key] for rumor_bus in boards) >= 2
 
 
 async def test_one_peer_is_not():
--- a/tests/proofs/stage.py
+++ b/tests/proofs/stage.py
@@ -109,7 +109,7 @@
     """
 
     def __init__(self, **options) -> None:
-        self.cluster = Cluster(1, board=DirectBoard(), **options)
+        self.cluster = Cluster(1, rumor_bus=DirectBoard(), **options)
         self.lines: list[str] = []
         self.broken: list[str] = []
         self.done = 0
--- a/tests/proofs/test_leaving.py
+++ b/tests/proofs/test_leaving.py
@@ -15,16 +15,16 @@
 from radishwind.config.model import Target
 from radishwind.core import ManualClock
 from radishwind.http import ExchangeBrokenError
-from radishwind.membership import Announced
+from radishwind.membership import AdvertisedState
 from radishwind.membership import GossipDirectory
-from radishwind.membership.listing import InventoryListing
+from radishwind.membership.allowlist import InventoryAllowlist
 from radishwind.target.backend_server import Announcement
 from radishwind.target.backend_server import ServerState
 from tests.proofs.failures import FAILURES
 from tests.proofs.stage import quiet
 from tests.proofs.stage import Stage
-from tests.support.gossip_net import fact_of
 from tests.support.gossip_net import GossipNet
+from tests.support.gossip_net import member_record
 
 scenarios("leaving.feature", "planned_stop.feature")
 
@@ -51,13 +51,13 @@
     if "killed" in failure:
         for number in second:
             net.kill(number)
-    net.send(0, net.nodes[0].announce(Announced.LEAVING, net.now))
+    net.send(0, net.nodes[0].advertise(AdvertisedState.LEAVING, net.now))
     net.run(5.0)
 
 
 @then("5 s later no node that it can reach gives it new work")
 def no_new_work(net):
-    facts = [fact_of(number) for number in range(SIZE)]
+    facts = [member_record(number) for number in range(SIZE)]
     targets = tuple(
         Target(f.name, f.service, f.failure_domain, 9) for f in facts
     )
@@ -70,9 +70,11 @@
     assert len(reached) >= SIZE // 3
     for node in reached:
         directory = GossipDirectory(
-            node, InventoryListing(lambda: index), ManualClock(), 10.0
+            node, InventoryAllowlist(lambda: index), ManualClock(), 10.0
         )
-        given_work = {m.name for m in directory.of_service(facts[0].service)}
+        given_work = {
+            m.name for m in directory.eligible_members(facts[0].service)
+        }
         assert facts[0].name not in given_work
         assert given_work
 
--- a/tests/support/configs.py
+++ b/tests/support/configs.py
@@ -30,7 +30,7 @@
 from radishwind.http.types import whole_body
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
-from radishwind.membership.rumors import SilentBoard
+from radishwind.membership.rumor_bus import NullRumorBus
 from radishwind.node.config_periods import ConfigPeriods
 from radishwind.node.config_tasks import ConfigTasks
 from radishwind.peers import HttpPeerClient
@@ -126,7 +126,7 @@
     def __init__(self) -> None:
         self.known: tuple[Member, ...] = ()
 
-    def of_service(self, service: str) -> tuple[Member, ...]:
+    def eligible_members(self, service: str) -> tuple[Member, ...]:
         return tuple(m for m in self.known if m.service == service)
 
     def members(self) -> tuple[Member, ...]:
@@ -200,7 +200,7 @@
             store=EtcdStore(self.desk.sender, STORE, timeout_s=0.2),
             directory=self._directory,
             peers=HttpPeerClient(self.desk.sender),
-            board=SilentBoard(),
+            rumor_bus=NullRumorBus(),
             adopted=lambda index: None,
             report=self.reports.append,
             periods=self._periods,
--- a/tests/support/gossip_net.py
+++ b/tests/support/gossip_net.py
@@ -13,18 +13,18 @@
 from radishwind.http import Address
 from radishwind.membership import Gossip
 from radishwind.membership import GossipOptions
-from radishwind.membership import MemberFact
-from radishwind.membership.actions import Call
-from radishwind.membership.messages import decode
-from radishwind.membership.messages import encode
+from radishwind.membership import MemberRecord
+from radishwind.membership.messages import decode_message
+from radishwind.membership.messages import encode_message
 from radishwind.membership.messages import Message
+from radishwind.membership.outgoing_message import OutgoingMessage
 
 Handler = Callable[[], None]
 
 
-def fact_of(number: int, incarnation: int = 1_000) -> MemberFact:
+def member_record(number: int, incarnation: int = 1_000) -> MemberRecord:
     """Returns what the node `number` says of itself at its start."""
-    return MemberFact(
+    return MemberRecord(
         f"target-{number:05}",
         f"service-{number // 8}",
         f"domain-{number % 7}",
@@ -61,7 +61,7 @@
 
     def add(self, number: int, incarnation: int = 1_000) -> Gossip:
         """Starts a node."""
-        own = fact_of(number, incarnation)
+        own = member_record(number, incarnation)
         rng = random.Random(self.rng.random())
         node = Gossip(own, self.options, rng, self.now)
         self.nodes[number] = node
@@ -74,13 +74,13 @@
         """Starts `count` nodes that know each other already."""
         for number in range(count):
             self.add(number)
-        facts = [fact_of(number) for number in range(count)]
+        facts = [member_record(number) for number in range(count)]
         for node in self.nodes.values():
             for fact in facts:
                 node.table.merge_member(fact)
-        self.hush()
+        self.discard_pending_updates()
 
-    def hush(self) -> None:
+    def discard_pending_updates(self) -> None:
         """Lets nodes that know each other not tell of their start."""
         for node in self.nodes.values():
             for fact in node.table.members.values():
@@ -88,7 +88,7 @@
 
     def join(self, number: int, contacts: Iterable[int]) -> None:
         """Lets a node find first peers."""
-        known = tuple(Address.parse(fact_of(n).address) for n in contacts)
+        known = tuple(Address.parse(member_record(n).address) for n in contacts)
         self.send(number, self.nodes[number].join(known, self.now))
 
     def kill(self, number: int) -> None:
@@ -108,7 +108,7 @@
         self._wakes.pop(number, None)
         self._schedule(number)
 
-    def send(self, number: int, calls: Iterable[Call]) -> None:
+    def send(self, number: int, calls: Iterable[OutgoingMessage]) -> None:
         """Sends the calls of a node."""
         for call in calls:
             self._send(number, call)
@@ -136,9 +136,11 @@
         self.now = end
         return limit_s if condition() else None
 
-    def knowing(self, number: int, test: Callable[[MemberFact], bool]) -> int:
+    def count_holding(
+        self, number: int, test: Callable[[MemberRecord], bool]
+    ) -> int:
         """Returns how many nodes hold a fact on `number` that passes."""
-        name = fact_of(number).name
+        name = member_record(number).name
         facts = (n.table.members.get(name) for n in self.nodes.values())
         return sum(fact is not None and test(fact) for fact in facts)
 
@@ -172,17 +174,17 @@
         self.messages += 1
         if not self.coded:
             return message
-        data = encode(message)
+        data = encode_message(message)
         self.bytes += len(data)
-        return decode(data)
+        return decode_message(data)
 
-    def _send(self, number: int, call: Call) -> None:
+    def _send(self, number: int, call: OutgoingMessage) -> None:
         node = self.nodes[number]
         other = self._numbers.get(call.address)
 
         def fail() -> None:
             if self.nodes.get(number) is node:
-                self.send(number, node.failed(call, self.now))
+                self.send(number, node.handle_failure(call, self.now))
 
         if other is None or not self._reaches(number, other):
             self._later(number, call.timeout_s, fail)
@@ -200,7 +202,7 @@
         self.at(self.now + self.latency_s, arrive)
 
     def _deliver(
-        self, number: int, other: int, call: Call, message: Message
+        self, number: int, other: int, call: OutgoingMessage, message: Message
     ) -> None:
         node = self.nodes.get(number)
         answer, calls = self.nodes[other].receive(message, self.now)
@@ -209,7 +211,7 @@
 
         def back() -> None:
             if node is not None and self.nodes.get(number) is node:
-                self.send(number, node.answered(call, answer, self.now))
+                self.send(number, node.handle_answer(call, answer, self.now))
 
         self._later(number, self.latency_s, back)
 
--- a/tests/support/keyed.py
+++ b/tests/support/keyed.py
@@ -30,7 +30,7 @@
 from radishwind.http import Response
 from radishwind.http.types import Body
 from radishwind.http.types import header
-from radishwind.membership import RumorBoard
+from radishwind.membership import RumorBus
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
 from radishwind.node.claims import make_claims
@@ -138,7 +138,7 @@
     def __init__(self, members: tuple[Member, ...]) -> None:
         self._members = members
 
-    def of_service(self, service: str) -> tuple[Member, ...]:
+    def eligible_members(self, service: str) -> tuple[Member, ...]:
         return self._members
 
     def members(self) -> tuple[Member, ...]:
@@ -205,7 +205,7 @@
             placement=UnrestrictedPlacement(cluster.directory),
             chooser=RandomChooser(cluster.rng),
             retries=cluster.retries,
-            runner=CarefulRunner(runner) if cluster.board else runner,
+            runner=CarefulRunner(runner) if cluster.rumor_bus else runner,
             claims=guard,
             quarantine=self._quarantine(cluster, name),
         )
@@ -214,13 +214,13 @@
     def _quarantine(
         self, cluster: "Cluster", name: str
     ) -> QuarantineGate | None:
-        if cluster.board is None:
+        if cluster.rumor_bus is None:
             return None
         return Quarantine(
             target=name,
             service="prenota",
             clock=cluster.clock,
-            board=cluster.board,
+            rumor_bus=cluster.rumor_bus,
         )
 
     async def main(self) -> None:
@@ -256,9 +256,9 @@
         store_wait_s: float = 10.0,
         repeat_wait_s: float = 0.0,
         writes_per_s: float = 10_000.0,
-        board: RumorBoard | None = None,
+        rumor_bus: RumorBus | None = None,
     ) -> None:
-        self.board = board
+        self.rumor_bus = rumor_bus
         self.rng = random.Random(seed)
         self.clock = ManualClock()
         self.guard = guard
@@ -284,7 +284,7 @@
         server, peer = (Address(f"10.0.1.{number}", p) for p in (80, 81))
         target = make_target(
             *(name, "prenota", self.clock, self.sender, server, 100),
-            self.board,
+            self.rumor_bus,
         )
         listener = PeerListener(
             node_name=name,
--- a/tests/support/recency_net.py
+++ b/tests/support/recency_net.py
@@ -92,7 +92,7 @@
     def __init__(self, members):
         self.known = list(members)
 
-    def of_service(self, service):
+    def eligible_members(self, service):
         return self.members()
 
     def members(self):
--- a/tests/support/targets.py
+++ b/tests/support/targets.py
@@ -9,8 +9,8 @@
 from radishwind.core import Clock
 from radishwind.http import Address
 from radishwind.http import Sender
-from radishwind.membership import RumorBoard
-from radishwind.membership import SilentBoard
+from radishwind.membership import NullRumorBus
+from radishwind.membership import RumorBus
 from radishwind.probing import HealthEstimator
 from radishwind.quarantine import Quarantine
 from radishwind.target import BackendServer
@@ -18,7 +18,7 @@
 from radishwind.target import TargetPipeline
 
 
-class DirectBoard(RumorBoard):
+class DirectBoard(RumorBus):
     """Hands each fact to every subscriber at once."""
 
     def __init__(self) -> None:
@@ -55,12 +55,12 @@
     sender: Sender,
     server: Address,
     slots: int,
-    board: RumorBoard | None = None,
+    rumor_bus: RumorBus | None = None,
 ) -> TargetPipeline:
     """Returns the pipeline of a target that the inventory lists."""
     limits = AdmissionLimits(slots, slots, queue_length=10, queue_wait_s=1.0)
     return make_parts(
-        name, service, clock, sender, server, limits, board
+        name, service, clock, sender, server, limits, rumor_bus
     ).pipeline
 
 
@@ -71,7 +71,7 @@
     sender: Sender,
     address: Address,
     limits: AdmissionLimits,
-    board: RumorBoard | None = None,
+    rumor_bus: RumorBus | None = None,
 ) -> TargetParts:
     """Returns the parts of a target that the inventory lists."""
     server = BackendServer(name, address)
@@ -82,7 +82,7 @@
         target=name,
         service=service,
         clock=clock,
-        board=board or SilentBoard(),
+        rumor_bus=rumor_bus or NullRumorBus(),
     )
     pipeline = TargetPipeline(
         clock=clock,
