--- a/tests/test_peers_processes.py
+++ b/tests/test_peers_processes.py
@@ -11,8 +11,8 @@
 
 from radishwind.membership.envelope import encode_envelope
 from radishwind.membership.envelope import Envelope
-from radishwind.membership.facts import MemberFact
 from radishwind.membership.messages import Push
+from radishwind.membership.records import MemberRecord
 from radishwind.peers.attempts import ATTEMPT_FIELD
 from radishwind.peers.attempts import AttemptInfo
 from radishwind.peers.datagrams import Channel
@@ -125,7 +125,7 @@
 
 async def test_forged_datagram_changes_nothing_and_is_counted(fleet):
     target = fleet.instances["a-1"]
-    fact = MemberFact("z-9", "library", "b", "127.0.9.99:1", 9)
+    fact = MemberRecord("z-9", "library", "b", "127.0.9.99:1", 9)
     push = Envelope(0, False, Push("b-1", 0, (fact,)))
     before = await refused(target)
 
