--- a/src/radishwind/entry/tests/test_call_executor.py
+++ b/src/radishwind/entry/tests/test_call_executor.py
@@ -26,7 +26,7 @@
 from radishwind.outcomes import NotRun
 from radishwind.outcomes import Unknown
 from radishwind.retries import CappedRetryPolicy
-from radishwind.routing.baselines import RoundRobin
+from radishwind.routing.baselines import RoundRobinChooser
 from radishwind.routing.placement import UnrestrictedPlacement
 
 pytestmark = pytest.mark.anyio
@@ -103,7 +103,7 @@
 class Entry:
     def __init__(self, *script, targets=3, hedges=None):
         self.runner = ScriptedRunner(*script)
-        self.chooser = RoundRobin(random.Random(1))
+        self.chooser = RoundRobinChooser(random.Random(1))
         self.pipeline = EntryPipeline(
             clock=ManualClock(),
             classifier=InventoryClassifier(
--- a/src/radishwind/loads/link_admission.py
+++ b/src/radishwind/loads/link_admission.py
@@ -62,7 +62,7 @@
           The bytes reserved for the response, to be passed to `release`, or
           the refusal.
         """
-        size = int(self.sizes.answer_bytes(route))
+        size = int(self.sizes.response_bytes(route))
         queue_s = self._queue_s(load)
         # Admitted however large if nothing else is queued.
         excess_s = queue_s + self._meter.transmission_s(size) - MAX_QUEUE_S
--- a/src/radishwind/routing/__init__.py
+++ b/src/radishwind/routing/__init__.py
@@ -1,7 +1,7 @@
-"""Which target a request goes to.
+"""Chooses the target of each request.
 
-`TargetChooser` is the interface and `BalancedChooser` the default;
-`radishwind.routing.baselines` holds the simple ones it is measured against.
+`TargetChooser` is the interface and `BalancedChooser` the default policy;
+`radishwind.routing.baselines` has simple policies to compare it with.
 """
 
 from radishwind.routing.balanced_chooser import BalancedChooser
--- a/src/radishwind/routing/balanced_chooser.py
+++ b/src/radishwind/routing/balanced_chooser.py
@@ -117,7 +117,7 @@
         if not members:
             return None
         service = self._candidates(members)
-        drawn = service.draw(self._rng, exclude)
+        drawn = service.sample(self._rng, exclude)
         best = self._least(drawn, service, now)
         if best is None:
             drawn = service.scan(self._rng, exclude)
--- a/src/radishwind/routing/baselines.py
+++ b/src/radishwind/routing/baselines.py
@@ -1,4 +1,4 @@
-"""Simple policies: random, round robin, fewest own requests."""
+"""Simple policies for comparison: random, round robin, least request."""
 
 import abc
 import collections
@@ -13,7 +13,7 @@
 
 
 class _CountingChooser(TargetChooser):
-    """Picks from what is not excluded; counts own requests in flight."""
+    """Base class that counts this node's requests in flight by target."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -24,15 +24,15 @@
         members: Sequence[Member],
         now: float,
         exclude: frozenset[str] = frozenset(),
-        work: str = "",
+        route: str = "",
         aim: float = math.inf,
     ) -> Member | None:
-        fit = [m for m in members if m.name not in exclude]
-        return self._pick(fit) if fit else None
+        eligible = [m for m in members if m.name not in exclude]
+        return self._pick(eligible) if eligible else None
 
     @abc.abstractmethod
-    def _pick(self, fit: list[Member]) -> Member:
-        """Returns one of `fit`, which is not empty."""
+    def _pick(self, eligible: list[Member]) -> Member:
+        """Returns one of `eligible`, which isn't empty."""
 
     def attempt_started(
         self, name: str, now: float, expected_s: float = 0.0
@@ -46,7 +46,7 @@
         elapsed_s: float,
         outcome: Outcome | None,
         load: LoadReport | None,
-        work: str = "",
+        route: str = "",
     ) -> None:
         self._in_flight[name] -= 1
         if not self._in_flight[name]:
@@ -54,29 +54,29 @@
 
 
 class RandomChooser(_CountingChooser):
-    """Any candidate with the same chance."""
+    """Chooses a target uniformly at random."""
 
-    def _pick(self, fit: list[Member]) -> Member:
-        return self._rng.choice(fit)
+    def _pick(self, eligible: list[Member]) -> Member:
+        return self._rng.choice(eligible)
 
 
-class RoundRobin(_CountingChooser):
-    """The candidates in turn."""
+class RoundRobinChooser(_CountingChooser):
+    """Chooses the targets in turn."""
 
     def __init__(self, rng: random.Random) -> None:
         super().__init__(rng)
-        self._turn = rng.randrange(1 << 16)
+        self._next_index = rng.randrange(1 << 16)
 
-    def _pick(self, fit: list[Member]) -> Member:
-        self._turn += 1
-        return fit[self._turn % len(fit)]
+    def _pick(self, eligible: list[Member]) -> Member:
+        self._next_index += 1
+        return eligible[self._next_index % len(eligible)]
 
 
-class FewestOwnRequests(_CountingChooser):
-    """The candidate with the fewest of this node's requests in flight."""
+class LeastRequestChooser(_CountingChooser):
+    """Chooses a target with the fewest requests of this node in flight."""
 
-    def _pick(self, fit: list[Member]) -> Member:
-        least = min(self._in_flight[m.name] for m in fit)
+    def _pick(self, eligible: list[Member]) -> Member:
+        lowest = min(self._in_flight[m.name] for m in eligible)
         return self._rng.choice(
-            [m for m in fit if self._in_flight[m.name] == least]
+            [m for m in eligible if self._in_flight[m.name] == lowest]
         )
--- a/src/radishwind/routing/candidate_sampler.py
+++ b/src/radishwind/routing/candidate_sampler.py
@@ -1,4 +1,4 @@
-"""Draws a few candidates, near ones first, at a cost free of their number."""
+"""Samples a few candidates, nearest first, in constant time."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -6,22 +6,22 @@
 
 from radishwind.membership.directory import Member
 
-#: Candidates drawn from the nearest, the second nearest, and the rest: one or
-#: two each.
-DRAWS = (2, 1, 1)
+#: Candidates sampled from the nearest failure domains, the second nearest and
+#: the rest; one or two each.
+SAMPLES_PER_TIER = (2, 1, 1)
 
-#: Members looked at in turn when none of those drawn is fit.
-_FALLBACK_STEPS = 16
+#: Members scanned if none of those sampled is eligible.
+_SCAN_LENGTH = 16
 
 
 class CandidateSampler:
-    """The members of one service by distance, derived once per change.
+    """The members of one service, grouped by distance when they change.
 
     Attributes:
-      members: what it was derived from.
-      own: the member of this node, if it is one of them.
-      version: grows with each change.
-      typical_s: smoothed answer time of the service's targets (s).
+      members: the members that the groups were derived from.
+      own: the target of this node, if it is a member.
+      version: increases with each change.
+      typical_s: smoothed response time of the service's targets (s).
     """
 
     __slots__ = ("_fixed", "_large", "members", "own", "typical_s", "version")
@@ -31,8 +31,8 @@
         self.own: Member | None = None
         self.version = 0
         self.typical_s = 0.0
-        # Members always drawn; and the larger groups to draw from, each with
-        # its size and the number of draws.
+        # Members that are part of every sample; and the larger groups to
+        # sample from, each with its size and the number of samples.
         self._fixed: list[Member] = []
         self._large: list[tuple[list[Member], int, int]] = []
 
@@ -42,59 +42,61 @@
         own_name: str,
         distance_s: Callable[[str], float],
     ) -> None:
-        """Takes new members.
+        """Replaces the members.
 
         Args:
           members: the members.
           own_name: the name of this node's own target.
-          distance_s: returns the latency to a failure domain (s).
+          distance_s: returns the one-way latency to a failure domain (s).
         """
         self.members = members
         self.own = next((m for m in members if m.name == own_name), None)
         self.version += 1
         self._fixed = [self.own] if self.own is not None else []
         self._large = []
-        tiers = _tiers(members, distance_s)
-        nearest, *farther = DRAWS
-        # The own member stands for one draw of its group, the nearest.
-        draws = (nearest - len(self._fixed), *farther)
-        for tier, count in zip(tiers, draws, strict=False):
+        tiers = _group_by_distance(members, distance_s)
+        nearest, *farther = SAMPLES_PER_TIER
+        # The own target replaces one sample of its group, the nearest.
+        sample_counts = (nearest - len(self._fixed), *farther)
+        for tier, count in zip(tiers, sample_counts, strict=False):
             others = [m for m in tier if m is not self.own]
             if len(others) <= count:
                 self._fixed += others
             else:
                 self._large.append((others, len(others), count))
 
-    def draw(self, rng: random.Random, exclude: frozenset[str]) -> list[Member]:
-        """Returns a few different members that are not in `exclude`."""
-        # In turn from a random one on, so that ties do not fall to the first.
+    def sample(
+        self, rng: random.Random, exclude: frozenset[str]
+    ) -> list[Member]:
+        """Returns a few distinct members that aren't in `exclude`."""
+        # Rotated at random, so that ties aren't always won by the first.
         start = int(rng.random() * len(self._fixed))
-        drawn = self._fixed[start:] + self._fixed[:start]
+        sampled = self._fixed[start:] + self._fixed[:start]
         for tier, size, count in self._large:
             first = int(rng.random() * size)
-            drawn.append(tier[first])
+            sampled.append(tier[first])
             if count == 2:
                 second = int(rng.random() * (size - 1))
-                drawn.append(tier[second + (second >= first)])
+                sampled.append(tier[second + (second >= first)])
         if exclude:
-            return [m for m in drawn if m.name not in exclude]
-        return drawn
+            return [m for m in sampled if m.name not in exclude]
+        return sampled
 
     def scan(self, rng: random.Random, exclude: frozenset[str]) -> list[Member]:
-        """Returns members in turn from a random one on, a bounded number."""
+        """Returns a bounded number of members from a random one on."""
         size = len(self.members)
         if not size:
             return []
         start = int(rng.random() * size)
-        steps = min(size, _FALLBACK_STEPS + len(exclude))
-        turn = [self.members[(start + i) % size] for i in range(steps)]
-        return [m for m in turn if m.name not in exclude]
+        length = min(size, _SCAN_LENGTH + len(exclude))
+        scanned = [self.members[(start + i) % size] for i in range(length)]
+        return [m for m in scanned if m.name not in exclude]
 
 
-def _tiers(
+def _group_by_distance(
     members: Sequence[Member], distance_s: Callable[[str], float]
 ) -> list[list[Member]]:
-    """Groups by distance; what is beyond the second group is one group."""
+    """Groups members by distance; all beyond the second form one group."""
     by_distance: dict[float, list[Member]] = {}
     for member in members:
         distance = distance_s(member.failure_domain)
--- a/src/radishwind/routing/chooser.py
+++ b/src/radishwind/routing/chooser.py
@@ -1,4 +1,4 @@
-"""The interface of a routing policy and what it learns from."""
+"""The interface of routing policies, and the load reports they learn from."""
 
 import abc
 from collections.abc import Sequence
@@ -63,10 +63,10 @@
 
 
 class TargetChooser(abc.ABC):
-    """Chooses targets and learns from what became of the attempts.
+    """A routing policy: chooses targets and learns from attempts.
 
-    Every time is monotonic seconds, passed in; randomness comes from the
-    generator given at construction.
+    All times are passed in, as monotonic time in seconds. Random numbers come
+    from the generator given at construction.
     """
 
     @abc.abstractmethod
@@ -75,50 +75,51 @@
         members: Sequence[Member],
         now: float,
         exclude: frozenset[str] = frozenset(),
-        work: str = "",
+        route: str = "",
         aim: float = math.inf,
     ) -> Member | None:
-        """Returns the member to try, or `None` where none is fit.
+        """Returns the member to try, or `None` if none is eligible.
 
         Args:
-          members: candidates of one service; the same object until changed.
+          members: candidates of one service; the same object until they change.
           now: monotonic time (s).
-          exclude: names already tried for this request.
-          work: the kind of work, whose run times are learned apart.
-          aim: when an answer stops earning its full worth (monotonic s).
+          exclude: names of the targets already tried for this request.
+          route: the route of the request; run times are learned by route.
+          aim: latency target, as the time after which a response is worth less
+            (monotonic s).
         """
 
-    def describe_cost(self, member: Member, now: float, work: str = "") -> str:
-        """Returns what a choice of `member` is made of, for the log."""
+    def describe_cost(self, member: Member, now: float, route: str = "") -> str:
+        """Returns the components of the cost of `member` as text for logs."""
         return ""
 
     @abc.abstractmethod
     def attempt_started(
         self, name: str, now: float, expected_s: float = 0.0
     ) -> None:
-        """Notes that an attempt at the target `name` began.
+        """Records the start of an attempt.
 
         Args:
-          name: the target.
+          name: name of the target.
           now: monotonic time (s).
-          expected_s: how long it is expected to take (s); 0 if not known.
+          expected_s: expected response time (s); 0 if not known.
         """
 
-    def expected_s(self, member: Member, now: float, work: str) -> float:
-        """Returns how long an attempt begun now would take (s); 0 if unknown.
+    def expected_s(self, member: Member, now: float, route: str) -> float:
+        """Returns the expected response time of an attempt (s); 0 if unknown.
 
         Args:
           member: the target.
           now: monotonic time (s).
-          work: the kind of work.
+          route: the route of the request.
         """
         return 0.0
 
-    def mean_run_s(self, work: str) -> float:
-        """Returns how long `work` takes where nothing waits (s); 0 if unknown.
+    def mean_run_s(self, route: str) -> float:
+        """Returns the mean run time without queueing (s); 0 if unknown.
 
         Args:
-          work: the kind of work.
+          route: the route of the request.
         """
         return 0.0
 
@@ -130,15 +131,15 @@
         elapsed_s: float,
         outcome: Outcome | None,
         load: LoadReport | None,
-        work: str = "",
+        route: str = "",
     ) -> None:
-        """Notes that an attempt ended.
+        """Records the end of an attempt.
 
         Args:
-          name: the target.
+          name: name of the target.
           now: monotonic time (s).
           elapsed_s: time since `attempt_started` (s).
-          outcome: what became of it; `None` if it was cancelled by us.
-          load: the target's report, where the answer carried one.
-          work: the kind of work, as it was chosen for.
+          outcome: outcome of the attempt; `None` if this node cancelled it.
+          load: the load report in the response, if any.
+          route: the route that was passed to `choose`.
         """
--- a/src/radishwind/routing/factory.py
+++ b/src/radishwind/routing/factory.py
@@ -1,4 +1,4 @@
-"""Makes the routing policy that a setting names."""
+"""Creates the routing policy given by a setting."""
 
 from collections.abc import Callable
 import enum
@@ -6,15 +6,15 @@
 
 from radishwind.config.index import ConfigIndex
 from radishwind.routing.balanced_chooser import BalancedChooser
-from radishwind.routing.baselines import FewestOwnRequests
+from radishwind.routing.baselines import LeastRequestChooser
 from radishwind.routing.baselines import RandomChooser
-from radishwind.routing.baselines import RoundRobin
+from radishwind.routing.baselines import RoundRobinChooser
 from radishwind.routing.chooser import LoadReport
 from radishwind.routing.chooser import TargetChooser
 
 
 class RoutingPolicy(enum.StrEnum):
-    """The policies; all but `balanced` are there to be compared with."""
+    """The routing policies; all but `balanced` serve as baselines."""
 
     BALANCED = "balanced"
     RANDOM = "random"
@@ -26,7 +26,7 @@
         """Parses the name of a policy.
 
         Raises:
-          ValueError: it names none.
+          ValueError: if `text` isn't the name of a policy.
         """
         try:
             return cls(text)
@@ -43,13 +43,13 @@
     index: Callable[[], ConfigIndex],
     own_load: Callable[[], LoadReport] | None = None,
 ) -> TargetChooser:
-    """Returns a chooser of `policy`; see `BalancedChooser` for the rest."""
+    """Creates a chooser; for the arguments see `BalancedChooser`."""
     if policy is RoutingPolicy.RANDOM:
         return RandomChooser(rng)
     if policy is RoutingPolicy.ROUND_ROBIN:
-        return RoundRobin(rng)
+        return RoundRobinChooser(rng)
     if policy is RoutingPolicy.FEWEST_OWN:
-        return FewestOwnRequests(rng)
+        return LeastRequestChooser(rng)
     return BalancedChooser(
         rng,
         node_name=node_name,
--- a/src/radishwind/routing/placement.py
+++ b/src/radishwind/routing/placement.py
@@ -1,7 +1,7 @@
-"""Where a request may be sent: servers that are there and allowed.
+"""Selects the targets that may receive a request.
 
-This is the gate of the node that a caller came to; the node beside a server
-has one of its own, since it may know better.
+This check is made at the entry node. The node beside a server makes its own
+check, since it may have more recent information.
 """
 
 import abc
@@ -18,28 +18,28 @@
 if TYPE_CHECKING:
     from radishwind.entry.call import Call
 
-#: When a caller may come back to a service without targets (s).
+#: Time after which a caller may retry at a service without targets (s).
 NO_TARGET_RETRY_S = 1.0
 
 
 class Placement(abc.ABC):
-    """Names the candidates of a request."""
+    """Interface: selects the candidates of a request."""
 
     @abc.abstractmethod
     def candidates(self, call: "Call") -> Sequence[Member]:
-        """Returns those it may go to; the same object until they change."""
+        """Returns the eligible members; the same object until they change."""
 
     def refusal(self, call: "Call") -> NotRun:
-        """Returns what a caller is told where there is none to choose."""
+        """Returns the outcome for a request without candidates."""
         return NotRun(
             ResultCode.NO_TARGET,
-            f"No target of {call.service} takes requests now.",
+            f"no target of {call.service} accepts requests now",
             NO_TARGET_RETRY_S,
         )
 
 
 class UnrestrictedPlacement(Placement):
-    """All targets of the service."""
+    """Allows all targets of the service."""
 
     def __init__(self, directory: Directory) -> None:
         self._directory = directory
@@ -49,42 +49,43 @@
 
 
 class RestrictedPlacement(UnrestrictedPlacement):
-    """Those outside of emptied failure domains, in the route's regions."""
+    """Allows targets outside of evacuated domains, in the route's regions."""
 
     def __init__(
         self,
         directory: Directory,
-        emptied: Callable[[], frozenset[str]],
+        evacuated: Callable[[], frozenset[str]],
         region_of: Mapping[str, str],
     ) -> None:
-        """Makes a placement.
+        """Creates a placement.
 
         Args:
-          directory: the nodes there are.
-          emptied: returns the failure domains that get nothing new.
+          directory: the members of each service.
+          evacuated: returns the evacuated failure domains, which receive no new
+            requests.
           region_of: the region of each failure domain.
         """
         super().__init__(directory)
-        self._emptied = emptied
+        self._evacuated = evacuated
         self._region_of = region_of
 
     def candidates(self, call: "Call") -> Sequence[Member]:
         members = super().candidates(call)
-        emptied = self._emptied()
-        if emptied:
-            members = [m for m in members if m.failure_domain not in emptied]
+        evacuated = self._evacuated()
+        if evacuated:
+            members = [m for m in members if m.failure_domain not in evacuated]
         if call.regions:
-            members = [m for m in members if self._is_home(call, m)]
+            members = [m for m in members if self._is_in_regions(call, m)]
         return members
 
-    def _is_home(self, call: "Call", member: Member) -> bool:
+    def _is_in_regions(self, call: "Call", member: Member) -> bool:
         return self._region_of.get(member.failure_domain) in call.regions
 
     def refusal(self, call: "Call") -> NotRun:
-        if self._emptied() and super().candidates(call):
+        if self._evacuated() and super().candidates(call):
             return NotRun(
                 ResultCode.DOMAIN_EMPTIED,
-                f"Where targets of {call.service} may run is emptied.",
+                f"all domains with targets of {call.service} are evacuated",
                 NO_TARGET_RETRY_S,
             )
         return super().refusal(call)
--- a/src/radishwind/routing/round_trip_times.py
+++ b/src/radishwind/routing/round_trip_times.py
@@ -1,54 +1,56 @@
-"""How long it takes to other failure domains and back, learned."""
+"""Smoothed round-trip times to other failure domains."""
 
 import msgspec
 
-#: Weight of one round trip in the mean.
-WEIGHT = 0.2
+#: Weight of one round trip in the moving average.
+SMOOTHING_WEIGHT = 0.2
 
-#: A mean is given up when nothing was heard for so long (s): a node probes a
-#: member each second, so that a domain which is reached at all is heard of.
-STALE_S = 10.0
+#: A mean without a round trip for this time is discarded (s). Each node probes
+#: a member every second, so that any reachable domain is measured more often.
+STALE_AFTER_S = 10.0
 
-#: Failure domains remembered; the one that was first known is forgotten.
-MOST_DOMAINS = 256
+#: Failure domains remembered at most; the first one added is dropped.
+MAX_DOMAINS = 256
 
 
-class _Mean(msgspec.Struct):
+class _MeanRoundTrip(msgspec.Struct):
     mean_s: float
-    heard: float
+    updated: float
 
 
 class RoundTripTimes:
-    """Mean round trips by failure domain."""
+    """Mean round-trip times by failure domain."""
 
     def __init__(self) -> None:
-        self._means: dict[str, _Mean] = {}
+        self._means: dict[str, _MeanRoundTrip] = {}
 
     def record(self, domain: str, trip_s: float, now: float) -> None:
-        """Takes one round trip.
+        """Records a round trip.
 
         Args:
           domain: the failure domain of the other node.
-          trip_s: from sending a message to its answer (s).
+          trip_s: time from sending a message to its reply (s).
           now: monotonic time (s).
         """
-        known = self._means.get(domain)
-        if known is None or now - known.heard > STALE_S:
-            self._means[domain] = _Mean(trip_s, now)
-            if len(self._means) > MOST_DOMAINS:
+        mean = self._means.get(domain)
+        if mean is None or now - mean.updated > STALE_AFTER_S:
+            self._means[domain] = _MeanRoundTrip(trip_s, now)
+            if len(self._means) > MAX_DOMAINS:
                 del self._means[next(iter(self._means))]
             return
-        known.mean_s += WEIGHT * (trip_s - known.mean_s)
-        known.heard = now
+        mean.mean_s += SMOOTHING_WEIGHT * (trip_s - mean.mean_s)
+        mean.updated = now
 
     def mean_s(self, domain: str, now: float) -> float | None:
-        """Returns the usual round trip (s); `None` where none is fresh."""
-        known = self._means.get(domain)
-        if known is None or now - known.heard > STALE_S:
+        """Returns the mean round-trip time (s); `None` if it is stale."""
+        mean = self._means.get(domain)
+        if mean is None or now - mean.updated > STALE_AFTER_S:
             return None
-        return known.mean_s
+        return mean.mean_s
 
     def fresh_means_s(self, now: float) -> dict[str, float]:
-        """Returns the usual round trips that are fresh, by domain (s)."""
-        found = {name: self.mean_s(name, now) for name in self._means}
-        return {n: trip_s for n, trip_s in found.items() if trip_s is not None}
+        """Returns the fresh mean round-trip times by domain (s)."""
+        means_s = {name: self.mean_s(name, now) for name in self._means}
+        return {
+            n: trip_s for n, trip_s in means_s.items() if trip_s is not None
+        }
--- a/src/radishwind/routing/tests/test_path_costs.py
+++ b/src/radishwind/routing/tests/test_path_costs.py
@@ -19,9 +19,9 @@
 from radishwind.routing.path_costs import LinkPathCosts
 from radishwind.routing.path_costs import MOST_PART
 from radishwind.routing.round_trip_times import RoundTripTimes
-from radishwind.routing.round_trip_times import STALE_S
-from radishwind.routing.route_sizes import LARGE_BYTES
-from radishwind.routing.route_sizes import MOST_ROUTES
+from radishwind.routing.round_trip_times import STALE_AFTER_S
+from radishwind.routing.route_sizes import DEFAULT_LARGE_BYTES
+from radishwind.routing.route_sizes import MAX_ROUTES
 from radishwind.routing.route_sizes import RouteSizes
 
 AIM_S = 1.0
@@ -78,7 +78,7 @@
     known = RouteSizes()
     known.expect_large(frozenset({"l"}))
 
-    assert known.exchange_bytes("l") == LARGE_BYTES
+    assert known.exchange_bytes("l") == DEFAULT_LARGE_BYTES
     assert known.exchange_bytes("s") == 0
 
 
@@ -88,20 +88,20 @@
         known.learn("r", 100, 1_000)
     for _ in range(200):
         known.learn("r", 0, 90_000)
-    assert known.known()["r"].answer > 80_000
+    assert known.by_route()["r"].response_bytes > 80_000
 
     for _ in range(400):
         known.learn("r", 0, 1_000)
-    assert known.known()["r"].answer < 2_000
-    assert known.known()["r"].large < 2_000
+    assert known.by_route()["r"].response_bytes < 2_000
+    assert known.by_route()["r"].large_response_bytes < 2_000
 
 
 def test_the_routes_known_are_bounded():
     known = RouteSizes()
-    for number in range(MOST_ROUTES + 5):
+    for number in range(MAX_ROUTES + 5):
         known.learn(str(number), 1, 1)
 
-    assert len(known.known()) == MOST_ROUTES
+    assert len(known.by_route()) == MAX_ROUTES
 
 
 @given(
@@ -148,12 +148,12 @@
 def test_a_stale_round_trip_is_given_up_and_learned_anew():
     trips = RoundTripTimes()
     trips.record("b", 3.0, 0.0)
-    assert trips.mean_s("b", STALE_S) == 3.0
-    assert trips.mean_s("b", STALE_S + 0.1) is None
-    assert trips.fresh_means_s(STALE_S + 0.1) == {}
-    trips.record("b", 0.01, STALE_S + 0.2)
+    assert trips.mean_s("b", STALE_AFTER_S) == 3.0
+    assert trips.mean_s("b", STALE_AFTER_S + 0.1) is None
+    assert trips.fresh_means_s(STALE_AFTER_S + 0.1) == {}
+    trips.record("b", 0.01, STALE_AFTER_S + 0.2)
 
-    assert trips.mean_s("b", STALE_S + 0.3) == 0.01
+    assert trips.mean_s("b", STALE_AFTER_S + 0.3) == 0.01
 
 
 @given(st.lists(st.tuples(st.floats(0, 100), st.floats(0, 30)), max_size=60))
--- a/src/radishwind/routing/tests/test_placement.py
+++ b/src/radishwind/routing/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""No request is sent where the operator or its route forbids it."""
+"""Evacuated domains and regions that a route doesn't allow are excluded."""
 
 import pytest
 from tests.support.calls import make_call
@@ -22,18 +22,18 @@
         return self._members if service == "s" else ()
 
 
-def named(placement, call):
+def domains_of(placement, call):
     return [member.failure_domain for member in placement.candidates(call)]
 
 
-def placement(*emptied, members=MEMBERS):
+def placement(*evacuated, members=MEMBERS):
     return RestrictedPlacement(
-        Directory(members), lambda: frozenset(emptied), REGIONS
+        Directory(members), lambda: frozenset(evacuated), REGIONS
     )
 
 
 @pytest.mark.parametrize(
-    ("emptied", "regions", "left"),
+    ("evacuated", "regions", "expected"),
     [
         ((), (), ["a-1", "a-2", "b-1"]),
         (("a-1",), (), ["a-2", "b-1"]),
@@ -47,28 +47,30 @@
         (("a-1", "a-2"), ("north",), []),
     ],
 )
-def test_who_may_be_chosen(emptied, regions, left):
+def test_candidates_by_evacuated_domains_and_regions(
+    evacuated, regions, expected
+):
     call = make_call(regions=frozenset(regions))
 
-    assert named(placement(*emptied), call) == left
+    assert domains_of(placement(*evacuated), call) == expected
 
 
-def test_the_same_members_are_given_until_they_change():
-    made = placement()
+def test_candidates_are_the_same_object_until_they_change():
+    created = placement()
 
-    assert made.candidates(make_call()) is made.candidates(make_call())
+    assert created.candidates(make_call()) is created.candidates(make_call())
 
 
-def test_a_failure_domain_of_no_known_region_is_no_home():
-    stray = (*MEMBERS, Member("t-x", "s", "x", Address("h", 1)))
+def test_failure_domain_without_region_is_not_eligible():
+    members = (*MEMBERS, Member("t-x", "s", "x", Address("h", 1)))
     call = make_call(regions=frozenset({"north"}))
 
-    assert named(placement(members=stray), call) == ["a-1", "a-2"]
+    assert domains_of(placement(members=members), call) == ["a-1", "a-2"]
 
 
-def test_callers_hear_that_all_is_emptied_or_that_nobody_is_there():
-    emptied = placement(*REGIONS).refusal(make_call())
-    nobody = placement(members=()).refusal(make_call())
+def test_refusal_distinguishes_evacuated_domains_from_no_targets():
+    evacuated = placement(*REGIONS).refusal(make_call())
+    without_members = placement(members=()).refusal(make_call())
 
-    assert emptied.code is ResultCode.DOMAIN_EMPTIED
-    assert nobody.code is ResultCode.NO_TARGET
+    assert evacuated.code is ResultCode.DOMAIN_EMPTIED
+    assert without_members.code is ResultCode.NO_TARGET
--- a/src/radishwind/sidecar/metrics.py
+++ b/src/radishwind/sidecar/metrics.py
@@ -301,9 +301,9 @@
             f'route="{route}",body="{body}"': size
             for route, known in links.sizes.most_used(MOST_ROUTES_TOLD).items()
             for body, size in (
-                ("request", known.request),
-                ("answer", known.answer),
-                ("large-answer", known.large),
+                ("request", known.request_bytes),
+                ("answer", known.response_bytes),
+                ("large-answer", known.large_response_bytes),
             )
         },
     )
--- a/src/radishwind/sidecar/tests/test_link_side.py
+++ b/src/radishwind/sidecar/tests/test_link_side.py
@@ -11,7 +11,7 @@
 from radishwind.routes.model import RouteConfig
 from radishwind.routing.cost_weights import CROSS_DOMAIN_S
 from radishwind.routing.path_costs import FixedPathCosts
-from radishwind.routing.route_sizes import LARGE_BYTES
+from radishwind.routing.route_sizes import DEFAULT_LARGE_BYTES
 from radishwind.sidecar.link_side import LinkSide
 from radishwind.sidecar.tests.test_target_side import settings
 
@@ -42,7 +42,7 @@
 
     large, small = (ways.path_cost("b", 0, name, 0.0) for name in ("l", "s"))
 
-    assert large.transmission_s == pytest.approx(LARGE_BYTES * 8 / 10e6)
+    assert large.transmission_s == pytest.approx(DEFAULT_LARGE_BYTES * 8 / 10e6)
     assert small.transmission_s == 0
     assert large.penalty_s > small.penalty_s
 
