--- a/src/radishwind/node/target.py
+++ b/src/radishwind/node/target.py
@@ -63,7 +63,7 @@
             admission=self._admission,
             sender=sender,
             server=self._server,
-            watch=self._watch,
+            recorder=self._watch,
         )
 
     @property
--- a/src/radishwind/sidecar/target_side.py
+++ b/src/radishwind/sidecar/target_side.py
@@ -117,32 +117,32 @@
             clock=clock,
             sender=sender,
             dialect=dialect,
-            watch=watch,
-            pulse=self.pulse,
-            replaced=self._replaced,
+            recorder=watch,
+            monitor=self.pulse,
+            on_replaced=self._replaced,
         )
         self.pipeline = TargetPipeline(
             clock=clock,
             admission=self.admission,
             sender=sender,
             server=self.server,
-            watch=watch,
+            recorder=watch,
             exchange=exchange,
             pace=self.pulse.current_pace,
-            ran=self._ran,
-            gate=self.warmup,
+            on_run=self._ran,
+            send_limiter=self.warmup,
             run_times=RunTimeEstimator() if switches.run_times else None,
-            link_kbps=link_kbps,
-            runs=self.runs,
+            link_free_kbps=link_kbps,
+            concurrency=self.runs,
         )
         self.keeper = LoadPoller(
             clock=clock,
             sender=sender,
             dialect=dialect,
-            pulse=self.pulse,
+            monitor=self.pulse,
             view=self._view,
-            answered=self._checked,
-            unreachable=watch.record_connect_failure,
+            on_response=self._checked,
+            on_unreachable=watch.record_connect_failure,
         )
         self.pulse.subscribe(self.pipeline.start_deferred)
         self._watch = watch
--- a/src/radishwind/target/buffered_body.py
+++ b/src/radishwind/target/buffered_body.py
@@ -1,60 +1,61 @@
-"""Whole answers that wait for their readers, within bounds.
+"""Response bodies that are buffered for their readers, within a budget.
 
-An answer that is held whole gives its slot back at once, however slow its
-reader is, and can be tried elsewhere if it breaks off. What all of them may
-take is bounded; beyond it an answer streams at the pace of its reader.
+A fully buffered response releases its slot at once, however slow its reader is,
+and can be retried on another target if it is cut off. The total size of the
+buffers is bounded; beyond it a response streams at the speed of its reader.
 """
 
 from collections.abc import AsyncIterator
 
 from radishwind.http.types import BodyStream
 
-#: What all answers that are held may take (bytes).
-HELD_IN_ALL_BYTES = 8 << 20
+#: Total size of all buffered responses (bytes).
+MAX_TOTAL_BYTES = 8 << 20
 
-#: Pieces in which one is handed on (bytes): about what a connection takes
-#: before it says that its reader is slow, so that no more is copied ahead.
-PIECE_BYTES = 64 * 1024
+#: Size of the chunks handed to the reader (bytes): about what a connection
+#: buffers before it reports its reader as slow, so that no more is copied
+#: ahead.
+CHUNK_BYTES = 64 * 1024
 
 
 class BufferBudget:
-    """What answers that are held take, of what they may.
+    """The memory budget of buffered responses.
 
     Attributes:
-      used_bytes: what they take (bytes).
+      used_bytes: size of the responses buffered now (bytes).
     """
 
-    def __init__(self, most_bytes: int = HELD_IN_ALL_BYTES) -> None:
-        self._most_bytes = most_bytes
+    def __init__(self, max_bytes: int = MAX_TOTAL_BYTES) -> None:
+        self._max_bytes = max_bytes
         self.used_bytes = 0
 
     def fits(self, size: int) -> bool:
-        """Returns whether an answer of `size` (bytes) may be held."""
-        return self.used_bytes + size <= self._most_bytes
+        """Returns whether a response of `size` (bytes) may be buffered."""
+        return self.used_bytes + size <= self._max_bytes
 
     def reserve(self, size: int) -> None:
-        """Counts `size` bytes as held."""
+        """Counts `size` bytes as buffered."""
         self.used_bytes += size
 
     def release(self, size: int) -> None:
-        """Counts `size` bytes as handed on or given up."""
+        """Counts `size` bytes as read or dropped."""
         self.used_bytes -= size
 
 
 class BufferedBody(BodyStream):
-    """A body at hand, handed on piece by piece."""
+    """A fully buffered body, streamed in chunks."""
 
-    def __init__(self, body: bytes, room: BufferBudget) -> None:
-        """Takes room for a body until it is read or given up.
+    def __init__(self, body: bytes, budget: BufferBudget) -> None:
+        """Reserves the size of a body until it is read or dropped.
 
         Args:
           body: the whole body.
-          room: what it takes of.
+          budget: the budget to reserve from.
         """
         self._body = body
-        self._room = room
+        self._budget = budget
         self._left = len(body)
-        room.reserve(self._left)
+        budget.reserve(self._left)
 
     @property
     def is_whole(self) -> bool:
@@ -63,22 +64,22 @@
     async def __aiter__(self) -> AsyncIterator[bytes]:
         body, self._body = self._body, b""
         try:
-            for start in range(0, len(body), PIECE_BYTES):
-                piece = body[start : start + PIECE_BYTES]
-                yield piece
-                self._give_back(len(piece))
+            for start in range(0, len(body), CHUNK_BYTES):
+                chunk = body[start : start + CHUNK_BYTES]
+                yield chunk
+                self._release(len(chunk))
         finally:
-            self._give_back(self._left)
+            self._release(self._left)
 
     def abort(self) -> None:
         self._body = b""
-        self._give_back(self._left)
+        self._release(self._left)
 
     def __del__(self) -> None:
-        # Whoever had it may have been cancelled without a word.
-        self._give_back(self._left)
+        # A cancelled reader may have dropped the body without aborting it.
+        self._release(self._left)
 
-    def _give_back(self, size: int) -> None:
+    def _release(self, size: int) -> None:
         size = min(size, self._left)
         self._left -= size
-        self._room.release(size)
+        self._budget.release(size)
--- a/src/radishwind/target/dialect.py
+++ b/src/radishwind/target/dialect.py
@@ -1,4 +1,4 @@
-"""The interface by which a node speaks to the backend server beside it."""
+"""The interface by which a node communicates with its backend server."""
 
 import abc
 
@@ -11,14 +11,14 @@
 
 
 class ServerLoad(msgspec.Struct, frozen=True):
-    """The load as the server itself tells it.
+    """A load report of the server.
 
     Attributes:
       in_flight: requests running.
       queued: requests waiting at the server.
       slots: requests it runs at once.
-      pace: how long work takes at this moment; 1 is as usual, 5 five times
-        as long.
+      pace: current run time of work relative to the normal one; 1 is normal, 5
+        is five times as long.
     """
 
     in_flight: int
@@ -28,18 +28,19 @@
 
 
 class ResponseMetadata(msgspec.Struct, frozen=True):
-    """What the fields of an answer of the server tell.
+    """What the header fields of a server's response state.
 
     Attributes:
-      matches_request: whether it names the request that it is to answer.
-      incarnation: the incarnation that answers; empty if not told.
-      is_not_run: whether the server says that it did not run the request.
-      is_other_incarnation: whether it says that it is another incarnation than
-        meant.
-      is_authentic: whether the answer can be the server's own, as it made it.
-      load: the server's load, where told.
-      warmup_left_s: how much longer the server is cold (s), where told.
-      headers: the fields that go on to the caller.
+      matches_request: whether it names the request that it answers.
+      incarnation: the incarnation that answers; empty if not stated.
+      is_not_run: whether the server states that it did not run the request.
+      is_other_incarnation: whether it states that it is another incarnation
+        than the one addressed.
+      is_authentic: whether the response can be the server's own, unmodified.
+      load: the server's load; `None` if not stated.
+      warmup_left_s: remaining warm-up time of the server (s); `None` if not
+        stated.
+      headers: the fields to forward to the caller.
     """
 
     matches_request: bool = True
@@ -53,18 +54,18 @@
 
 
 class ServerDialect(abc.ABC):
-    """Makes requests for the server and reads its answers."""
+    """Builds requests for the server and parses its responses."""
 
     @abc.abstractmethod
     def build_request(
         self, call: Call, incarnation: str, left_s: float
     ) -> Request:
-        """Returns `call` as the server gets it.
+        """Returns `call` as it is sent to the server.
 
         Args:
-          call: what to run.
-          incarnation: the incarnation meant; empty for any.
-          left_s: time left to the deadline (s).
+          call: the call to run.
+          incarnation: the incarnation addressed; empty for any.
+          left_s: time left until the deadline (s).
         """
 
     @abc.abstractmethod
@@ -75,8 +76,8 @@
     def parse_response(
         self, call: Call, response: Response
     ) -> ResponseMetadata:
-        """Returns what the fields of the answer to `call` tell."""
+        """Returns what the header fields of the response to `call` state."""
 
     @abc.abstractmethod
     def parse_health_response(self, response: Response) -> ResponseMetadata:
-        """Returns what the answer to a health check tells."""
+        """Returns what the response to a health check states."""
--- a/src/radishwind/target/exchange_base.py
+++ b/src/radishwind/target/exchange_base.py
@@ -1,4 +1,4 @@
-"""The interface by which the pipeline runs a call on the server beside."""
+"""The interface by which the pipeline runs a call on the backend server."""
 
 import abc
 from collections.abc import Callable
@@ -10,16 +10,16 @@
 
 
 class Exchange(abc.ABC):
-    """Sends calls to the server and says what became of them."""
+    """Sends calls to the server and determines their outcomes."""
 
     @abc.abstractmethod
     async def send(self, call: Call, view: ServerView, alone: bool) -> Outcome:
         """Runs `call` on the server; its deadline has not passed yet.
 
         Args:
-          call: what to run.
+          call: the call to run.
           view: the server as last announced.
-          alone: whether nothing else runs there meanwhile.
+          alone: whether nothing else runs on the server meanwhile.
         """
 
     @abc.abstractmethod
@@ -33,7 +33,7 @@
         """Returns a streamed `response` that calls `ended` once at its end.
 
         Args:
-          call: what it answers.
+          call: the call that it answers.
           response: as returned by `send`, with a stream as its body.
           alone: whether nothing else ran on the server.
           ended: called when the slot is free again.
--- a/src/radishwind/target/exchange_recorder.py
+++ b/src/radishwind/target/exchange_recorder.py
@@ -1,4 +1,4 @@
-"""Learns from each exchange with the server: health, crashes, suspects."""
+"""Records the outcome of each exchange for health and crash detection."""
 
 from radishwind.core.clock import Clock
 from radishwind.entry.call import Call
@@ -10,7 +10,7 @@
 
 
 class ExchangeRecorder:
-    """Hands what became of each exchange to those who learn from it."""
+    """Passes outcomes to health estimation, crash detection and quarantine."""
 
     def __init__(
         self, clock: Clock, health: HealthEstimator, quarantine: Quarantine
@@ -21,22 +21,22 @@
         self._crashes = CrashDetector()
 
     def must_run_alone(self, call: Call) -> bool:
-        """Returns whether `call` must run alone."""
+        """Returns whether nothing else may run on the server beside `call`."""
         return self._quarantine.alone(call)
 
     def refusal(self, call: Call) -> NotRun | None:
-        """Returns the refusal of `call`, if it is quarantined."""
+        """Returns the refusal of `call` if it is quarantined, else `None`."""
         return self._quarantine.refusal(call)
 
-    def fitness(self) -> float:
-        """Returns 1 for a server that does well to 0 for one that fails."""
+    def health_score(self) -> float:
+        """Returns the health of the server, from 0 (failing) to 1 (healthy)."""
         return self._health.score(self._clock.monotonic())
 
     def record_answer(self, call: Call, status: int, alone: bool) -> None:
-        """Takes a whole answer.
+        """Records a complete response.
 
         Args:
-          call: what it answers.
+          call: the call that it answers.
           status: its HTTP status.
           alone: whether nothing else ran on the server meanwhile.
         """
@@ -46,28 +46,31 @@
             self._quarantine.ran_safely(call)
 
     def record_broken_exchange(self, call: Call) -> None:
-        """Takes an exchange that broke off."""
+        """Records an exchange that broke before its response was complete."""
         now = self._clock.monotonic()
         self._health.record_response(False, now)
         self._crashes.broke(call.request, now)
 
     def record_timeout(self) -> None:
-        """Takes that the server did not answer by the deadline."""
+        """Records that the server did not respond by the deadline."""
 
     def record_shed(self) -> None:
-        """Takes that the server refused a request."""
+        """Records that the server shed a request."""
 
     def record_connect_failure(self) -> None:
-        """Takes a connection that the server did not accept."""
+        """Records that the server did not accept a connection."""
         self._health.record_response(False, self._clock.monotonic())
         self.record_server_down()
 
     def record_server_down(self) -> None:
-        """Takes that the server is not there; what broke before crashed it."""
+        """Records that the server is gone.
+
+        Exchanges that broke shortly before are taken for the cause of a crash.
+        """
         now = self._clock.monotonic()
         self._quarantine.crashed(self._crashes.gone(now))
 
     def record_restart(self) -> None:
-        """Takes a new start of the server."""
+        """Records a new start of the server."""
         self._health.reset(self._clock.monotonic())
         self.record_server_down()
--- a/src/radishwind/target/load_poller.py
+++ b/src/radishwind/target/load_poller.py
@@ -1,4 +1,4 @@
-"""The task that looks at the server beside into silence."""
+"""The task that requests the load of the backend server by health checks."""
 
 from collections.abc import Callable
 
@@ -12,16 +12,16 @@
 from radishwind.target.backend_server import ServerView
 from radishwind.target.dialect import ResponseMetadata
 from radishwind.target.dialect import ServerDialect
-from radishwind.target.load_monitor import IDLE_SILENCE_S
+from radishwind.target.load_monitor import IDLE_REPORT_AGE_S
+from radishwind.target.load_monitor import INITIAL_CHECK_INTERVAL_S
 from radishwind.target.load_monitor import LoadMonitor
-from radishwind.target.load_monitor import SEARCH_SILENCE_S
 
-#: How long a health check may take (s).
+#: Time limit of a health check (s).
 CHECK_TIMEOUT_S = 0.4
 
 
 class LoadPoller:
-    """The task that asks the server into silence, one check at a time."""
+    """Sends a health check whenever the monitor says so, one at a time."""
 
     def __init__(
         self,
@@ -29,63 +29,63 @@
         clock: Clock,
         sender: Sender,
         dialect: ServerDialect,
-        pulse: LoadMonitor,
+        monitor: LoadMonitor,
         view: Callable[[], ServerView | None],
-        answered: Callable[[ResponseMetadata, bool, float], None],
-        unreachable: Callable[[], None],
+        on_response: Callable[[ResponseMetadata, bool, float], None],
+        on_unreachable: Callable[[], None],
     ) -> None:
-        """Wires the task.
+        """Creates the task.
 
         Args:
           clock: the clock.
           sender: sends the health checks.
-          dialect: makes and reads them.
-          pulse: takes the figures.
-          view: returns the server, `None` where none is to be asked.
-          answered: takes what a check told, whether it was a good one, and
-            when it was sent (monotonic s).
-          unreachable: called where the server takes no connection.
+          dialect: builds them and parses the responses.
+          monitor: decides when a check is due and receives the load.
+          view: returns the server; `None` if none is to be checked.
+          on_response: called with what the response to a check states, whether
+            its status is a success, and when the check was sent (monotonic s).
+          on_unreachable: called when the server accepts no connection.
         """
         self._clock = clock
         self._sender = sender
         self._dialect = dialect
-        self._pulse = pulse
+        self._monitor = monitor
         self._view = view
-        self._answered = answered
-        self._unreachable = unreachable
+        self._on_response = on_response
+        self._on_unreachable = on_unreachable
 
     async def run(self) -> None:
-        """Asks until cancelled."""
-        self._used = anyio.Event()
-        self._pulse.subscribe_use(lambda: self._used.set())
+        """Sends health checks until cancelled."""
+        self._use_resumed = anyio.Event()
+        self._monitor.subscribe_use(lambda: self._use_resumed.set())
         while True:
             view = self._view()
-            wait_s = self._pulse.next_check_s()
+            wait_s = self._monitor.next_check_s()
             if view is None or not view.health_path:
-                await anyio.sleep(SEARCH_SILENCE_S)
+                await anyio.sleep(INITIAL_CHECK_INTERVAL_S)
                 continue
             if wait_s > 0:
                 await self._wait(wait_s)
                 continue
-            self._pulse.record_check_sent()
+            self._monitor.record_check_sent()
             await self.check(view)
 
     async def _wait(self, for_s: float) -> None:
-        """Waits until a look is due, or an idle server is used.
+        """Waits until a check is due or an idle server is used.
 
-        Short waits are slept through: to cancel a wait by its time took 0.1 ms
-        in a profile, and there are seven a second.
+        Short waits are not interrupted: cancelling a wait by a time limit took
+        0.1 ms in a profile, and there are seven of them a second.
         """
-        if for_s < IDLE_SILENCE_S / 2:
+        if for_s < IDLE_REPORT_AGE_S / 2:
             await anyio.sleep(max(for_s, 0.001))
             return
         with anyio.move_on_after(for_s):
-            await self._used.wait()
-        self._used = anyio.Event()
+            await self._use_resumed.wait()
+        self._use_resumed = anyio.Event()
 
     async def check(self, view: ServerView) -> None:
-        """Sends one health check; a failed one counts as heard of."""
-        self._pulse.checks_sent += 1
+        """Sends one health check; a failed one also delays the next."""
+        self._monitor.checks_sent += 1
         began = self._clock.monotonic()
         try:
             with TimeLimit(CHECK_TIMEOUT_S):
@@ -96,15 +96,15 @@
                 )
                 await whole_body(response.body)
         except SendError:
-            self._pulse.last_reported = began
-            self._unreachable()
+            self._monitor.last_reported = began
+            self._on_unreachable()
             return
         except TimeoutError:
-            self._pulse.last_reported = began
+            self._monitor.last_reported = began
             return
-        answer = self._dialect.parse_health_response(response)
-        if answer.load is not None:
-            self._pulse.record_load(answer.load, began)
+        metadata = self._dialect.parse_health_response(response)
+        if metadata.load is not None:
+            self._monitor.record_load(metadata.load, began)
         else:
-            self._pulse.last_reported = began
-        self._answered(answer, response.status < 300, began)
+            self._monitor.last_reported = began
+        self._on_response(metadata, response.status < 300, began)
--- a/src/radishwind/target/node_fields.py
+++ b/src/radishwind/target/node_fields.py
@@ -1,17 +1,17 @@
-"""Takes from the server's answers what nodes alone may tell."""
+"""Removes fields from a server's response that only nodes may send."""
 
 from radishwind.http.hygiene import NODE_FIELD_PREFIX
 from radishwind.http.problems import CODE_FIELD
 from radishwind.http.problems import OUTCOME_FIELD
 from radishwind.http.types import Response
 
-#: Fields by which a node tells what became of a request. A server that passes
-#: on the answer of a call of its own must not tell them of this request.
+#: Fields by which a node states the outcome of a request. A server that passes
+#: on the response to one of its own calls must not state them for this request.
 _OUTCOME_FIELDS = frozenset({CODE_FIELD.lower(), OUTCOME_FIELD.lower()})
 
 
-def without_node_fields(response: Response) -> Response:
-    """Returns the server's answer without fields that nodes alone may tell."""
+def strip_node_fields(response: Response) -> Response:
+    """Returns the server's response without fields that only nodes may send."""
     headers = [
         item for item in response.headers if not _is_node_field(item[0].lower())
     ]
@@ -23,7 +23,7 @@
 
 
 def _is_node_field(name: str) -> bool:
-    """Returns whether nodes alone may send the field `name` (lower case)."""
+    """Returns whether only nodes may send the field `name` (lower case)."""
     if not name.startswith("radishwind-"):
         return False
     return name in _OUTCOME_FIELDS or name.startswith(NODE_FIELD_PREFIX)
--- a/src/radishwind/target/pace.py
+++ b/src/radishwind/target/pace.py
@@ -1,16 +1,17 @@
-"""How long work takes on an instance, and for how long that holds."""
+"""The current pace of an instance and how long it is valid."""
 
 import msgspec
 
 
 class Pace(msgspec.Struct, frozen=True):
-    """The pace of an instance at one moment.
+    """The pace of an instance: its run times relative to normal ones.
 
     Attributes:
-      factor: how long work takes; 1 is as usual, 5 five times as long.
-      base_factor: the best factor in the last spells.
-      interval_s: it changes at moments so far apart (s); 0 if none are known.
-      interval_left_s: time until the next such moment (s).
+      factor: current run time of work relative to the normal one; 1 is normal,
+        5 is five times as long.
+      base_factor: the best factor of the last intervals.
+      interval_s: time between change points of the pace (s); 0 if unknown.
+      interval_left_s: time until the next change point (s).
     """
 
     factor: float = 1.0
--- a/src/radishwind/target/pace_gate.py
+++ b/src/radishwind/target/pace_gate.py
@@ -1,4 +1,4 @@
-"""Holds work back in a slow spell where it ends sooner if it begins later."""
+"""Defers work in a slow interval where it ends sooner if it starts later."""
 
 from radishwind.admission.gate import Ticket
 from radishwind.admission.urgent import StartGate
@@ -6,58 +6,58 @@
 from radishwind.routing.pace_statistics import SLOW_PACE
 from radishwind.target.load_monitor import LoadMonitor
 
-#: Past a moment of change the new pace is waited for so long at most (s); the
-#: health check that tells it takes 2 to 5 ms.
-UNKNOWN_S = 0.015
+#: Time after a change point for which the new pace is waited for (s). The
+#: health check that reports it takes 2 to 5 ms.
+MAX_UNKNOWN_PACE_WAIT_S = 0.015
 
-#: Work sent so shortly before a moment of change begins after it (s): a new
-#: connection to the server takes 1 ms.
-TOO_NEAR_S = 0.002
+#: Time before a change point within which no work is sent (s). It would start
+#: after the change point, since a new connection to the server takes 1 ms.
+MIN_LEAD_S = 0.002
 
-#: Run times that must be left to the deadline after the wait.
-_MARGIN = 1.5
+#: Normal run times that must be left before the deadline after the wait.
+_DEADLINE_MARGIN = 1.5
 
 
 class PaceGate(StartGate):
-    """Decides by the pace now, the time to the next change, and the habit."""
+    """Decides by the current pace, the next change point and the statistics."""
 
-    def __init__(self, clock: Clock, pulse: LoadMonitor) -> None:
+    def __init__(self, clock: Clock, monitor: LoadMonitor) -> None:
         self._clock = clock
-        self._pulse = pulse
+        self._monitor = monitor
 
     def holds(self, ticket: Ticket, now: float) -> bool:
-        pulse = self._pulse
-        if not pulse.change_grid.interval_s or pulse.load is None:
+        monitor = self._monitor
+        if not monitor.change_grid.interval_s or monitor.load is None:
             return False
         if (
-            pulse.unseen_change_age_s()
-            and pulse.unseen_change_age_s() < UNKNOWN_S
+            monitor.unseen_change_age_s()
+            and monitor.unseen_change_age_s() < MAX_UNKNOWN_PACE_WAIT_S
         ):
             return True
-        left_s = pulse.change_grid.until_next_s(self._clock.monotonic())
-        if left_s < TOO_NEAR_S:
+        left_s = monitor.change_grid.until_next_s(self._clock.monotonic())
+        if left_s < MIN_LEAD_S:
             return True
-        base = pulse.base_pace()
-        pace = pulse.load.pace
+        base = monitor.base_pace()
+        pace = monitor.load.pace
         if pace <= SLOW_PACE * base:
             return False
         run_s = ticket.work_s * pace
         if now + run_s <= ticket.aim and not self._is_busy():
             return False
-        usual_s = ticket.work_s * base
-        later_s = pulse.pace_statistics.delayed_run_s(
-            usual_s, pulse.change_grid.interval_s
+        normal_run_s = ticket.work_s * base
+        delayed_run_s = monitor.pace_statistics.delayed_run_s(
+            normal_run_s, monitor.change_grid.interval_s
         )
-        if now + left_s + _MARGIN * usual_s > ticket.deadline:
+        if now + left_s + _DEADLINE_MARGIN * normal_run_s > ticket.deadline:
             return False
-        return left_s + later_s < run_s
+        return left_s + delayed_run_s < run_s
 
     def stretch(self) -> float:
-        habit = self._pulse.pace_statistics
-        if not self._pulse.change_grid.interval_s:
-            return habit.mean_pace * self._pulse.base_pace()
-        return self._pulse.base_pace() / (1 - min(0.8, habit.slow_share))
+        statistics = self._monitor.pace_statistics
+        if not self._monitor.change_grid.interval_s:
+            return statistics.mean_pace * self._monitor.base_pace()
+        return self._monitor.base_pace() / (1 - min(0.8, statistics.slow_share))
 
     def _is_busy(self) -> bool:
-        load = self._pulse.load
+        load = self._monitor.load
         return load is not None and 2 * load.in_flight >= load.slots
--- a/src/radishwind/target/pipeline.py
+++ b/src/radishwind/target/pipeline.py
@@ -1,4 +1,4 @@
-"""Admits an attempt, runs it on the server beside, and says what came of it."""
+"""Admits an attempt, runs it on the backend server, and reports its outcome."""
 
 import collections
 from collections.abc import Callable
@@ -34,35 +34,35 @@
 from radishwind.target.warmup_limiter import NoSendLimiter
 from radishwind.target.warmup_limiter import SendLimiter
 
-#: The share that the newest answer has in the mean service time.
+#: Weight of the newest run in the mean service time.
 _SMOOTHING = 0.1
 
-#: When a request that a leaving target refused may come back (s).
-_LEAVING_RETRY_S = 1.0
+#: Retry-After of a request that a leaving target refused (s).
+_LEAVING_RETRY_AFTER_S = 1.0
 
-#: How often a waiting request looks whether it is too late, and a planned
-#: stop whether all has ended (s).
-_LOOK_AGAIN_S = 0.1
+#: Interval at which a waiting request checks its deadline, and a planned stop
+#: whether the target is idle (s).
+_RECHECK_INTERVAL_S = 0.1
 
 
 class TargetPipeline:
-    """Runs attempts on one server; exact about its slots and its leaving.
+    """Runs attempts on one server; the authority on its slots and its draining.
 
     Args:
       clock: the clock.
       admission: grants the slots of the server.
       sender: sends to the server.
-      server: the server beside the node.
-      watch: learns from each exchange.
-      exchange: sends to the server; by default in our own fields.
-      pace: returns how long work takes there now.
-      ran: takes each run that went well.
-      gate: bounds what the server is sent; by default nothing does.
-      run_times: learns what runs take, so that none begins that would not end
-        in time; by default twice their work is left.
-      link_kbps: returns what the link of the node has left (kbit/s); by
-        default it isn't told.
-      runs: counts what runs there.
+      server: the backend server of this node.
+      recorder: records the outcome of each exchange.
+      exchange: sends calls to the server; by default a `ServerExchange`.
+      pace: returns the current pace of the server.
+      on_run: called with each successful run.
+      send_limiter: limits what the server is sent; by default unlimited.
+      run_times: learns run times, so that no run is started that would not end
+        in time; by default twice the work of a run must be left.
+      link_free_kbps: returns the free capacity of the node's link (kbit/s); by
+        default it is not reported.
+      concurrency: counts the requests running on the server.
     """
 
     def __init__(
@@ -72,62 +72,63 @@
         admission: Admission,
         sender: Sender,
         server: BackendServer,
-        watch: ExchangeRecorder,
+        recorder: ExchangeRecorder,
         exchange: Exchange | None = None,
         pace: Callable[[], Pace] | None = None,
-        ran: Callable[[Run], None] | None = None,
-        gate: SendLimiter | None = None,
+        on_run: Callable[[Run], None] | None = None,
+        send_limiter: SendLimiter | None = None,
         run_times: RunTimeEstimator | None = None,
-        link_kbps: Callable[[], int] | None = None,
-        runs: LocalConcurrency | None = None,
+        link_free_kbps: Callable[[], int] | None = None,
+        concurrency: LocalConcurrency | None = None,
     ) -> None:
         self._clock = clock
         self._admission = admission
         self._server = server
-        self._watch = watch
-        self._exchange = exchange or ServerExchange(clock, sender, watch)
-        self._pace = pace or _usual_pace
-        self._ran = ran or _ignored
-        self._gate = gate or NoSendLimiter()
+        self._recorder = recorder
+        self._exchange = exchange or ServerExchange(clock, sender, recorder)
+        self._pace = pace or _normal_pace
+        self._on_run = on_run or _ignore_run
+        self._send_limiter = send_limiter or NoSendLimiter()
         self._run_times = run_times
-        self._link_kbps = link_kbps or _untold
-        self._runs = runs or LocalConcurrency()
+        self._link_free_kbps = link_free_kbps or _unknown_link_capacity
+        self._concurrency = concurrency or LocalConcurrency()
         self._service_s = 0.0
         self._outcomes: collections.Counter[str] = collections.Counter()
         self._queue_wait_s = 0.0
-        self._leaving = False
+        self._refuses_new_work = False
         self._drained = anyio.Event()
 
     @property
     def is_leaving(self) -> bool:
         """Whether new work is refused, by this node or by the server."""
-        return self._leaving or self._server.draining
+        return self._refuses_new_work or self._server.draining
 
     @property
     def queue_wait_s(self) -> float:
-        """How long attempts waited for a slot, in all (s)."""
+        """Total time that attempts waited for a slot (s)."""
         return self._queue_wait_s
 
     def refuse_new_work(self) -> None:
-        """Refuses new work from now on; what runs goes on."""
-        self._leaving = True
+        """Refuses new work from now on; running requests continue."""
+        self._refuses_new_work = True
 
     async def wait_drained(self) -> None:
-        """Returns once nothing runs or waits here.
+        """Returns once no request runs or waits here.
 
-        A probe gives its slot back without telling us, so it looks again.
+        A probe releases its slot without notifying the pipeline, so the state
+        is also polled.
         """
-        while not self._idle():
+        while not self._is_idle():
             self._drained = anyio.Event()
-            with anyio.move_on_after(_LOOK_AGAIN_S):
+            with anyio.move_on_after(_RECHECK_INTERVAL_S):
                 await self._drained.wait()
 
     def load_report(self) -> LoadReport:
         """Returns the load as of now.
 
-        A server that fails is told as cold, whatever its health says.
+        A failing server is reported as cold, whatever its health checks say.
         """
-        warm = self._server.warm_fraction(self._clock.monotonic())
+        warm_fraction = self._server.warm_fraction(self._clock.monotonic())
         pace = self._pace()
         return LoadReport(
             slots=self._admission.slots,
@@ -135,50 +136,52 @@
             queued=self._admission.queued,
             service_ms=round(self._service_s * 1000, 3),
             leaving=self.is_leaving or self._server.is_domain_evacuated,
-            warm_fraction=round(warm * self._watch.fitness(), 3),
+            warm_fraction=round(
+                warm_fraction * self._recorder.health_score(), 3
+            ),
             pace=round(pace.factor, 2),
             base_pace=round(pace.base_factor, 2),
             pace_interval_ms=round(pace.interval_s * 1000, 1),
             pace_interval_left_ms=round(pace.interval_left_s * 1000, 1),
-            warmup_requests_left=self._gate.remaining(),
-            link_free_kbps=self._link_kbps(),
+            warmup_requests_left=self._send_limiter.remaining(),
+            link_free_kbps=self._link_free_kbps(),
         )
 
     def outcome_counts(self) -> dict[str, float]:
-        """Returns how many attempts ended how, by code for those refused."""
+        """Returns the attempts by outcome: `done` or the result code."""
         return dict(self._outcomes)
 
     async def run(self, call: Call) -> AttemptResult:
-        """Runs `call` on the server beside."""
-        run = _Run()
+        """Runs `call` on the backend server."""
+        run = _RunRecord()
         outcome = await self._run(call, run)
-        self._outcomes[_kind(outcome)] += 1
+        self._outcomes[_outcome_label(outcome)] += 1
         load = msgspec.structs.replace(
-            self.load_report(), normal_run_ms=round(run.work_s * 1000, 1)
+            self.load_report(), normal_run_ms=round(run.normal_run_s * 1000, 1)
         )
         return AttemptResult(outcome, load)
 
     def start_deferred(self) -> None:
-        """Starts what was held back and may begin now."""
+        """Starts deferred requests that may start now."""
         self._admission.expire(self._clock.monotonic())
 
-    async def _run(self, call: Call, run: "_Run") -> Outcome:
-        refused = self._refusal(call)
-        if refused is not None:
-            return refused
+    async def _run(self, call: Call, run: "_RunRecord") -> Outcome:
+        refusal = self._refusal(call)
+        if refusal is not None:
+            return refusal
         now = self._clock.monotonic()
-        alone = self._watch.must_run_alone(call)
+        alone = self._recorder.must_run_alone(call)
         ticket = Ticket(
             call.caller,
             call.deadline,
             now,
-            _nobody_waits,
+            _no_waiter,
             alone,
             call.aim,
             call.priority,
             call.normal_run_s,
             call.group_rank,
-            *self._expected_run(call),
+            *self._estimate_run_time(call),
             nested=call.depth > 0,
         )
         self._admission.offer(ticket, now)
@@ -191,59 +194,63 @@
             raise
         if ticket.refused is not None:
             return ticket.refused
-        return await self._admitted(call, ticket, run)
+        return await self._run_admitted(call, ticket, run)
 
     def _refusal(self, call: Call) -> NotRun | None:
-        if self._leaving:
+        if self._refuses_new_work:
             return NotRun(
-                ResultCode.LEAVING, "The target is leaving.", _LEAVING_RETRY_S
+                ResultCode.LEAVING,
+                "The target is leaving.",
+                _LEAVING_RETRY_AFTER_S,
             )
-        if self._too_late(call):
+        if self._is_past_deadline(call):
             return NotRun(
                 ResultCode.DEADLINE_PASSED, "The deadline had passed."
             )
         return (
             self._server.refusal()
-            or self._gate.refusal(call, self._admission.queued)
-            or self._watch.refusal(call)
+            or self._send_limiter.refusal(call, self._admission.queued)
+            or self._recorder.refusal(call)
         )
 
     async def _wait(self, ticket: Ticket) -> None:
-        ready = anyio.Event()
-        ticket.notify = ready.set
-        while not ready.is_set():
-            with anyio.move_on_after(_LOOK_AGAIN_S):
-                await ready.wait()
-            if not ready.is_set():
+        decided = anyio.Event()
+        ticket.notify = decided.set
+        while not decided.is_set():
+            with anyio.move_on_after(_RECHECK_INTERVAL_S):
+                await decided.wait()
+            if not decided.is_set():
                 self._admission.expire(self._clock.monotonic())
 
-    async def _admitted(
-        self, call: Call, ticket: Ticket, run: "_Run"
+    async def _run_admitted(
+        self, call: Call, ticket: Ticket, run: "_RunRecord"
     ) -> Outcome:
-        """Runs `call` in the slot of `ticket` and gives the slot back."""
+        """Runs `call` in the slot of `ticket` and releases the slot."""
         began = self._clock.monotonic()
         outcome: Outcome | None = None
         factor = self._pace().factor
-        begun_with = self._admission.in_flight
-        self._runs.run_started(began, is_retry=call.is_retry)
+        in_flight_at_start = self._admission.in_flight
+        self._concurrency.run_started(began, is_retry=call.is_retry)
 
         def ended() -> None:
-            self._runs.run_ended(
+            self._concurrency.run_ended(
                 self._clock.monotonic(), is_retry=call.is_retry
             )
-            if _ran_well(outcome):
+            if _is_success(outcome):
                 took_s = self._clock.monotonic() - began
-                run.work_s = took_s / factor
-                self._ran(Run(begun_with, call.normal_run_s * factor, took_s))
-            self._learn_run(call, outcome, began)
-            self._ended(ticket, outcome, began)
+                run.normal_run_s = took_s / factor
+                self._on_run(
+                    Run(in_flight_at_start, call.normal_run_s * factor, took_s)
+                )
+            self._record_run_time(call, outcome, began)
+            self._finish(ticket, outcome, began)
 
         try:
             outcome = await self._send(call, ticket)
         except BaseException:
             ended()
             raise
-        if isinstance(outcome, Done) and _still_comes(outcome.response.body):
+        if isinstance(outcome, Done) and _is_streaming(outcome.response.body):
             return Done(
                 self._exchange.wrap_stream(
                     call, outcome.response, ticket.alone, ended
@@ -253,108 +260,111 @@
         return outcome
 
     async def _send(self, call: Call, ticket: Ticket) -> Outcome:
-        refused = self._server.refusal()
-        if refused is not None:
-            return refused
+        refusal = self._server.refusal()
+        if refusal is not None:
+            return refusal
         view = self._server.view
-        assert view is not None, "a server unknown is refused above"
-        if self._too_late(call):
+        assert view is not None, "an unknown server is refused above"
+        if self._is_past_deadline(call):
             return NotRun(
                 ResultCode.DEADLINE_PASSED, "The deadline passed in the queue."
             )
-        refused = self._gate.try_send(call)
-        if refused is not None:
-            return refused
+        refusal = self._send_limiter.try_send(call)
+        if refusal is not None:
+            return refusal
         return await self._exchange.send(call, view, ticket.alone)
 
-    def _expected_run(self, call: Call) -> RunTimeEstimate:
+    def _estimate_run_time(self, call: Call) -> RunTimeEstimate:
         if self._run_times is None:
             return UNKNOWN_RUN_TIME
         return self._run_times.estimate(call.route)
 
-    def _learn_run(
+    def _record_run_time(
         self, call: Call, outcome: Outcome | None, began: float
     ) -> None:
-        """Learns from a run that went well, and from one that was cut."""
-        cut = outcome is None or (
+        """Records the duration of a successful, timed out or cancelled run."""
+        was_cut_short = outcome is None or (
             isinstance(outcome, Unknown)
             and outcome.code is ResultCode.EXCHANGE_TIMEOUT
         )
-        if self._run_times is not None and (cut or _ran_well(outcome)):
+        if self._run_times is not None and (
+            was_cut_short or _is_success(outcome)
+        ):
             run_s = self._clock.monotonic() - began
             self._run_times.record_run(call.route, run_s)
 
-    def _too_late(self, call: Call) -> bool:
-        """Returns whether the time here or the wall clock is past the call's.
+    def _is_past_deadline(self, call: Call) -> bool:
+        """Returns whether the deadline passed by monotonic or wall-clock time.
 
-        The wall clock counts too, since monotonic time stands still while
-        some machines are paused.
+        The wall clock is checked too, since monotonic time stops while some
+        machines are paused.
         """
         if self._clock.monotonic() >= call.deadline:
             return True
         return self._clock.wall_ms() >= call.expires_ms
 
-    def _ended(
+    def _finish(
         self, ticket: Ticket, outcome: Outcome | None, began: float
     ) -> None:
-        """Gives the slot back; what did not run costs no service time."""
+        """Releases the slot; a request that did not run took no service."""
         now = self._clock.monotonic()
         elapsed_s = now - began
         if isinstance(outcome, NotRun):
             elapsed_s = 0.0
             if outcome.code is ResultCode.SERVER_SHED:
                 self._admission.shed(now)
-        if _ran_well(outcome):
-            step = _SMOOTHING if self._service_s else 1.0
-            self._service_s += step * (elapsed_s - self._service_s)
+        if _is_success(outcome):
+            weight = _SMOOTHING if self._service_s else 1.0
+            self._service_s += weight * (elapsed_s - self._service_s)
         self._release(ticket, elapsed_s)
 
     def _release(self, ticket: Ticket, service_s: float) -> None:
         self._admission.release(ticket, self._clock.monotonic(), service_s)
-        if self._idle():
+        if self._is_idle():
             self._drained.set()
 
-    def _idle(self) -> bool:
+    def _is_idle(self) -> bool:
         return not self._admission.in_flight and not self._admission.queued
 
 
-class _Run(msgspec.Struct):
-    """What one attempt learned of its run.
+class _RunRecord(msgspec.Struct):
+    """What was measured of the run of one attempt.
 
     Attributes:
-      work_s: its run time at the usual pace (s); 0 if it did not run well.
+      normal_run_s: its run time at the normal pace (s); 0 if it did not
+        succeed.
     """
 
-    work_s: float = 0.0
+    normal_run_s: float = 0.0
 
 
-def _still_comes(body: Body) -> bool:
+def _is_streaming(body: Body) -> bool:
     return isinstance(body, BodyStream) and not body.is_whole
 
 
-def _ran_well(outcome: Outcome | None) -> bool:
+def _is_success(outcome: Outcome | None) -> bool:
     if not isinstance(outcome, Done):
         return False
     return not is_server_error(outcome.response.status)
 
 
-def _usual_pace() -> Pace:
+def _normal_pace() -> Pace:
     return Pace()
 
 
-def _ignored(run: Run) -> None:
-    """Takes a run where nobody learns from it."""
+def _ignore_run(run: Run) -> None:
+    """The default for `on_run`."""
 
 
-def _untold() -> int:
+def _unknown_link_capacity() -> int:
     return 0
 
 
-def _nobody_waits() -> None:
-    """Takes the news of a ticket that is admitted or refused at once."""
+def _no_waiter() -> None:
+    """The `notify` of a ticket that nothing waits for yet."""
 
 
-def _kind(outcome: Outcome) -> str:
+def _outcome_label(outcome: Outcome) -> str:
     if isinstance(outcome, Done):
         return "done"
     return outcome.code.name.lower().replace("_", "-")
--- a/src/radishwind/target/server_exchange.py
+++ b/src/radishwind/target/server_exchange.py
@@ -1,4 +1,4 @@
-"""One exchange with the server beside, and the outcome it means."""
+"""One exchange with the backend server, and its outcome."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Callable
@@ -23,32 +23,32 @@
 from radishwind.target.backend_server import ServerView
 from radishwind.target.exchange_base import Exchange
 from radishwind.target.exchange_recorder import ExchangeRecorder
-from radishwind.target.node_fields import without_node_fields
+from radishwind.target.node_fields import strip_node_fields
 
-#: How long a new connection to the server may take (s).
+#: Time limit of a new connection to the server (s).
 CONNECT_TIMEOUT_S = 1.0
 
-#: How long the server may pause within an answer (s).
-STALL_S = 30.0
+#: The longest pause of the server within a response (s).
+STALL_TIMEOUT_S = 30.0
 
-#: The field by which a server says that it shed a request without running it.
+#: The field by which a server states that it shed a request without running it.
 SHED_FIELD = "radishwind-shed"
 
 _SHED_STATUS = 503
 
-#: When a caller may come back after such a refusal (s).
-_RETRY_S = 1.0
+#: Retry-After of such a refusal (s).
+_RETRY_AFTER_S = 1.0
 
 
 class ServerExchange(Exchange):
-    """Sends calls to the server and tells the watch what became of them."""
+    """Sends calls to the server and records their outcomes."""
 
     def __init__(
-        self, clock: Clock, sender: Sender, watch: ExchangeRecorder
+        self, clock: Clock, sender: Sender, recorder: ExchangeRecorder
     ) -> None:
         self._clock = clock
         self._sender = sender
-        self._watch = watch
+        self._recorder = recorder
 
     async def send(self, call: Call, view: ServerView, alone: bool) -> Outcome:
         now = self._clock.monotonic()
@@ -58,21 +58,22 @@
                     view.address, server_request(call, now), CONNECT_TIMEOUT_S
                 )
         except ConnectFailedError:
-            self._watch.record_connect_failure()
+            self._recorder.record_connect_failure()
             return NotRun(
                 ResultCode.CONNECT_FAILED,
-                "The server takes no connection.",
-                _RETRY_S,
+                "The server accepts no connections.",
+                _RETRY_AFTER_S,
             )
         except ExchangeBrokenError:
-            self._watch.record_broken_exchange(call)
+            self._recorder.record_broken_exchange(call)
             return Unknown(
-                ResultCode.EXCHANGE_BROKEN, "The server's answer broke off."
+                ResultCode.EXCHANGE_BROKEN,
+                "The server's response was cut off.",
             )
         except TimeoutError:
             return Unknown(
                 ResultCode.EXCHANGE_TIMEOUT,
-                "The server did not answer in time.",
+                "The server did not respond in time.",
             )
         return self._received(call, response, alone)
 
@@ -82,11 +83,11 @@
             return NotRun(
                 ResultCode.SERVER_SHED,
                 "The server shed the request.",
-                _RETRY_S,
+                _RETRY_AFTER_S,
             )
         if not isinstance(response.body, BodyStream):
-            self._watch.record_answer(call, response.status, alone)
-        return Done(without_node_fields(response))
+            self._recorder.record_answer(call, response.status, alone)
+        return Done(strip_node_fields(response))
 
     def wrap_stream(
         self,
@@ -95,14 +96,14 @@
         alone: bool,
         ended: Callable[[], None],
     ) -> Response:
-        def whole() -> None:
-            self._watch.record_answer(call, response.status, alone)
+        def on_complete() -> None:
+            self._recorder.record_answer(call, response.status, alone)
 
-        def broke() -> None:
-            self._watch.record_broken_exchange(call)
+        def on_broken() -> None:
+            self._recorder.record_broken_exchange(call)
 
         assert isinstance(response.body, BodyStream)
-        body = SlotHoldingStream(response.body, whole, broke, ended)
+        body = SlotHoldingStream(response.body, on_complete, on_broken, ended)
         return Response(
             response.status, response.headers, body, response.body_bytes
         )
@@ -115,44 +116,45 @@
 
 
 class SlotHoldingStream(NotifyingStream):
-    """The body of an answer that holds its slot until it ended.
+    """The body of a response that holds its slot until it has ended.
 
     Args:
-      body: the stream of the answer.
-      whole: called if the answer was read to its end.
-      broke: called if the server broke it off or paused too long in it.
-      ended: called once, whatever happened, also if it is aborted.
+      body: the stream of the response.
+      on_complete: called if the response was read to its end.
+      on_broken: called if the server cut it off or paused too long.
+      ended: called once when the stream ends for any reason, including abort.
     """
 
     def __init__(
         self,
         body: BodyStream,
-        whole: Callable[[], None],
-        broke: Callable[[], None],
+        on_complete: Callable[[], None],
+        on_broken: Callable[[], None],
         ended: Callable[[], None],
     ) -> None:
         super().__init__(body, ended)
-        self._whole = whole
-        self._broke = broke
+        self._on_complete = on_complete
+        self._on_broken = on_broken
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
-        pieces = aiter(self._body)
+        chunks = aiter(self._body)
         try:
-            while (piece := await self._next(pieces)) is not None:
-                yield piece
-            self._whole()
+            while (chunk := await self._next(chunks)) is not None:
+                yield chunk
+            self._on_complete()
         except ExchangeBrokenError:
-            self._broke()
+            self._on_broken()
             raise
         finally:
             self._finish()
 
-    async def _next(self, pieces: AsyncIterator[bytes]) -> bytes | None:
+    async def _next(self, chunks: AsyncIterator[bytes]) -> bytes | None:
         try:
-            with TimeLimit(STALL_S):
-                return await anext(pieces, None)
+            with TimeLimit(STALL_TIMEOUT_S):
+                return await anext(chunks, None)
         except TimeoutError:
             self._body.abort()
             raise ExchangeBrokenError(
-                f"expected a piece of the answer in {STALL_S} s, got none"
+                f"expected a chunk of the response within {STALL_TIMEOUT_S} s, "
+                "got none"
             ) from None
--- a/src/radishwind/target/tests/test_buffered_body.py
+++ b/src/radishwind/target/tests/test_buffered_body.py
@@ -14,7 +14,7 @@
 from radishwind.http.types import whole_body
 from radishwind.target.buffered_body import BufferBudget
 from radishwind.target.buffered_body import BufferedBody
-from radishwind.target.buffered_body import PIECE_BYTES
+from radishwind.target.buffered_body import CHUNK_BYTES
 from radishwind.target.tests.test_verifying_exchange import OWN
 from radishwind.target.tests.test_verifying_exchange import Setup
 
@@ -35,8 +35,8 @@
         self.read = 0
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
-        for start in range(0, len(BODY), PIECE_BYTES):
-            piece = BODY[start : start + PIECE_BYTES]
+        for start in range(0, len(BODY), CHUNK_BYTES):
+            piece = BODY[start : start + CHUNK_BYTES]
             self.read += len(piece)
             yield piece
 
--- a/src/radishwind/target/tests/test_load_monitor.py
+++ b/src/radishwind/target/tests/test_load_monitor.py
@@ -4,12 +4,12 @@
 
 from radishwind.core import ManualClock
 from radishwind.target.dialect import ServerLoad
-from radishwind.target.load_monitor import FORGET_S
-from radishwind.target.load_monitor import IDLE_SILENCE_S
-from radishwind.target.load_monitor import LEARN_S
-from radishwind.target.load_monitor import LEARN_SILENCE_S
+from radishwind.target.load_monitor import FORGET_UNUSED_S
+from radishwind.target.load_monitor import IDLE_REPORT_AGE_S
+from radishwind.target.load_monitor import INITIAL_CHECK_INTERVAL_S
+from radishwind.target.load_monitor import LEARNING_REPORT_AGE_S
+from radishwind.target.load_monitor import LEARNING_S
 from radishwind.target.load_monitor import LoadMonitor
-from radishwind.target.load_monitor import SEARCH_SILENCE_S
 
 PERIOD_S = 0.15
 
@@ -53,7 +53,7 @@
 
 
 def test_an_unknown_server_is_looked_for(spared):
-    assert spared.pulse.next_check_s() <= SEARCH_SILENCE_S
+    assert spared.pulse.next_check_s() <= INITIAL_CHECK_INTERVAL_S
 
 
 def test_a_server_that_nobody_uses_is_looked_at_once(spared):
@@ -70,7 +70,7 @@
     spared.pulse.record_request()
 
     assert woken == [True]
-    assert spared.pulse.next_check_s() <= LEARN_SILENCE_S
+    assert spared.pulse.next_check_s() <= LEARNING_REPORT_AGE_S
 
 
 def test_what_others_found_is_seen_by_few_looks(spared):
@@ -99,13 +99,13 @@
 
 def test_a_server_long_unused_is_learned_anew():
     started = Looking(learns=True)
-    started.run(FORGET_S + 2.0)
+    started.run(FORGET_UNUSED_S + 2.0)
     before = started.checks
 
     started.run(10.0)
 
     assert started.pulse.change_grid.interval_s == 0.0
-    assert started.checks - before <= 10.0 / IDLE_SILENCE_S + 1
+    assert started.checks - before <= 10.0 / IDLE_REPORT_AGE_S + 1
 
 
 def test_a_server_that_joins_a_system_in_use_is_looked_at():
@@ -133,10 +133,10 @@
     """A service without a grid may still tell how many at once are best."""
     steady = Looking(callers_come_at_once=True)
     steady.pace = lambda: 1.0
-    steady.run(LEARN_S + 1.0)
+    steady.run(LEARNING_S + 1.0)
     before = steady.checks
 
     steady.pulse.expect_interval(0.0)
     steady.run(2.0)
 
-    assert steady.checks - before <= 2.0 / IDLE_SILENCE_S + 1
+    assert steady.checks - before <= 2.0 / IDLE_REPORT_AGE_S + 1
--- a/src/radishwind/target/tests/test_pace_gate.py
+++ b/src/radishwind/target/tests/test_pace_gate.py
@@ -5,10 +5,10 @@
 from radishwind.admission.gate import Ticket
 from radishwind.core import ManualClock
 from radishwind.target.dialect import ServerLoad
-from radishwind.target.load_monitor import BUSY_SILENCE_S
-from radishwind.target.load_monitor import IDLE_SILENCE_S
-from radishwind.target.load_monitor import LEARN_S
-from radishwind.target.load_monitor import LEARN_SILENCE_S
+from radishwind.target.load_monitor import BUSY_REPORT_AGE_S
+from radishwind.target.load_monitor import IDLE_REPORT_AGE_S
+from radishwind.target.load_monitor import LEARNING_REPORT_AGE_S
+from radishwind.target.load_monitor import LEARNING_S
 from radishwind.target.load_monitor import LoadMonitor
 from radishwind.target.pace_gate import PaceGate
 
@@ -106,14 +106,14 @@
     clock = ManualClock()
     pulse = LoadMonitor(clock)
     pulse.record_load(load(1.0))
-    assert pulse.next_check_s() == pytest.approx(LEARN_SILENCE_S)
-    clock.advance(LEARN_S)
+    assert pulse.next_check_s() == pytest.approx(LEARNING_REPORT_AGE_S)
+    clock.advance(LEARNING_S)
     pulse.record_load(load(1.0))
-    assert pulse.next_check_s() == pytest.approx(IDLE_SILENCE_S)
+    assert pulse.next_check_s() == pytest.approx(IDLE_REPORT_AGE_S)
 
     pulse.record_request()
 
-    assert pulse.next_check_s() == pytest.approx(BUSY_SILENCE_S)
+    assert pulse.next_check_s() == pytest.approx(BUSY_REPORT_AGE_S)
 
 
 def test_with_a_grid_a_server_in_use_is_asked_once_a_moment(setup):
--- a/src/radishwind/target/tests/test_verifying_exchange.py
+++ b/src/radishwind/target/tests/test_verifying_exchange.py
@@ -78,9 +78,9 @@
             clock=self.clock,
             sender=self.server,
             dialect=PlatformDialect(),
-            watch=self.watch,
-            pulse=self.pulse,
-            replaced=lambda *args: self.replaced.append(args),
+            recorder=self.watch,
+            monitor=self.pulse,
+            on_replaced=lambda *args: self.replaced.append(args),
         )
 
     async def send(self):
--- a/src/radishwind/target/verifying_exchange.py
+++ b/src/radishwind/target/verifying_exchange.py
@@ -1,8 +1,9 @@
-"""Exchanges with a server whose answers have to be confirmed as its own.
+"""Exchanges with a server whose responses have to be verified.
 
-The server may break its answers off, add others, or hand out bytes that are
-none. So an answer is held until it is whole and names the request it is to;
-what is not plainly that is `Unknown`, and its connection is closed.
+The server may cut off responses, send surplus ones, or send malformed bytes.
+Therefore a response is buffered until it is complete, and it must name the
+request that it answers. Anything else has the outcome `Unknown`, and its
+connection is closed.
 """
 
 from collections.abc import Callable
@@ -34,26 +35,26 @@
 from radishwind.target.load_monitor import LoadMonitor
 from radishwind.target.server_exchange import SlotHoldingStream
 
-#: How long a new connection to the server may take (s): it stands on the same
-#: instance, so one that takes longer meets a full accept queue.
+#: Time limit of a new connection to the server (s). The server runs on the same
+#: instance, so a connection that takes longer met a full accept queue.
 CONNECT_TIMEOUT_S = 0.5
 
-#: Answers up to this size (bytes) are held until they are whole, while there is
-#: room.
-HELD_BYTES = 1 << 20
+#: The largest response that is buffered until it is complete (bytes), as far as
+#: the buffer budget allows.
+MAX_BUFFERED_BYTES = 1 << 20
 
-#: When to come back after the server shed a request (s): about a run time.
-_SHED_RETRY_S = 0.1
+#: Retry-After of a request that the server shed (s): about one run time.
+_SHED_RETRY_AFTER_S = 0.1
 
-#: When to come back after another incarnation answered (s).
-_REPLACED_RETRY_S = 0.05
+#: Retry-After of a request that another incarnation answered (s).
+_REPLACED_RETRY_AFTER_S = 0.05
 
 
 class VerifyingExchange(Exchange):
-    """Holds each answer until it is known to be whole and the right one.
+    """Buffers each response until it is complete, and verifies it.
 
     Attributes:
-      buffer_budget: what the answers that are held may take in all.
+      buffer_budget: memory budget of all buffered responses.
     """
 
     def __init__(
@@ -62,30 +63,31 @@
         clock: Clock,
         sender: Sender,
         dialect: ServerDialect,
-        watch: ExchangeRecorder,
-        pulse: LoadMonitor,
-        replaced: Callable[[str, str], None],
+        recorder: ExchangeRecorder,
+        monitor: LoadMonitor,
+        on_replaced: Callable[[str, str], None],
     ) -> None:
-        """Wires an exchange.
+        """Creates an exchange.
 
         Args:
           clock: the clock.
           sender: sends to the server.
-          dialect: makes requests and reads answers.
-          watch: learns from each exchange.
-          pulse: learns the load that answers tell.
-          replaced: takes the incarnation meant and the one that answered.
+          dialect: builds requests and parses responses.
+          recorder: records the outcome of each exchange.
+          monitor: receives the load that responses report.
+          on_replaced: called with the incarnation addressed and the one that
+            answered.
         """
         self._clock = clock
         self._sender = sender
         self._dialect = dialect
-        self._watch = watch
-        self._pulse = pulse
-        self._replaced = replaced
+        self._recorder = recorder
+        self._monitor = monitor
+        self._on_replaced = on_replaced
         self.buffer_budget = BufferBudget()
 
     async def send(self, call: Call, view: ServerView, alone: bool) -> Outcome:
-        self._pulse.record_request()
+        self._monitor.record_request()
         left_s = call.deadline - self._clock.monotonic()
         request = self._dialect.build_request(call, view.instance, left_s)
         try:
@@ -93,22 +95,22 @@
                 response = await self._sender.send(
                     view.address, request, CONNECT_TIMEOUT_S
                 )
-                body = await self._held(response)
+                body = await self._buffer(response)
         except ConnectFailedError:
-            self._watch.record_connect_failure()
+            self._recorder.record_connect_failure()
             return NotRun(
-                ResultCode.CONNECT_FAILED, "The server takes no connection."
+                ResultCode.CONNECT_FAILED, "The server accepts no connections."
             )
         except ExchangeBrokenError as exc:
-            self._watch.record_broken_exchange(call)
+            self._recorder.record_broken_exchange(call)
             return Unknown(ResultCode.EXCHANGE_BROKEN, str(exc.args[0])[:160])
         except TimeoutError:
-            self._watch.record_timeout()
+            self._recorder.record_timeout()
             return Unknown(
                 ResultCode.EXCHANGE_TIMEOUT,
-                "The server did not answer in time.",
+                "The server did not respond in time.",
             )
-        return self._confirmed(call, view, response, body, alone)
+        return self._verify(call, view, response, body, alone)
 
     def wrap_stream(
         self,
@@ -117,19 +119,19 @@
         alone: bool,
         ended: Callable[[], None],
     ) -> Response:
-        def whole() -> None:
-            self._watch.record_answer(call, response.status, alone)
+        def on_complete() -> None:
+            self._recorder.record_answer(call, response.status, alone)
 
-        def broke() -> None:
-            self._watch.record_broken_exchange(call)
+        def on_broken() -> None:
+            self._recorder.record_broken_exchange(call)
 
         assert not isinstance(response.body, bytes)
-        body = SlotHoldingStream(response.body, whole, broke, ended)
+        body = SlotHoldingStream(response.body, on_complete, on_broken, ended)
         return Response(
             response.status, response.headers, body, response.body_bytes
         )
 
-    def _confirmed(
+    def _verify(
         self,
         call: Call,
         view: ServerView,
@@ -137,67 +139,67 @@
         body: Body,
         alone: bool,
     ) -> Outcome:
-        answer = self._dialect.parse_response(call, response)
-        if not answer.matches_request or not answer.is_authentic:
+        metadata = self._dialect.parse_response(call, response)
+        if not metadata.matches_request or not metadata.is_authentic:
             abort_body(body)
-            self._watch.record_broken_exchange(call)
+            self._recorder.record_broken_exchange(call)
             return Unknown(
                 ResultCode.ANSWER_MISMATCH,
-                "The answer was not the server's own to this request.",
+                "The response was not the server's own to this request.",
             )
-        if answer.load is not None:
-            self._pulse.record_load(answer.load)
-        if answer.is_not_run:
+        if metadata.load is not None:
+            self._monitor.record_load(metadata.load)
+        if metadata.is_not_run:
             abort_body(body)
-            return self._refused(answer, view)
-        headers = end_to_end(answer.headers)
+            return self._not_run(metadata, view)
+        headers = end_to_end(metadata.headers)
         if not isinstance(body, bytes):
             return Done(
                 Response(response.status, headers, body, response.body_bytes)
             )
-        self._watch.record_answer(call, response.status, alone)
+        self._recorder.record_answer(call, response.status, alone)
         size = len(body)
         if size <= SMALL_BODY_BYTES:
             return Done(Response(response.status, headers, body, size))
         if header(headers, "content-length") is None:
             headers += (("Content-Length", str(size)),)
-        held = BufferedBody(body, self.buffer_budget)
-        return Done(Response(response.status, headers, held, size))
+        buffered = BufferedBody(body, self.buffer_budget)
+        return Done(Response(response.status, headers, buffered, size))
 
-    def _refused(self, answer: ResponseMetadata, view: ServerView) -> NotRun:
-        if answer.is_other_incarnation:
-            self._replaced(view.instance, answer.incarnation)
+    def _not_run(self, metadata: ResponseMetadata, view: ServerView) -> NotRun:
+        if metadata.is_other_incarnation:
+            self._on_replaced(view.instance, metadata.incarnation)
             return NotRun(
                 ResultCode.SERVER_REPLACED,
-                "Another incarnation of the server answers.",
-                _REPLACED_RETRY_S,
+                "Another incarnation of the server answered.",
+                _REPLACED_RETRY_AFTER_S,
             )
-        self._watch.record_shed()
+        self._recorder.record_shed()
         return NotRun(
             ResultCode.SERVER_SHED,
             "The server shed the request.",
-            _SHED_RETRY_S,
+            _SHED_RETRY_AFTER_S,
         )
 
-    async def _held(self, response: Response) -> Body:
-        """Returns the whole body, or the stream of one that is too large."""
+    async def _buffer(self, response: Response) -> Body:
+        """Returns the whole body, or the stream if it is too large."""
         body = response.body
         if isinstance(body, bytes):
             return body
         length = response.body_bytes
         if length is not None and (
-            length > HELD_BYTES or not self.buffer_budget.fits(length)
+            length > MAX_BUFFERED_BYTES or not self.buffer_budget.fits(length)
         ):
             return body
-        pieces = []
+        chunks = []
         size = 0
-        async for piece in body:
-            pieces.append(piece)
-            size += len(piece)
-            if size > HELD_BYTES:
+        async for chunk in body:
+            chunks.append(chunk)
+            size += len(chunk)
+            if size > MAX_BUFFERED_BYTES:
                 body.abort()
                 raise ExchangeBrokenError(
-                    f"expected an answer of at most {HELD_BYTES} bytes without "
-                    "a length, got more"
+                    "expected a response without a length to have at most "
+                    f"{MAX_BUFFERED_BYTES} bytes, got more"
                 )
-        return b"".join(pieces)
+        return b"".join(chunks)
--- a/tests/support/targets.py
+++ b/tests/support/targets.py
@@ -89,6 +89,6 @@
         admission=admission,
         sender=sender,
         server=server,
-        watch=ExchangeRecorder(clock, health, quarantine),
+        recorder=ExchangeRecorder(clock, health, quarantine),
     )
     return TargetParts(pipeline, server, admission, health, quarantine)
