--- a/src/radishwind/routing/balanced_chooser.py
+++ b/src/radishwind/routing/balanced_chooser.py
@@ -1,9 +1,10 @@
-"""The default policy: the least expected answer time among a few candidates.
+"""The default policy: lowest expected response time among a few candidates.
 
-The expected answer time of a candidate is made of the hop to it, its smoothed
-answer time, and what its load adds: own attempts in flight, which are known
-exactly, and those of others by its last report, which loses weight with age.
-`docs/design/03-routing.md` has the ways weighed and the measurements.
+The expected response time of a candidate is the sum of the network round trip,
+its smoothed response time, and a part that grows with its load. The load
+consists of the attempts of this node in flight, which are known exactly, and
+those of other nodes by the last report, which loses weight with age. See
+`docs/design/03-routing.md` for the alternatives considered and measurements.
 """
 
 from collections.abc import Callable
@@ -20,25 +21,26 @@
 from radishwind.routing.candidate_sampler import CandidateSampler
 from radishwind.routing.chooser import LoadReport
 from radishwind.routing.chooser import TargetChooser
-from radishwind.routing.target_state import SPREAD
+from radishwind.routing.target_state import FULL_LOAD_FACTOR
 from radishwind.routing.target_state import TargetState
 from radishwind.routing.target_state import TargetTable
 
-#: What the exchange with another node's process adds (s).
+#: Overhead of forwarding a request to the process of another node (s).
 FORWARDING_S = 0.0005
 
-#: A failure counts as an answer of so many times the typical one, doubled
-#: with each further failure in a row.
+#: A failure counts as a response that took this multiple of the typical time,
+#: doubled with each further consecutive failure.
 FAILURE_FACTOR = 4.0
 MAX_DOUBLINGS = 6
 
-#: Share of decisions that may go to a near target not heard of for long,
-#: whatever its expected answer time; it bounds what trials cost the tail.
-TRIAL_SHARE = 0.01
+#: Fraction of decisions that may choose a nearby target without recent
+#: responses whatever its expected response time. It limits the effect of such
+#: trials on tail latency.
+TRIAL_FRACTION = 0.01
 
-#: How long a target that takes no work is passed over (s), by what it said. By
-#: then the membership has dropped one that is leaving.
-AWAY_S = {
+#: Time for which a target that refuses requests is excluded (s), by result
+#: code. By then, the membership has removed a target that is leaving.
+EXCLUSION_S = {
     ResultCode.LEAVING: 5.0,
     ResultCode.NO_TARGET: 1.0,
     ResultCode.CONNECT_FAILED: 1.0,
@@ -46,34 +48,34 @@
     ResultCode.TARGET_UNLISTED: 1.0,
 }
 
-#: Services whose candidates are kept; the longest known is forgotten.
+#: Services whose candidates are kept at most; the first one added is dropped.
 MAX_SERVICES = 256
 
-#: Answer time taken as typical before the first answer (s).
-_FIRST_ANSWER_S = 0.005
+#: Typical response time assumed before the first response (s).
+_INITIAL_RESPONSE_S = 0.005
 
-#: What a target without a state is taken to add to the typical answer time:
-#: as one that is half loaded, so that it is tried like any other.
-_UNKNOWN_ADDED = SPREAD / 4
+#: Load factor assumed for a target without a state: that of a half-loaded one,
+#: so that it is tried like any other.
+_UNKNOWN_LOAD_FACTOR = FULL_LOAD_FACTOR / 4
 
-#: Weight of one answer in the typical answer time of a service.
+#: Weight of one response in the typical response time of a service.
 _TYPICAL_WEIGHT = 0.02
 
-#: An answer counts there for at most so many times the typical time, so that
-#: a straggler's answers do not make it typical.
-_TYPICAL_CLIP = 4.0
+#: Response times are clipped to this multiple of the typical one before they
+#: are averaged, so that a straggler doesn't shift it.
+_TYPICAL_CLIP_FACTOR = 4.0
 
-#: Statuses by which a server or what stands before it tells of a failure.
-_FAILED_STATUSES = frozenset({500, 502, 503, 504})
+#: Statuses by which a server or a proxy in front of it reports a failure.
+_FAILURE_STATUSES = frozenset({500, 502, 503, 504})
 
-#: Refusals that tell of the request or of its lateness, not of the target.
-_NOT_THE_TARGET = frozenset(
+#: Refusals caused by the request or its deadline and not by the target.
+_REQUEST_REFUSALS = frozenset(
     {ResultCode.DEADLINE_PASSED, ResultCode.QUARANTINED}
 )
 
 
 class BalancedChooser(TargetChooser):
-    """The least expected answer time among a few candidates."""
+    """Chooses the lowest expected response time among a few candidates."""
 
     def __init__(
         self,
@@ -84,61 +86,64 @@
         index: Callable[[], ConfigIndex],
         own_load: Callable[[], LoadReport] | None = None,
     ) -> None:
-        """Makes a chooser that knows nothing yet.
+        """Creates a chooser without any state.
 
         Args:
-          rng: draws the candidates.
-          node_name: the name of this node's own target.
-          failure_domain: where this node stands.
+          rng: random generator for sampling candidates.
+          node_name: name of this node's own target.
+          failure_domain: failure domain of this node.
           index: returns the configuration in force.
-          own_load: returns the load of the own target as of now.
+          own_load: returns the present load of the own target.
         """
         self._rng = rng
         self._node_name = node_name
         self._failure_domain = failure_domain
         self._index = index
         self._own_load = own_load
-        self._table = TargetTable()
-        self._services: dict[str, CandidateSampler] = {}
+        self._states = TargetTable()
+        self._samplers: dict[str, CandidateSampler] = {}
 
     @property
-    def remembered(self) -> int:
-        """Targets whose state is kept."""
-        return len(self._table)
+    def target_count(self) -> int:
+        """Number of targets whose state is kept."""
+        return len(self._states)
 
     def choose(
         self,
         members: Sequence[Member],
         now: float,
         exclude: frozenset[str] = frozenset(),
-        work: str = "",
+        route: str = "",
         aim: float = math.inf,
     ) -> Member | None:
         if not members:
             return None
-        service = self._candidates(members)
-        drawn = service.sample(self._rng, exclude)
-        best = self._least(drawn, service, now)
+        sampler = self._sampler(members)
+        sampled = sampler.sample(self._rng, exclude)
+        best = self._lowest_cost(sampled, sampler, now)
         if best is None:
-            drawn = service.scan(self._rng, exclude)
-            # If all of those are away too, one of them may be back by now.
-            best = self._least(drawn, service, now) or next(iter(drawn), None)
+            sampled = sampler.scan(self._rng, exclude)
+            # If all of these are excluded too, one of them may accept requests
+            # again by now.
+            best = self._lowest_cost(sampled, sampler, now) or next(
+                iter(sampled), None
+            )
         if best is None:
             return None
-        if self._rng.random() < TRIAL_SHARE:
-            best = self._trial(drawn, service, now) or best
-        self._remember(best, service, now)
+        if self._rng.random() < TRIAL_FRACTION:
+            best = self._trial_candidate(sampled, sampler, now) or best
+        self._add_state(best, sampler, now)
         return best
 
     def attempt_started(
         self, name: str, now: float, expected_s: float = 0.0
     ) -> None:
-        state = self._table.get(name)
+        state = self._states.get(name)
         if state is None:
-            # Not chosen here; nothing is known of its service.
+            # Not chosen by this chooser, so that its service isn't known.
             state = TargetState(CandidateSampler(), 0, 0.0, self._slots(name))
-        state.begin(now)
-        self._table.use(name, state, now)
+        state.attempt_started(now)
+        self._states.touch(name, state, now)
 
     def attempt_finished(
         self,
@@ -147,77 +152,77 @@
         elapsed_s: float,
         outcome: Outcome | None,
         load: LoadReport | None,
-        work: str = "",
+        route: str = "",
     ) -> None:
-        state = self._table.get(name)
+        state = self._states.get(name)
         if state is None:
             return
-        state.end(now, elapsed_s)
+        state.attempt_ended(now, elapsed_s)
         if load is not None:
-            state.report(load, now)
-        away_s = _away_s(outcome, load)
-        if away_s:
-            state.away_until = now + away_s
+            state.record_report(load, now)
+        exclusion_s = _exclusion_s(outcome, load)
+        if exclusion_s:
+            state.excluded_until = now + exclusion_s
             return
         _learn(state, now, elapsed_s, outcome, load)
 
-    def _least(
-        self, drawn: list[Member], service: CandidateSampler, now: float
+    def _lowest_cost(
+        self, sampled: list[Member], sampler: CandidateSampler, now: float
     ) -> Member | None:
-        """Returns the member of least cost, `None` if none takes work."""
+        """Returns the member of lowest cost; `None` if all are excluded."""
         best: Member | None = None
-        least_s = math.inf
-        known = self._table.get
-        typical_s = service.typical_s or _FIRST_ANSWER_S
-        for member in drawn:
-            state = known(member.name)
+        lowest_cost_s = math.inf
+        get_state = self._states.get
+        typical_s = sampler.typical_s or _INITIAL_RESPONSE_S
+        for member in sampled:
+            state = get_state(member.name)
             if state is None:
-                hop_s = self._hop_s(member)
-                cost_s = hop_s + typical_s * (1 + _UNKNOWN_ADDED)
-            elif state.away_until > now:
+                network_s = self._network_s(member)
+                cost_s = network_s + typical_s * (1 + _UNKNOWN_LOAD_FACTOR)
+            elif state.excluded_until > now:
                 continue
             else:
-                if state.derived != service.version:
-                    self._derive(state, member, service)
-                exact = None
-                if member is service.own and self._own_load is not None:
-                    exact = self._own_load()
-                cost_s = state.cost_s(typical_s, now, exact)
-            if cost_s < least_s:
-                best, least_s = member, cost_s
+                if state.sampler_version != sampler.version:
+                    self._update_state(state, member, sampler)
+                current_load = None
+                if member is sampler.own and self._own_load is not None:
+                    current_load = self._own_load()
+                cost_s = state.cost_s(typical_s, now, current_load)
+            if cost_s < lowest_cost_s:
+                best, lowest_cost_s = member, cost_s
         return best
 
-    def _trial(
-        self, drawn: list[Member], service: CandidateSampler, now: float
+    def _trial_candidate(
+        self, sampled: list[Member], sampler: CandidateSampler, now: float
     ) -> Member | None:
-        """Returns a near member whose answer time is not known, if any."""
-        most_s = FORWARDING_S + min(self._hop_s(m) for m in drawn)
-        for member in drawn:
-            if self._hop_s(member) > most_s:
+        """Returns a nearby member whose response time isn't known, if any."""
+        max_network_s = FORWARDING_S + min(self._network_s(m) for m in sampled)
+        for member in sampled:
+            if self._network_s(member) > max_network_s:
                 continue
-            state = self._table.get(member.name)
-            if state is None or state.trial_due(service.typical_s, now):
+            state = self._states.get(member.name)
+            if state is None or state.is_trial_due(sampler.typical_s, now):
                 return member
         return None
 
-    def _derive(
-        self, state: TargetState, member: Member, service: CandidateSampler
+    def _update_state(
+        self, state: TargetState, member: Member, sampler: CandidateSampler
     ) -> None:
-        """Follows a change of the members or of the configuration."""
-        state.service = service
-        state.derived = service.version
-        state.hop_s = self._hop_s(member)
+        """Updates what depends on the members and the configuration."""
+        state.sampler = sampler
+        state.sampler_version = sampler.version
+        state.network_s = self._network_s(member)
 
-    def _remember(
-        self, member: Member, service: CandidateSampler, now: float
+    def _add_state(
+        self, member: Member, sampler: CandidateSampler, now: float
     ) -> None:
-        if self._table.get(member.name) is not None:
+        if self._states.get(member.name) is not None:
             return
-        hop_s, slots = self._hop_s(member), self._slots(member.name)
-        fresh = TargetState(service, service.version, hop_s, slots)
-        self._table.use(member.name, fresh, now)
+        network_s, slots = self._network_s(member), self._slots(member.name)
+        state = TargetState(sampler, sampler.version, network_s, slots)
+        self._states.touch(member.name, state, now)
 
-    def _hop_s(self, member: Member) -> float:
+    def _network_s(self, member: Member) -> float:
         if member.name == self._node_name:
             return 0.0
         return FORWARDING_S + 2 * self._distance_s(member.failure_domain)
@@ -229,17 +234,17 @@
         target = self._index().targets.get(name)
         return max(1, target.slots) if target else 1
 
-    def _candidates(self, members: Sequence[Member]) -> CandidateSampler:
-        """Returns what is derived from `members`, anew if they changed."""
+    def _sampler(self, members: Sequence[Member]) -> CandidateSampler:
+        """Returns the sampler of the service, updated if `members` changed."""
         name = members[0].service
-        service = self._services.get(name)
-        if service is None:
-            service = self._services[name] = CandidateSampler()
-            if len(self._services) > MAX_SERVICES:
-                del self._services[next(iter(self._services))]
-        if service.members is not members:
-            service.update(members, self._node_name, self._distance_s)
-        return service
+        sampler = self._samplers.get(name)
+        if sampler is None:
+            sampler = self._samplers[name] = CandidateSampler()
+            if len(self._samplers) > MAX_SERVICES:
+                del self._samplers[next(iter(self._samplers))]
+        if sampler.members is not members:
+            sampler.update(members, self._node_name, self._distance_s)
+        return sampler
 
 
 def _learn(
@@ -249,52 +254,55 @@
     outcome: Outcome | None,
     load: LoadReport | None,
 ) -> None:
-    """Takes what an attempt tells of the target's answer time."""
-    service = state.service
-    typical_s = service.typical_s
-    answer_s = max(0.0, elapsed_s - state.hop_s)
-    if outcome is None or _tells_nothing(outcome, load):
-        # The answer would have taken longer than this.
-        if answer_s > state.answer_now_s(typical_s, now):
-            state.learn(answer_s, typical_s, now)
+    """Updates the response time of a target by the end of an attempt."""
+    sampler = state.sampler
+    typical_s = sampler.typical_s
+    response_s = max(0.0, elapsed_s - state.network_s)
+    if outcome is None or _is_uninformative(outcome, load):
+        # The elapsed time is a lower bound of the response time.
+        if response_s > state.expected_response_s(typical_s, now):
+            state.record_response(response_s, typical_s, now)
         return
     if _is_failure(outcome):
         doublings = min(state.failures, MAX_DOUBLINGS)
-        long_s = (typical_s or _FIRST_ANSWER_S) * FAILURE_FACTOR
+        failure_s = (typical_s or _INITIAL_RESPONSE_S) * FAILURE_FACTOR
         state.failures += 1
-        state.learn(max(answer_s, long_s * 2**doublings), typical_s, now)
+        state.record_response(
+            max(response_s, failure_s * 2**doublings), typical_s, now
+        )
         return
     state.failures = 0
-    state.learn(answer_s, typical_s, now)
-    before = typical_s or answer_s
-    clipped_s = min(answer_s, before * _TYPICAL_CLIP)
-    service.typical_s = before + _TYPICAL_WEIGHT * (clipped_s - before)
+    state.record_response(response_s, typical_s, now)
+    before = typical_s or response_s
+    clipped_s = min(response_s, before * _TYPICAL_CLIP_FACTOR)
+    sampler.typical_s = before + _TYPICAL_WEIGHT * (clipped_s - before)
 
 
-def _away_s(outcome: Outcome | None, load: LoadReport | None) -> float:
-    """Returns how long the target says that it takes no work (s)."""
+def _exclusion_s(outcome: Outcome | None, load: LoadReport | None) -> float:
+    """Returns for how long the target is excluded; 0 if it isn't (s)."""
     if load is not None and load.leaving:
-        return AWAY_S[ResultCode.LEAVING]
+        return EXCLUSION_S[ResultCode.LEAVING]
     if not isinstance(outcome, NotRun):
         return 0.0
-    return AWAY_S.get(outcome.code, 0.0)
+    return EXCLUSION_S.get(outcome.code, 0.0)
 
 
-def _tells_nothing(outcome: Outcome, load: LoadReport | None) -> bool:
-    """Returns whether the outcome tells nothing of the answer time.
+def _is_uninformative(outcome: Outcome, load: LoadReport | None) -> bool:
+    """Returns whether the outcome has no bearing on the response time.
 
-    A full target is told by the load report that comes with its refusal; to
-    count it as a failure too would stop work everywhere in an overload. One
-    that refuses while it reports room must not look idle: that is a failure.
+    A full target is recognized by the load report in its refusal. Counting the
+    refusal as a failure too would stop traffic to all targets in an overload.
+    A target that refuses while it reports free slots must not look idle, so
+    that this counts as a failure.
     """
     if not isinstance(outcome, NotRun):
         return False
     if outcome.code is ResultCode.OVERLOADED and load is not None:
         return load.in_flight >= load.slots
-    return outcome.code in _NOT_THE_TARGET
+    return outcome.code in _REQUEST_REFUSALS
 
 
 def _is_failure(outcome: Outcome) -> bool:
     if isinstance(outcome, Done):
-        return outcome.response.status in _FAILED_STATUSES
+        return outcome.response.status in _FAILURE_STATUSES
     return True
