--- a/src/radishwind/entry/load_shedder.py
+++ b/src/radishwind/entry/load_shedder.py
@@ -1,9 +1,10 @@
-"""Refuses at once what every target would answer late.
+"""Sheds calls that every target is expected to answer too late.
 
-In an overload all queues are long, and a request that is sent from one full
-target to the next waits a little at each until its caller has gone. Its node
-knows how long the best of them would take: where that is too long, the caller
-hears so at once and can come back, and what was accepted is answered in time.
+In an overload all queues are long, and a request that is forwarded from one
+full target to the next waits a little at each until its deadline has passed.
+The entry node knows the expected response time of the best target. If that is
+too long, the caller is refused at once and can retry, and the accepted requests
+are answered in time.
 """
 
 import abc
@@ -17,38 +18,41 @@
 if TYPE_CHECKING:
     from radishwind.entry.call import Call
 
-#: What a request of the highest rank may be late by and is sent all the same
-#: (s): the forecast is no better, and a slow spell passes in that time.
-MOST_LATE_S = 0.2
+#: Expected lateness tolerated for a request of the highest priority (s): the
+#: forecast is not more exact, and a slow period of a server may end in that
+#: time.
+MAX_LATENESS_S = 0.2
 
-#: So much less for each step of rank (s), so that the most urgent stay longest.
-RANK_STEP_S = 0.1
+#: Reduction of the tolerated lateness for each step of priority (s), so that
+#: the requests of the highest priority are shed last.
+PRIORITY_STEP_S = 0.1
 
-#: The part of the time left to a nested call that it may take.
-NESTED_PART = 0.5
+#: Fraction of the time to the deadline that a nested call may take; the rest is
+#: left to the request that waits for it.
+NESTED_FRACTION = 0.5
 
-#: The least that a refused caller is told to wait (s).
-_LEAST_RETRY_S = 0.05
+#: Lower bound of the retry time that a refusal states (s).
+_MIN_RETRY_S = 0.05
 
 
 class LoadShedder(abc.ABC):
-    """Says whether an attempt is worth to be made."""
+    """Decides whether a call is sent to a target or refused at once."""
 
     @abc.abstractmethod
     def refusal(
         self, call: "Call", member: Member, now: float
     ) -> NotRun | None:
-        """Returns why `call` had better not be sent to `member`, if so.
+        """Returns the refusal of `call`, or `None` if it is to be sent.
 
         Args:
-          call: what would be sent.
-          member: the best target there is for it.
+          call: the call.
+          member: the best target for it.
           now: monotonic time (s).
         """
 
 
 class NoLoadShedding(LoadShedder):
-    """Sends everything."""
+    """Never sheds a call."""
 
     def refusal(
         self, call: "Call", member: Member, now: float
@@ -57,9 +61,9 @@
 
 
 class ShedLateCalls(LoadShedder):
-    """Refuses what would be late, by what the chooser expects.
+    """Sheds calls whose expected response time is too long.
 
-    What is late already is sent where it need not wait for long.
+    A call whose aim has passed already is sent if it need not queue for long.
     """
 
     def __init__(self, chooser: TargetChooser) -> None:
@@ -71,22 +75,24 @@
         expected_s = self._chooser.expected_s(member, now, call.route)
         if not expected_s:
             return None
-        most_s = self._most_s(call, now)
-        if expected_s <= most_s:
+        max_s = self._max_response_s(call, now)
+        if expected_s <= max_s:
             return None
         return NotRun(
             ResultCode.OVERLOADED,
-            "Every target would answer late.",
-            round(max(_LEAST_RETRY_S, expected_s - most_s), 3),
+            "No target is expected to answer in time.",
+            round(max(_MIN_RETRY_S, expected_s - max_s), 3),
         )
 
-    def _most_s(self, call: "Call", now: float) -> float:
-        """Returns what `call` may take (s).
+    def _max_response_s(self, call: "Call", now: float) -> float:
+        """Returns the longest acceptable response time of `call` (s).
 
-        The run that waits for a nested call is lost without it. It has until
-        the call's deadline, less what it still needs itself.
+        A request that waits for a nested call fails without it. It can wait
+        until the deadline of the call, less the time that it still needs.
         """
         if call.depth:
-            return NESTED_PART * (call.deadline - now)
-        most_s = max(call.aim - now, self._chooser.mean_run_s(call.route))
-        return most_s + max(0.0, MOST_LATE_S - RANK_STEP_S * call.priority)
+            return NESTED_FRACTION * (call.deadline - now)
+        max_s = max(call.aim - now, self._chooser.mean_run_s(call.route))
+        return max_s + max(
+            0.0, MAX_LATENESS_S - PRIORITY_STEP_S * call.priority
+        )
--- a/src/radishwind/entry/retry_age.py
+++ b/src/radishwind/entry/retry_age.py
@@ -1,74 +1,87 @@
-"""How long ago a caller first asked, by what it says it still waits.
+"""Estimates how long ago a caller first sent a request.
 
-A caller that comes back is a new request with less time left. What an answer is
-worth to it counts from when it first asked, so that one which returns late had
-better not go before one that can still be answered in time.
+A retry of a caller is a new request with a shorter timeout. The value of the
+response to the caller depends on the time since the first request, so that a
+retry that is already late should not precede a request that can still be
+answered in time.
 """
 
 import msgspec
 
-#: Routes remembered; the longest known is forgotten.
-MOST_ROUTES = 2048
+#: Routes remembered; the one known for longest is forgotten first.
+MAX_ROUTES = 2048
 
-#: What callers of a route wait at most is learned anew in two such spans (s).
-SPAN_S = 15.0
+#: The longest timeout of a route is the maximum over the current window and the
+#: one before, each of this length (s).
+WINDOW_S = 15.0
 
-#: A request that has this part of the longest wait left was not sent before.
-FRESH_PART = 0.95
+#: A request with at least this fraction of the longest timeout is not a retry.
+FIRST_TIMEOUT_FRACTION = 0.95
 
-#: Weight of one request in the part of those not sent before.
+#: Weight of one request in the fraction of requests that are not retries.
 _WEIGHT = 0.02
 
-#: Callers of one route that wait for different times can't be told from those
-#: who return; with fewer than this part of them fresh nothing is inferred.
-LEAST_FRESH = 0.4
+#: If less than this fraction of the requests of a route are not retries,
+#: nothing is inferred: callers with different timeouts can't be distinguished
+#: from callers that retry.
+MIN_FIRST_FRACTION = 0.4
 
 
-class _Waits(msgspec.Struct):
-    """What callers of one route said that they wait.
+class _Timeouts(msgspec.Struct):
+    """The timeouts that callers of one route state.
 
     Attributes:
-      longest_s: in this span (s).
-      before_s: in the span before (s).
-      since: when this span began (monotonic s).
-      fresh: part of the requests that were not sent before.
+      longest_s: longest timeout in this window (s).
+      previous_s: longest timeout in the window before (s).
+      since: when this window began (monotonic s).
+      first_fraction: fraction of the requests that are not retries.
     """
 
     longest_s: float
-    before_s: float
+    previous_s: float
     since: float
-    fresh: float = 1.0
+    first_fraction: float = 1.0
 
 
 class RetryAgeEstimator:
-    """Learns the longest wait of each route's callers."""
+    """Estimates the age of requests by the longest timeout of their route."""
 
     def __init__(self) -> None:
-        self._waits: dict[str, _Waits] = {}
+        self._timeouts: dict[str, _Timeouts] = {}
 
-    def age_s(self, route: str, told_s: float, now: float) -> float:
-        """Returns how long ago the caller first asked (s); 0 if not known.
+    def age_s(self, route: str, timeout_s: float, now: float) -> float:
+        """Returns how long ago the caller first sent it (s); 0 if unknown.
 
         Args:
-          route: that takes the request.
-          told_s: how long the caller still waits (s).
+          route: the route of the request.
+          timeout_s: how long the caller still waits (s).
           now: monotonic time (s).
         """
-        waits = self._waits.get(route)
-        if waits is None:
-            waits = self._waits[route] = _Waits(told_s, told_s, now)
-            if len(self._waits) > MOST_ROUTES:
-                del self._waits[next(iter(self._waits))]
-        if now - waits.since > SPAN_S:
-            if waits.longest_s < FRESH_PART * waits.before_s:
-                # All wait for less than before; nobody is known to return yet.
-                waits.fresh = 1.0
-            waits.before_s, waits.longest_s = waits.longest_s, told_s
-            waits.since = now
-        waits.longest_s = max(waits.longest_s, told_s)
-        longest_s = max(waits.longest_s, waits.before_s)
-        is_fresh = told_s >= FRESH_PART * longest_s
-        waits.fresh += _WEIGHT * (is_fresh - waits.fresh)
-        if is_fresh or waits.fresh < LEAST_FRESH:
+        timeouts = self._timeouts.get(route)
+        if timeouts is None:
+            timeouts = self._timeouts[route] = _Timeouts(
+                timeout_s, timeout_s, now
+            )
+            if len(self._timeouts) > MAX_ROUTES:
+                del self._timeouts[next(iter(self._timeouts))]
+        if now - timeouts.since > WINDOW_S:
+            if (
+                timeouts.longest_s
+                < FIRST_TIMEOUT_FRACTION * timeouts.previous_s
+            ):
+                # All timeouts became shorter, so that none indicates a retry.
+                timeouts.first_fraction = 1.0
+            timeouts.previous_s, timeouts.longest_s = (
+                timeouts.longest_s,
+                timeout_s,
+            )
+            timeouts.since = now
+        timeouts.longest_s = max(timeouts.longest_s, timeout_s)
+        longest_s = max(timeouts.longest_s, timeouts.previous_s)
+        is_first = timeout_s >= FIRST_TIMEOUT_FRACTION * longest_s
+        timeouts.first_fraction += _WEIGHT * (
+            is_first - timeouts.first_fraction
+        )
+        if is_first or timeouts.first_fraction < MIN_FIRST_FRACTION:
             return 0.0
-        return longest_s - told_s
+        return longest_s - timeout_s
--- a/src/radishwind/entry/tests/test_load_shedder.py
+++ b/src/radishwind/entry/tests/test_load_shedder.py
@@ -1,11 +1,11 @@
-"""What every target would answer late is refused at once, by rank."""
+"""Calls expected to be late at every target are shed by priority."""
 
 import pytest
 from tests.support.calls import make_call
 
 from radishwind.core.codes import ResultCode
-from radishwind.entry.load_shedder import MOST_LATE_S
-from radishwind.entry.load_shedder import RANK_STEP_S
+from radishwind.entry.load_shedder import MAX_LATENESS_S
+from radishwind.entry.load_shedder import PRIORITY_STEP_S
 from radishwind.entry.load_shedder import ShedLateCalls
 from radishwind.http.types import Address
 from radishwind.membership.directory import Member
@@ -36,41 +36,41 @@
 
 
 def refusal(expected_s, aim_s, priority=0, usual_s=0.2, **changed):
-    foresight = ShedLateCalls(Chooser(expected_s, usual_s))
+    shedder = ShedLateCalls(Chooser(expected_s, usual_s))
     call = make_call(aim=10.0 + aim_s, priority=priority, **changed)
-    return foresight.refusal(call, MEMBER, 10.0)
+    return shedder.refusal(call, MEMBER, 10.0)
 
 
-def test_what_will_be_in_time_is_sent():
+def test_call_expected_in_time_is_sent():
     assert refusal(0.4, aim_s=0.5) is None
 
 
-def test_what_would_be_far_too_late_is_refused_and_told_when_to_come_back():
+def test_late_call_is_refused_with_a_retry_time():
     refused = refusal(1.0, aim_s=0.5)
 
     assert refused.code is ResultCode.OVERLOADED
-    assert refused.retry_after_s == pytest.approx(1.0 - 0.5 - MOST_LATE_S)
+    assert refused.retry_after_s == pytest.approx(1.0 - 0.5 - MAX_LATENESS_S)
 
 
-def test_the_most_urgent_stay_longest():
-    expected_s = 0.5 + MOST_LATE_S - RANK_STEP_S / 2
+def test_highest_priority_is_shed_last():
+    expected_s = 0.5 + MAX_LATENESS_S - PRIORITY_STEP_S / 2
 
     assert refusal(expected_s, 0.5, priority=0) is None
     assert refusal(expected_s, 0.5, priority=1) is not None
     assert refusal(0.5, 0.5, priority=9) is None
 
 
-def test_one_that_is_late_already_is_sent_where_it_need_not_wait():
+def test_call_past_its_aim_is_sent_if_it_need_not_queue():
     assert refusal(0.25, aim_s=-0.3, usual_s=0.2) is None
     assert refusal(0.6, aim_s=-0.3, usual_s=0.2) is not None
 
 
-def test_where_nothing_is_known_all_is_sent():
+def test_call_without_an_expected_time_is_sent():
     assert refusal(0.0, aim_s=-1.0) is None
 
 
-def test_a_call_of_a_run_is_sent_while_the_run_can_use_its_answer():
-    """A run waits 1.2 s for a call with an aim of 0.15 s."""
+def test_nested_call_is_sent_while_its_response_is_still_of_use():
+    """A request waits up to 1.2 s for a nested call with an aim of 0.15 s."""
     nested = {"depth": 1, "deadline": 11.2}
 
     assert refusal(0.55, aim_s=0.15, priority=2) is not None
--- a/src/radishwind/entry/tests/test_nested_routes.py
+++ b/src/radishwind/entry/tests/test_nested_routes.py
@@ -1,31 +1,42 @@
-"""Routes that servers call are told from callers' by when requests come."""
+"""Routes of nested calls are detected by the arrival times of requests."""
 
 import random
 
 import pytest
 
 from radishwind.entry.nested_routes import LocalConcurrency
-from radishwind.entry.nested_routes import MOST_ROUTES
+from radishwind.entry.nested_routes import MAX_ROUTES
 from radishwind.entry.nested_routes import NestedRouteDetector
 
 RUN_S = 0.2
 
 
 class Server:
-    """Runs callers' requests at random times; each makes calls meanwhile."""
+    """Runs external requests at random times; each sends one nested call."""
 
     def __init__(self, seed=1):
         self.rng = random.Random(seed)
         self.runs = LocalConcurrency()
-        self.learned = []
+        self.changes = []
         self.routes = NestedRouteDetector(
             self.runs,
-            lambda route, nested: self.learned.append((route, nested)),
+            lambda route, nested: self.changes.append((route, nested)),
         )
         self.now = 0.0
 
-    def play(self, per_s, for_s, calls="called", slots=3, rate=None):
-        """Plays callers of the route `read`; returns who counted as a call."""
+    def simulate(self, per_s, for_s, calls="called", slots=3, rate=None):
+        """Simulates external callers of the route `read`.
+
+        Args:
+          per_s: mean arrival rate of their requests (1/s).
+          for_s: simulated time (s).
+          calls: route of the nested calls.
+          slots: requests that run at once at most; others are refused.
+          rate: returns the arrival rate (1/s) at a time, instead of `per_s`.
+
+        Returns:
+          The route of each request and whether it counted as a nested call.
+        """
         events = []
         at = self.now
         until = self.now + for_s
@@ -54,11 +65,11 @@
 
 @pytest.mark.parametrize("per_s", [2, 5, 10])
 @pytest.mark.parametrize("seed", range(5))
-def test_calls_are_told_from_callers_requests(per_s, seed):
+def test_nested_calls_are_distinguished_from_external_requests(per_s, seed):
     server = Server(seed)
 
-    server.play(per_s, 100 / per_s)
-    counted = server.play(per_s, 200 / per_s)
+    server.simulate(per_s, 100 / per_s)
+    counted = server.simulate(per_s, 200 / per_s)
 
     called = [nested for route, nested in counted if route == "called"]
     read = [nested for route, nested in counted if route == "read"]
@@ -67,11 +78,11 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_callers_who_come_in_waves_are_not_taken_for_the_server(seed):
-    """A wave makes callers come when the server is busy, too."""
+def test_waves_of_external_requests_do_not_count_as_nested(seed):
+    """In a wave external requests also arrive while the server is busy."""
     server = Server(seed)
 
-    counted = server.play(
+    counted = server.simulate(
         0, 60.0, rate=lambda at: 12.0 if at % 13.0 < 6.5 else 3.0
     )
 
@@ -81,20 +92,20 @@
 
 @pytest.mark.parametrize(("before", "after"), [(5, 30), (5, 60), (12, 36)])
 @pytest.mark.parametrize("seed", range(5))
-def test_callers_who_fill_the_server_are_not_taken_for_it(seed, before, after):
-    """The mean lags behind a rise, and a full server takes nothing back."""
+def test_a_rise_of_external_load_does_not_count_as_nested(seed, before, after):
+    """After a rise the mean lags behind, and the server remains full."""
     server = Server(seed)
-    server.play(before, 20.0)
-    counted = server.play(after, 20.0)
+    server.simulate(before, 20.0)
+    counted = server.simulate(after, 20.0)
 
     read = [nested for route, nested in counted if route == "read"]
     assert sum(read) <= 0.05 * len(read)
 
 
-def test_calls_that_come_after_their_run_was_lost_prove_nothing():
+def test_nested_calls_just_after_their_run_failed_are_no_evidence():
     """One of two calls is refused at once; the run ends before the other."""
     server = Server()
-    server.play(5, 40.0)
+    server.simulate(5, 40.0)
     server.now += 5.0
     while server.runs.running:
         server.runs.run_ended(server.now)
@@ -106,10 +117,10 @@
         server.runs.run_ended(server.now + 0.051)
         server.routes.observe("called", server.now + 0.052)
 
-    assert server.learned[-1] == ("called", True)
+    assert server.changes[-1] == ("called", True)
 
 
-def test_a_server_that_is_always_full_tells_nothing():
+def test_nothing_is_inferred_from_a_server_that_is_always_full():
     server = Server()
     for _ in range(3):
         server.runs.run_started(0.0)
@@ -119,32 +130,32 @@
     )
 
 
-def test_a_route_that_callers_begin_to_use_is_theirs_within_seconds():
+def test_a_route_that_external_callers_begin_to_use_stops_being_nested():
     server = Server()
-    server.play(5, 40.0)
-    assert ("called", True) in server.learned
+    server.simulate(5, 40.0)
+    assert ("called", True) in server.changes
 
     for i in range(20):
         server.now += 0.2
         if not server.runs.running:
             server.routes.observe("called", server.now + i * 0.01)
 
-    assert server.learned[-1] == ("called", False)
+    assert server.changes[-1] == ("called", False)
 
 
-def test_routes_are_forgotten_beyond_a_bound():
+def test_number_of_routes_remembered_is_bounded():
     server = Server()
-    for i in range(MOST_ROUTES + 10):
+    for i in range(MAX_ROUTES + 10):
         server.routes.observe(str(i), 0.0)
 
-    assert len(server.routes._evidence) == MOST_ROUTES
+    assert len(server.routes._evidence) == MAX_ROUTES
 
 
-def test_only_routes_that_callers_surely_use_are_theirs():
-    """What is unclear adds to no budget of repeats."""
+def test_only_routes_with_clear_evidence_are_external():
+    """A route that is neither external nor nested adds to no retry budget."""
     server = Server()
     assert not server.routes.is_external("read")
-    server.play(5, 20.0)
+    server.simulate(5, 20.0)
 
     assert server.routes.is_external("read")
     assert not server.routes.is_external("called")
