--- a/src/radishwind/entry/key_authenticator.py
+++ b/src/radishwind/entry/key_authenticator.py
@@ -1,4 +1,4 @@
-"""Finds the client account of a request by the key that it carries."""
+"""Finds the client account of a request by its API key."""
 
 from collections.abc import Callable
 
@@ -11,86 +11,94 @@
 
 
 class KeyRefusedError(CallRejectedError):
-    """The request carries no key of an account in force."""
+    """The request has no valid key of an account."""
 
     code = ResultCode.KEY_REFUSED
 
 
 class KeysUnprovenError(CallRejectedError):
-    """This node can't prove that what it knows of keys is recent."""
+    """This node cannot prove that its key data is recent enough."""
 
     code = ResultCode.KEYS_UNPROVEN
 
     def __init__(self, retry_after_s: float | None) -> None:
-        super().__init__("expected proof of recent keys, got none")
+        super().__init__(
+            "expected a proof that the keys are up to date, got none"
+        )
         self.retry_after_s = retry_after_s
 
 
 class KeyAuthenticator:
-    """Decides whose request it is; refuses at once what is nobody's.
+    """Authenticates requests and rejects those without a valid key.
 
     Attributes:
-      refused: requests refused for their key.
-      unproven: requests refused since no key could be taken for one in force.
+      refused_count: number of requests rejected for a missing or invalid key.
+      unproven_count: number of requests rejected since this node could not
+        prove that its key data is recent enough.
     """
 
     def __init__(
         self,
-        book: Callable[[], AccountIndex],
-        proof: KeyFreshness | None = None,
+        accounts: Callable[[], AccountIndex],
+        freshness: KeyFreshness | None = None,
     ) -> None:
-        """Makes a check.
+        """Creates an authenticator.
 
         Args:
-          book: returns the accounts in force.
-          proof: whether what is known of keys is recent.
+          accounts: returns the current accounts.
+          freshness: whether the key data of this node is recent enough; by
+            default it always is.
         """
-        self._book = book
-        self._proof = proof or AlwaysFresh()
-        self.refused = 0
-        self.unproven = 0
+        self._accounts = accounts
+        self._freshness = freshness or AlwaysFresh()
+        self.refused_count = 0
+        self.unproven_count = 0
 
     @property
-    def in_use(self) -> bool:
+    def has_accounts(self) -> bool:
         """Whether there are accounts, so that requests need a key."""
-        return self._book().has_accounts
+        return self._accounts().has_accounts
 
     def authenticate(
         self, keys: tuple[str, ...], *, public: bool, now: float
     ) -> Account | None:
-        """Returns the account of a request; `None` for nobody's.
+        """Returns the account of a request; `None` if it is anonymous.
 
-        A public request of nobody may run, and so may one whose key is not in
-        force: it is nobody's then.
+        A request of a public route may be anonymous; it is so too if its key is
+        invalid.
 
         Args:
-          keys: what the request carries in place of one key, empty where that
-            is malformed.
+          keys: the keys of the request; an empty text for a malformed one.
           public: whether its route needs no key.
           now: monotonic time (s).
 
         Raises:
-          KeyRefusedError: there must be a key in force, and isn't one.
-          KeysUnprovenError: nobody can tell whether the key is in force still.
+          KeyRefusedError: the route needs a key, and the request has no valid
+            one.
+          KeysUnprovenError: the route needs a key, and it is not known whether
+            the key is still valid.
         """
         if not keys:
-            # No version lets it run with what it doesn't carry.
+            # Without a key no version of the accounts would accept it, so
+            # that no proof is needed.
             if public:
                 return None
-            raise self._refused(keys)
-        if not self._proof.is_fresh(now):
+            raise self._invalid_key(keys)
+        if not self._freshness.is_fresh(now):
             if public:
                 return None
-            self.unproven += 1
-            raise KeysUnprovenError(self._proof.retry_s(now))
-        holder = self._book().find_by_key(keys[0]) if len(keys) == 1 else None
+            self.unproven_count += 1
+            raise KeysUnprovenError(self._freshness.retry_s(now))
+        holder = (
+            self._accounts().find_by_key(keys[0]) if len(keys) == 1 else None
+        )
         if holder is None and not public:
-            raise self._refused(keys)
+            raise self._invalid_key(keys)
         return holder
 
-    def _refused(self, keys: tuple[str, ...]) -> KeyRefusedError:
-        self.refused += 1
+    def _invalid_key(self, keys: tuple[str, ...]) -> KeyRefusedError:
+        self.refused_count += 1
         return KeyRefusedError(
-            f"expected one key of an account in force, got {len(keys)} "
-            f"fields and none"
+            f"expected exactly one API key, and a valid one, got {len(keys)} "
+            "keys"
         )
--- a/src/radishwind/entry/routed_classifier.py
+++ b/src/radishwind/entry/routed_classifier.py
@@ -201,7 +201,7 @@
         Raises:
           CallRejectedError: the request lacks a required key.
         """
-        if not self._keys.in_use:
+        if not self._keys.has_accounts:
             return None
         return self._keys.authenticate(
             fields.keys, public=route.public, now=now
--- a/src/radishwind/entry/tests/test_key_authenticator.py
+++ b/src/radishwind/entry/tests/test_key_authenticator.py
@@ -1,4 +1,4 @@
-"""Requests need a key in force, are told whose they are, and count."""
+"""Authentication by API keys, account fields and quotas at the entry."""
 
 import random
 
@@ -48,7 +48,7 @@
     )  # fmt: skip
 
 
-class One(Directory):
+class SingleTarget(Directory):
     def eligible_members(self, service):
         return (Member("n", "s", "d", Address("127.0.0.1", 1)),)
 
@@ -56,8 +56,8 @@
         return self.eligible_members("s")
 
 
-class Server(AttemptRunner):
-    """Answers, or what it is told to; keeps what it was sent."""
+class RecordingRunner(AttemptRunner):
+    """Returns a settable outcome and records the calls."""
 
     def __init__(self):
         self.calls = []
@@ -68,16 +68,16 @@
         return AttemptResult(self.outcome)
 
 
-class Proof(KeyFreshness):
+class SettableFreshness(KeyFreshness):
     def __init__(self):
-        self.there = True
-        self.likely_s = None
+        self.fresh = True
+        self.retry_after_s = None
 
     def is_fresh(self, now):
-        return self.there
+        return self.fresh
 
     def retry_s(self, now):
-        return self.likely_s
+        return self.retry_after_s
 
 
 class Quotas(QuotaGate):
@@ -97,8 +97,8 @@
         return f"far (lends quota={account})"
 
 
-class Seen(CallObserver):
-    """Keeps the requests that ended."""
+class CallRecorder(CallObserver):
+    """Records the calls that finished."""
 
     def __init__(self):
         self.calls = []
@@ -107,7 +107,7 @@
         self.calls.append(call)
 
 
-class Heard(CallObserver):
+class RejectionRecorder(CallObserver):
     def __init__(self, rejected):
         self._rejected = rejected
 
@@ -123,10 +123,12 @@
         clock = ManualClock()
         self.routes = RoutesInForce(clock)
         self.adopt(1, accounts)
-        self.proof, self.server = Proof(), Server()
-        self.keys = KeyAuthenticator(lambda: self.routes.accounts, self.proof)
-        self.quotas, self.seen = Quotas(), Seen()
-        self.told_of = []
+        self.freshness, self.server = SettableFreshness(), RecordingRunner()
+        self.keys = KeyAuthenticator(
+            lambda: self.routes.accounts, self.freshness
+        )
+        self.quotas, self.call_recorder = Quotas(), CallRecorder()
+        self.rejections = []
         self.pipeline = EntryPipeline(
             clock=clock,
             classifier=RoutedClassifier(
@@ -134,20 +136,20 @@
                 routes=self.routes,
                 rules=ServiceRules(),
                 decode_fields=lambda headers: read_caller(
-                    headers, "own", accounts=self.keys.in_use
+                    headers, "own", accounts=self.keys.has_accounts
                 ),
                 normal_run_s=lambda name: 0.0,
                 keys=self.keys,
                 with_account=with_account,
             ),
-            placement=UnrestrictedPlacement(One()),
+            placement=UnrestrictedPlacement(SingleTarget()),
             chooser=RandomChooser(random.Random(1)),
             retries=CappedRetryPolicy(),
             runner=self.server,
             claims=NoClaims(),
             respond=respond,
             quotas=self.quotas,
-            observers=(self.seen, Heard(self.told_of)),
+            observers=(self.call_recorder, RejectionRecorder(self.rejections)),
         )
 
     def adopt(self, version, accounts):
@@ -155,12 +157,12 @@
         cfg = RouteConfig(version, routes, {}, accounts=tuple(accounts))
         self.routes.adopt(cfg, b"", "test")
 
-    async def ask(self, *fields, path="/own/x"):
+    async def send(self, *fields, path="/own/x"):
         headers = (("Host", "h"), ("Attempt-Id", "9c"), *fields)
         return await self.pipeline.handle(Request("GET", path, headers))
 
-    def told(self):
-        """Returns the fields that the server got last, without case."""
+    def server_fields(self):
+        """Returns the fields last sent to the server, names in lower case."""
         headers = self.server.calls[-1].request.headers
         return [(name.lower(), value) for name, value in headers]
 
@@ -170,17 +172,17 @@
 
 
 @pytest.mark.anyio
-async def test_the_server_hears_the_account_and_never_the_key():
+async def test_the_server_receives_the_account_and_never_the_key():
     node = Node()
 
-    response = await node.ask(
+    response = await node.send(
         key("key-of-a"), ("tenant", "b"), ("TENANT", "b"), ("X", "y")
     )
 
     assert response.status == 200
-    assert [v for n, v in node.told() if n == "tenant"] == ["a"]
-    assert "authorization" not in dict(node.told())
-    assert ("x", "y") in node.told()
+    assert [v for n, v in node.server_fields() if n == "tenant"] == ["a"]
+    assert "authorization" not in dict(node.server_fields())
+    assert ("x", "y") in node.server_fields()
     assert "key-of-a" not in repr(node.server.calls[-1])
 
 
@@ -200,136 +202,140 @@
         (("Tenant", "a"),),
     ],
 )
-async def test_without_one_key_in_force_nothing_runs(fields):
+async def test_request_without_exactly_one_valid_key_is_rejected(fields):
     node = Node()
 
-    response = await node.ask(*fields)
+    response = await node.send(*fields)
 
     assert response.status == 401
-    told = dict(response.headers)
-    assert told["WWW-Authenticate"] == "Token"
-    assert "Retry-After" not in told
+    headers = dict(response.headers)
+    assert headers["WWW-Authenticate"] == "Token"
+    assert "Retry-After" not in headers
     assert not node.server.calls
-    assert node.keys.refused == 1
+    assert node.keys.refused_count == 1
     assert b"key-of-a" not in response.body
 
 
 @pytest.mark.anyio
 @pytest.mark.parametrize("fields", [(), (key("unknown"),), (("Tenant", "a"),)])
-async def test_a_public_route_takes_what_is_nobodys(fields):
+async def test_public_route_accepts_anonymous_requests(fields):
     node = Node()
 
-    response = await node.ask(*fields, path="/open/x")
+    response = await node.send(*fields, path="/open/x")
 
     assert response.status == 200
-    assert not {"tenant", "authorization"} & {n for n, _ in node.told()}
+    assert not {"tenant", "authorization"} & {
+        n for n, _ in node.server_fields()
+    }
 
 
 @pytest.mark.anyio
-async def test_a_key_on_a_public_route_tells_whose_it_is():
+async def test_valid_key_on_a_public_route_identifies_the_account():
     node = Node()
 
-    await node.ask(key("key-of-b"), path="/open/x")
+    await node.send(key("key-of-b"), path="/open/x")
 
-    assert ("tenant", "b") in node.told()
+    assert ("tenant", "b") in node.server_fields()
 
 
 @pytest.mark.anyio
-async def test_without_accounts_the_fields_are_the_callers_own():
+async def test_without_accounts_the_account_fields_are_forwarded():
     node = Node(accounts=())
 
-    response = await node.ask(("Authorization", "Basic x"), ("Tenant", "t"))
+    response = await node.send(("Authorization", "Basic x"), ("Tenant", "t"))
 
     assert response.status == 200
-    assert ("authorization", "Basic x") in node.told()
-    assert ("tenant", "t") in node.told()
+    assert ("authorization", "Basic x") in node.server_fields()
+    assert ("tenant", "t") in node.server_fields()
 
 
 @pytest.mark.anyio
-async def test_a_key_counts_as_the_newest_version_says():
+async def test_keys_follow_the_newest_configuration_version():
     node = Node()
     moved = Account("b", (digest_key("key-of-a"),))
 
     node.adopt(2, [Account("a", ()), moved])
-    await node.ask(key("key-of-a"))
-    assert ("tenant", "b") in node.told()
+    await node.send(key("key-of-a"))
+    assert ("tenant", "b") in node.server_fields()
 
     node.adopt(3, [Account("a", ())])
-    assert (await node.ask(key("key-of-a"))).status == 401
+    assert (await node.send(key("key-of-a"))).status == 401
 
 
 @pytest.mark.anyio
-async def test_a_refusal_is_told_by_id_and_code():
+async def test_observers_receive_the_id_and_code_of_a_rejection():
     node = Node()
 
-    await node.ask(key("unknown"))
+    await node.send(key("unknown"))
 
-    (told,) = node.told_of
-    assert (told.call_id, told.code) == ("9c", ResultCode.KEY_REFUSED)
+    (rejection,) = node.rejections
+    assert (rejection.call_id, rejection.code) == ("9c", ResultCode.KEY_REFUSED)
 
 
 @pytest.mark.anyio
-async def test_without_proof_a_key_is_refused_as_not_run():
+async def test_without_freshness_a_request_with_a_key_is_not_run():
     node = Node()
-    node.proof.there = False
+    node.freshness.fresh = False
 
-    response = await node.ask(key("key-of-a"))
+    response = await node.send(key("key-of-a"))
 
     assert response.status == 503
     assert "Retry-After" in dict(response.headers)
     assert not node.server.calls
-    assert (await node.ask(path="/open/x")).status == 200
+    assert (await node.send(path="/open/x")).status == 200
 
 
 @pytest.mark.anyio
-async def test_without_proof_the_caller_is_told_when_it_is_likely_again():
+async def test_without_freshness_the_retry_time_is_when_it_is_likely_again():
     node = Node()
-    node.proof.there, node.proof.likely_s = False, 1.25
+    node.freshness.fresh, node.freshness.retry_after_s = False, 1.25
 
-    response = await node.ask(key("key-of-a"))
+    response = await node.send(key("key-of-a"))
 
     assert dict(response.headers)["Retry-After"] == "1.250"
-    assert node.keys.unproven == 1
+    assert node.keys.unproven_count == 1
 
 
 @pytest.mark.anyio
-async def test_what_carries_no_key_needs_no_proof():
+async def test_request_without_a_key_needs_no_freshness():
     node = Node()
-    node.proof.there = False
+    node.freshness.fresh = False
 
-    assert (await node.ask()).status == 401
-    assert (await node.ask(path="/open/x")).status == 200
-    assert node.keys.unproven == 0
+    assert (await node.send()).status == 401
+    assert (await node.send(path="/open/x")).status == 200
+    assert node.keys.unproven_count == 0
 
 
 @pytest.mark.anyio
-async def test_without_proof_a_key_on_a_public_route_tells_nobodys_name():
+async def test_without_freshness_a_request_of_a_public_route_is_anonymous():
     node = Node()
-    node.proof.there = False
+    node.freshness.fresh = False
 
-    response = await node.ask(key("key-of-b"), path="/open/x")
+    response = await node.send(key("key-of-b"), path="/open/x")
 
     assert response.status == 200
-    assert not {"tenant", "authorization"} & {n for n, _ in node.told()}
+    assert not {"tenant", "authorization"} & {
+        n for n, _ in node.server_fields()
+    }
 
 
 @pytest.mark.anyio
-async def test_the_rank_of_an_account_goes_before_its_routes():
+async def test_priority_of_the_account_overrides_that_of_the_route():
     node = Node()
 
-    await node.ask(key("key-of-a"))
-    await node.ask(key("key-of-b"))
+    await node.send(key("key-of-a"))
+    await node.send(key("key-of-b"))
 
     assert [call.priority for call in node.server.calls] == [0, 2]
 
 
 @pytest.mark.anyio
-async def test_over_its_quota_nothing_runs_and_the_time_is_told():
+async def test_request_over_its_quota_is_refused_with_a_retry_time():
     node = Node()
 
-    first = await node.ask(key("key-of-a"))
-    second = await node.ask(key("key-of-a"))
-    other = await node.ask(key("key-of-b"))
+    first = await node.send(key("key-of-a"))
+    second = await node.send(key("key-of-a"))
+    other = await node.send(key("key-of-b"))
 
     assert (first.status, second.status, other.status) == (200, 429, 200)
     assert dict(second.headers)["Retry-After"] == "0.250"
@@ -345,23 +351,25 @@
         (Done(Response(500)), 0),
     ],
 )
-async def test_only_what_did_not_run_is_given_back(outcome, left):
+async def test_only_calls_that_did_not_run_are_given_back_to_the_quota(
+    outcome, left
+):
     node = Node()
     node.server.outcome = outcome
 
-    await node.ask(key("key-of-a"))
+    await node.send(key("key-of-a"))
 
     assert node.quotas.left["a"] == left
 
 
 @pytest.mark.anyio
-async def test_a_refusal_over_quota_tells_who_lends_and_reaches_no_server():
+async def test_refusal_over_quota_logs_the_lender_and_reaches_no_server():
     node = Node()
     node.quotas.left["a"] = 0
 
-    answer = await node.ask(key("key-of-a"))
+    answer = await node.send(key("key-of-a"))
 
     assert answer.status == 429
     assert dict(answer.headers)["Retry-After"] == "0.250"
-    assert node.seen.calls[0].steps == ["far (lends quota=a)"]
+    assert node.call_recorder.calls[0].steps == ["far (lends quota=a)"]
     assert not node.server.calls
--- a/src/radishwind/sidecar/entry_side.py
+++ b/src/radishwind/sidecar/entry_side.py
@@ -195,4 +195,6 @@
         )
 
     def _read(self, headers: Headers) -> CallerFields:
-        return read_caller(headers, self._service(), accounts=self.keys.in_use)
+        return read_caller(
+            headers, self._service(), accounts=self.keys.has_accounts
+        )
--- a/src/radishwind/sidecar/metrics.py
+++ b/src/radishwind/sidecar/metrics.py
@@ -187,8 +187,8 @@
         "radishwind_keys_refused_total",
         "Requests refused for their key, or for want of proof that it counts.",
         lambda: {
-            'reason="key"': keys.refused,
-            'reason="unproven"': keys.unproven,
+            'reason="key"': keys.refused_count,
+            'reason="unproven"': keys.unproven_count,
         },
     )
     if recency is None:
