--- a/src/radishwind/entry/__init__.py
+++ b/src/radishwind/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The entry side: classifies a caller's request and runs its attempts."""
+"""The entry side of a node: classifies requests and runs their attempts."""
 
 from radishwind.entry.call import Call
 from radishwind.entry.call import CallRejectedError
--- a/src/radishwind/entry/call_executor.py
+++ b/src/radishwind/entry/call_executor.py
@@ -1,4 +1,4 @@
-"""Runs the attempts of one call: the first, hedges beside it, retries after."""
+"""Runs the attempts of a call: the first one, hedges and retries."""
 
 import dataclasses
 
@@ -22,17 +22,19 @@
 from radishwind.routing.chooser import TargetChooser
 from radishwind.routing.placement import Placement
 
-#: Refusals by the server itself: the request came that far.
-_AT_THE_SERVER = frozenset({ResultCode.SERVER_SHED, ResultCode.SERVER_REPLACED})
+#: Refusals by the server itself, which the request has reached.
+_SERVER_REFUSALS = frozenset(
+    {ResultCode.SERVER_SHED, ResultCode.SERVER_REPLACED}
+)
 
 
 class AttemptCounts(msgspec.Struct):
-    """What was sent for callers since the start.
+    """Counters of what was sent for callers since the start.
 
     Attributes:
-      calls: calls that came to an attempt or to a refusal.
-      attempts: attempts in all, hedges included.
-      hedges: attempts beside one still running.
+      calls: number of calls that were run or refused.
+      attempts: number of attempts, including hedges.
+      hedges: number of hedges, started while another attempt was running.
     """
 
     calls: int = 0
@@ -41,7 +43,7 @@
 
 
 class CallExecutor:
-    """Runs calls to their final outcome; holds no state of a call."""
+    """Runs calls to their final outcome; keeps no state of single calls."""
 
     def __init__(
         self,
@@ -74,18 +76,21 @@
         self.counts.calls += 1
         now = self._clock.monotonic()
         self._retries.record_first_attempt(call, now)
-        hedge_s = self._hedges.delay_s(call, now)
+        hedge_delay_s = self._hedges.delay_s(call, now)
         last: Outcome | None = None
         while True:
             member = self._choose(history)
             if member is None:
                 return last or self._placement.refusal(call)
-            late = self._shedder.refusal(call, member, self._clock.monotonic())
-            if late is not None:
-                return graver(last, late)
-            outcome = await self._attempt_or_race(history, member, hedge_s)
+            shed = self._shedder.refusal(call, member, self._clock.monotonic())
+            if shed is not None:
+                return graver(last, shed)
+            outcome = await self._attempt_or_race(
+                history, member, hedge_delay_s
+            )
             if not isinstance(outcome, NotRun):
-                hedge_s = None  # What was tried in earnest is not hedged.
+                # A retry is not hedged if a server may have been reached.
+                hedge_delay_s = None
             last = graver(last, outcome)
             now = self._clock.monotonic()
             if history.reached >= call.max_server_attempts:
@@ -96,7 +101,7 @@
                 return last
 
     def _choose(self, history: "_History") -> Member | None:
-        """Returns a target that this call has not been at, if there is one."""
+        """Returns a target that the call has not tried, if there is one."""
         members = self._placement.candidates(history.call)
         now = self._clock.monotonic()
         return self._chooser.choose(
@@ -108,36 +113,39 @@
         )
 
     async def _attempt_or_race(
-        self, history: "_History", member: Member, hedge_s: float | None
+        self, history: "_History", member: Member, hedge_delay_s: float | None
     ) -> Outcome:
-        if hedge_s is None:
+        if hedge_delay_s is None:
             return await self._attempt(history, member)
-        return await self._race(history, member, hedge_s)
+        return await self._race(history, member, hedge_delay_s)
 
     async def _race(
         self, history: "_History", member: Member, delay_s: float
     ) -> Outcome:
-        """Runs an attempt and, if it is slow, a hedge; the first answer wins.
+        """Runs an attempt and, if it is slow, a hedge; the first response wins.
 
-        The loser is cancelled, which closes its connection.
+        The other attempt is cancelled, which closes its connection.
         """
         race = Race()
-        self._hedge_later(history, race, delay_s)
+        self._schedule_hedge(history, race, delay_s)
         return await race.run_first(lambda: self._attempt(history, member))
 
-    def _hedge_later(
+    def _schedule_hedge(
         self, history: "_History", race: Race, delay_s: float
     ) -> None:
         due = self._clock.monotonic() + delay_s
-        self._timer.add(due, race, lambda: self._hedge(history, race, delay_s))
+        self._timer.add(
+            due, race, lambda: self._start_hedge(history, race, delay_s)
+        )
 
-    async def _hedge(
+    async def _start_hedge(
         self, history: "_History", race: Race, delay_s: float
     ) -> None:
+        """Starts a hedge, or postpones it as the policy decides."""
         now = self._clock.monotonic()
-        wait_s = self._hedges.hold_off_s(history.call, history.running, now)
-        if wait_s > 0:
-            self._hedge_later(history, race, wait_s)
+        hold_off_s = self._hedges.hold_off_s(history.call, history.running, now)
+        if hold_off_s > 0:
+            self._schedule_hedge(history, race, hold_off_s)
             return
         member = self._choose(history)
         if (
@@ -149,12 +157,12 @@
             history.call, history.running, member, now
         ):
             recheck_s = self._hedges.recheck_s(history.call) or delay_s
-            self._hedge_later(history, race, recheck_s)
+            self._schedule_hedge(history, race, recheck_s)
             return
         if not self._hedges.try_spend(history.call, now):
-            # Without a token now, one may be there after another wait: who
-            # has no answer then is among the slowest.
-            self._hedge_later(history, race, delay_s)
+            # A token may be available after another delay; a call without a
+            # response by then is among the slowest.
+            self._schedule_hedge(history, race, delay_s)
             return
         self.counts.hedges += 1
         await race.run_hedge(lambda: self._attempt(history, member))
@@ -163,7 +171,7 @@
         call = history.call
         self.counts.attempts += 1
         began = self._clock.monotonic()
-        attempt_id = history.next_attempt(member.name, began)
+        attempt_id = history.start_attempt(member.name, began)
         inputs = self._chooser.describe_cost(member, began, call.route)
         expected_s = self._chooser.expected_s(member, began, call.route)
         self._chooser.attempt_started(member.name, began, expected_s)
@@ -180,7 +188,7 @@
                 member.name, now, elapsed_s, outcome, load, call.route
             )
             self._hedges.finished(call, now, elapsed_s, outcome, load)
-            history.ended(outcome)
+            history.end_attempt(outcome)
             step = _step(member.name, inputs, elapsed_s, outcome)
             call.steps.append(step)
         return outcome
@@ -190,11 +198,11 @@
     """The attempts of one call so far.
 
     Attributes:
-      attempts: how many began.
+      attempts: number of attempts started.
       call: the call.
-      reached: how many came to a server, or may still.
-      running: the target and the beginning (monotonic s) of the last.
-      tried: names of the targets that they were at.
+      reached: number of attempts that reached a server, or may still do so.
+      running: the target and the start (monotonic s) of the latest attempt.
+      tried: names of the targets tried.
     """
 
     __slots__ = ("attempts", "call", "reached", "running", "tried")
@@ -206,24 +214,24 @@
         self.running = ("", 0.0)
         self.tried: frozenset[str] = frozenset()
 
-    def next_attempt(self, target: str, began: float) -> str:
-        """Notes an attempt at `target` and returns its id."""
+    def start_attempt(self, target: str, began: float) -> str:
+        """Records an attempt at `target` and returns its id."""
         self.running = (target, began)
         self.attempts += 1
         self.reached += 1
         self.tried |= {target}
         return f"{self.call.call_id}.{self.attempts}"
 
-    def ended(self, outcome: Outcome | None) -> None:
-        """Takes what became of an attempt; `None` if it was cancelled."""
-        if isinstance(outcome, NotRun) and outcome.code not in _AT_THE_SERVER:
+    def end_attempt(self, outcome: Outcome | None) -> None:
+        """Records the outcome of an attempt; `None` if it was cancelled."""
+        if isinstance(outcome, NotRun) and outcome.code not in _SERVER_REFUSALS:
             self.reached -= 1
 
 
 def _step(
     target: str, inputs: str, elapsed_s: float, outcome: Outcome | None
 ) -> str:
-    """Returns what the log tells of one attempt: where, why, the end."""
+    """Returns the log text of an attempt: target, reason, time and result."""
     if outcome is None:
         end = "cancelled"
     elif isinstance(outcome, Done):
--- a/src/radishwind/entry/classifier.py
+++ b/src/radishwind/entry/classifier.py
@@ -1,4 +1,4 @@
-"""The interface that makes a call of a caller's request."""
+"""Interface for the classification of requests, and the basic classifier."""
 
 import abc
 from collections.abc import Callable
@@ -13,19 +13,19 @@
 
 
 class Classifier(abc.ABC):
-    """Says what a request is for and how it is to be treated."""
+    """Determines the service of a request and how it is handled."""
 
     @abc.abstractmethod
     def classify(self, request: Request) -> Call:
         """Returns the call of `request`.
 
         Raises:
-          CallRejectedError: it cannot be classified.
+          CallRejectedError: the request cannot be classified.
         """
 
 
 class InventoryClassifier(Classifier):
-    """Classifies by the inventory and the rules in force."""
+    """Classifies by the inventory and the rules of the configuration."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
     ) -> None:
         self._clock = clock
         self._index = index
-        # Unique over restarts: the name alone is not.
+        # The random part keeps ids unique across restarts of the node.
         self._id_prefix = f"{node_name}-{rng.getrandbits(64):016x}"
         self._calls = itertools.count(1)
 
--- a/src/radishwind/entry/hedge_timer.py
+++ b/src/radishwind/entry/hedge_timer.py
@@ -1,8 +1,8 @@
-"""One task of the node that starts the hedges of all calls.
+"""Starts the hedges of all calls in one task of the node.
 
 A task group for each call would cost more than the rest of the entry side, and
-nearly no call is hedged. So the first attempt runs in its caller's own task,
-and this task starts the hedges that fall due.
+nearly no call is hedged. Therefore the first attempt runs in the task of its
+caller, and this task starts the hedges that fall due.
 """
 
 from collections.abc import Awaitable
@@ -34,7 +34,7 @@
     def add(
         self, due: float, race: Race, hedge: Callable[[], Awaitable[None]]
     ) -> None:
-        """Runs `hedge` at `due` (monotonic s) unless `race` is closed then."""
+        """Schedules `hedge` for `due` (monotonic s) unless `race` is closed."""
         heapq.heappush(self._due, (due, next(self._order), race, hedge))
         if due < self._wakes_at:
             self._wake.set()
@@ -43,11 +43,11 @@
         """Starts hedges until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
-                for hedge in self._take_due():
+                for hedge in self._pop_due():
                     tasks.start_soon(self._run_hedge, hedge)
                 await self._sleep()
 
-    def _take_due(self) -> list[Callable[[], Awaitable[None]]]:
+    def _pop_due(self) -> list[Callable[[], Awaitable[None]]]:
         now = self._clock.monotonic()
         due = []
         while self._due and (self._due[0][2].closed or self._due[0][0] <= now):
@@ -57,7 +57,7 @@
         return due
 
     async def _sleep(self) -> None:
-        """Waits until the first one is due, or until one is added before."""
+        """Waits until the first hedge is due or an earlier one is added."""
         self._wakes_at = self._due[0][0] if self._due else math.inf
         self._wake = anyio.Event()
         with anyio.move_on_after(self._wakes_at - self._clock.monotonic()):
@@ -68,6 +68,6 @@
         try:
             await hedge()
         except Exception as exc:
-            # A fault in one hedge ends neither the others nor the node; the
-            # first attempt goes on.
+            # An error in one hedge must not stop the other hedges or the node;
+            # the first attempt continues.
             self._log.failure("A hedge failed.", exc)
--- a/src/radishwind/entry/observer.py
+++ b/src/radishwind/entry/observer.py
@@ -1,4 +1,4 @@
-"""The interface of what wants to know how calls ended."""
+"""Interface for observers of the results of calls."""
 
 import abc
 
@@ -8,25 +8,25 @@
 
 
 class CallObserver(abc.ABC):
-    """Told once of every request: how its call ended, or why it became none."""
+    """Receives the result of every request once."""
 
     @abc.abstractmethod
     def finished(self, call: Call, outcome: Outcome, elapsed_s: float) -> None:
-        """Notes that `call` ended.
+        """Called when `call` has its final outcome.
 
         Args:
           call: the call.
-          outcome: its final outcome; a body may still be streaming.
-          elapsed_s: from the request's arrival to the outcome (s).
+          outcome: its final outcome; the response body may still be streaming.
+          elapsed_s: time from the arrival of the request to the outcome (s).
         """
 
     def disconnected(self, call: Call, elapsed_s: float) -> None:  # noqa: B027
-        """Notes that the caller of `call` left before it was answered.
+        """Called when the caller disconnected before it was answered.
 
         Args:
           call: the call.
-          elapsed_s: from the request's arrival on (s).
+          elapsed_s: time since the arrival of the request (s).
         """
 
     def rejected(self, exc: CallRejectedError) -> None:  # noqa: B027
-        """Notes that a request was refused before it became a call."""
+        """Called when a request could not be classified and was rejected."""
--- a/src/radishwind/entry/pipeline.py
+++ b/src/radishwind/entry/pipeline.py
@@ -1,4 +1,4 @@
-"""Answers callers: classify, run once by claim, answer."""
+"""Handles requests of callers from classification to the response."""
 
 import asyncio
 from collections.abc import Callable
@@ -38,7 +38,11 @@
 
 
 class EntryPipeline:
-    """Answers callers: classify, choose, attempt, perhaps again, answer."""
+    """Handles requests of callers from classification to the response.
+
+    A request is classified, checked against the quota of its account, guarded
+    by its claim, and run by the attempts of its call.
+    """
 
     def __init__(
         self,
@@ -66,7 +70,7 @@
         self._quarantine = quarantine or OpenGate()
         self._retry_after = retry_after or RetryAfter()
         self._respond = respond
-        self._attempts = CallExecutor(
+        self._executor = CallExecutor(
             clock=clock,
             placement=placement,
             chooser=chooser,
@@ -78,19 +82,19 @@
 
     @property
     def counts(self) -> AttemptCounts:
-        """What was sent for callers since the start."""
-        return self._attempts.counts
+        """Number of calls, attempts and hedges since the start."""
+        return self._executor.counts
 
     async def run_hedges(self) -> None:
         """Starts the hedges that fall due, until cancelled.
 
-        Without this task calls are answered, and none is hedged.
+        While this task does not run, no call is hedged.
         """
-        await self._attempts.run_hedges()
+        await self._executor.run_hedges()
 
     async def handle(self, request: Request) -> Response:
-        """Returns the final answer to a caller's request."""
-        began = self._clock.monotonic()
+        """Returns the final response to a request of a caller."""
+        arrived_at = self._clock.monotonic()
         try:
             call = self._classifier.classify(request)
         except CallRejectedError as exc:
@@ -98,51 +102,51 @@
                 observer.rejected(exc)
             refusal = NotRun(exc.code, exc.args[0], exc.retry_after_s)
             if exc.retry_after_s is None:
-                refusal = self._refusal(refusal)
+                refusal = self._with_retry_time(refusal)
             return self._respond(refusal)
         try:
-            outcome = await self._within_quota(call)
+            outcome = await self._run_within_quota(call)
         except asyncio.CancelledError:
-            elapsed_s = self._clock.monotonic() - began
+            elapsed_s = self._clock.monotonic() - arrived_at
             for observer in self._observers:
                 observer.disconnected(call, elapsed_s)
             raise
-        elapsed_s = self._clock.monotonic() - began
+        elapsed_s = self._clock.monotonic() - arrived_at
         for observer in self._observers:
             observer.finished(call, outcome, elapsed_s)
         return self._respond(outcome)
 
-    async def _within_quota(self, call: Call) -> Outcome:
-        """Runs `call` if its account's quota has room for it."""
+    async def _run_within_quota(self, call: Call) -> Outcome:
+        """Runs `call` if it is within the quota of its account."""
         if not call.account:
             return await self._claims.run(call, self._run)
-        taken_at = self._clock.monotonic()
-        wait_s = self._quotas.admit(call.account, taken_at)
+        admitted_at = self._clock.monotonic()
+        wait_s = self._quotas.admit(call.account, admitted_at)
         if wait_s is not None:
             call.steps.append(self._quotas.describe(call.account))
             return NotRun(
                 ResultCode.QUOTA_EXCEEDED,
-                "The account is over its quota.",
+                "The request quota of the account is exceeded.",
                 round(wait_s, 3),
             )
         outcome = await self._claims.run(call, self._run)
         if isinstance(outcome, NotRun):
             now = self._clock.monotonic()
-            self._quotas.refund(call.account, taken_at, now)
+            self._quotas.refund(call.account, admitted_at, now)
         return outcome
 
     async def _run(self, call: Call) -> Outcome:
-        refused = self._quarantine.refusal(call)
-        if refused is not None:
-            return refused
-        return self._with_retry_after(await self._attempts.run(call))
+        refusal = self._quarantine.refusal(call)
+        if refusal is not None:
+            return refusal
+        return self._finalize(await self._executor.run(call))
 
-    def _with_retry_after(self, outcome: Outcome) -> Outcome:
-        """Returns `outcome` saying when to come back, if it is a refusal."""
+    def _finalize(self, outcome: Outcome) -> Outcome:
+        """Returns `outcome`; a refusal gets a bounded retry time."""
         if not isinstance(outcome, NotRun):
             return outcome
-        return self._refusal(outcome)
+        return self._with_retry_time(outcome)
 
-    def _refusal(self, refusal: NotRun) -> NotRun:
+    def _with_retry_time(self, refusal: NotRun) -> NotRun:
         retry_s = self._retry_after.for_refusal(refusal)
         return msgspec.structs.replace(refusal, retry_after_s=retry_s)
--- a/src/radishwind/entry/race.py
+++ b/src/radishwind/entry/race.py
@@ -1,4 +1,4 @@
-"""Two attempts side by side: one is kept, the other cancelled."""
+"""Runs an attempt and its hedge concurrently and keeps one outcome."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -12,10 +12,10 @@
 
 
 class Race:
-    """Takes the outcomes of a first attempt and its hedge and keeps one.
+    """Keeps one outcome of a first attempt and its hedge.
 
     Attributes:
-      closed: whether the call needs no further attempt here.
+      closed: whether the race is decided, so that no hedge must start.
     """
 
     __slots__ = ("_first", "_hedge", "_hedge_ended", "_kept", "closed")
@@ -33,7 +33,7 @@
         """Runs the first attempt and returns the outcome of the race."""
         try:
             with self._first:
-                self._take(await attempt())
+                self._record(await attempt())
             if self._hedge_ended is not None and not self._won():
                 await self._hedge_ended.wait()
         finally:
@@ -46,12 +46,12 @@
     async def run_hedge(
         self, attempt: Callable[[], Awaitable[Outcome]]
     ) -> None:
-        """Runs the hedge; an answer cancels the first attempt."""
+        """Runs the hedge; its response cancels the first attempt."""
         self._hedge = anyio.CancelScope()
         self._hedge_ended = anyio.Event()
         try:
             with self._hedge:
-                self._take(await attempt())
+                self._record(await attempt())
                 if self._won():
                     self._first.cancel()
         finally:
@@ -60,7 +60,7 @@
     def _won(self) -> bool:
         return isinstance(self._kept, Done)
 
-    def _take(self, outcome: Outcome) -> None:
+    def _record(self, outcome: Outcome) -> None:
         if self.closed or self._won():
             if isinstance(outcome, Done):
                 abort_body(outcome.response.body)
--- a/src/radishwind/entry/request_log.py
+++ b/src/radishwind/entry/request_log.py
@@ -1,8 +1,8 @@
-"""A log line for each request whose end an operator may be asked about.
+"""Logs requests whose result an operator may need to look up.
 
-Requests that were refused, failed, late or tried more than once are told, up
-to a bound a second; of the usual ones every so many. What is held back is
-counted and told with the next line.
+Requests that were refused, failed, late or tried more than once are logged, up
+to a rate limit. Of the ordinary requests only a sample is logged. The number of
+suppressed lines is written with the next line.
 """
 
 from radishwind.core.clock import Clock
@@ -14,32 +14,31 @@
 from radishwind.outcomes import Outcome
 from radishwind.telemetry.logs import PartLogger
 
-#: Lines a second for requests that were not usual (1/s): a bound
-#: chosen, not measured; the cost of a line is still to be measured.
-MOST_PER_S = 50.0
+#: Maximum rate of lines for requests that are not ordinary (1/s).
+MAX_LINES_PER_S = 50.0
 
-#: One of so many usual requests is told.
-USUAL_EVERY = 256
+#: One of this many ordinary requests is logged.
+ORDINARY_SAMPLE_INTERVAL = 256
 
 
 class RequestLog(CallObserver):
-    """Tells what became of requests, within a bound."""
+    """Logs the results of requests, with a rate limit."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._log = PartLogger("entry", clock)
-        self._tokens = MOST_PER_S
-        self._filled = clock.monotonic()
+        self._tokens = MAX_LINES_PER_S
+        self._refilled_at = clock.monotonic()
         self._held_back = 0
-        self._usual = 0
+        self._ordinary = 0
 
     def finished(self, call: Call, outcome: Outcome, elapsed_s: float) -> None:
         now = self._clock.monotonic()
-        if _is_usual(call, outcome, now):
-            self._usual += 1
-            if self._usual % USUAL_EVERY:
+        if _is_ordinary(call, outcome, now):
+            self._ordinary += 1
+            if self._ordinary % ORDINARY_SAMPLE_INTERVAL:
                 return
-        elif not self._may_tell(now):
+        elif not self._take_token(now):
             self._held_back += 1
             return
         held_back, self._held_back = self._held_back, 0
@@ -60,12 +59,12 @@
 
     def disconnected(self, call: Call, elapsed_s: float) -> None:
         now = self._clock.monotonic()
-        if not self._may_tell(now):
+        if not self._take_token(now):
             self._held_back += 1
             return
         held_back, self._held_back = self._held_back, 0
         self._log.change(
-            "A caller left before its answer.",
+            "A caller disconnected before its response.",
             request=call.call_id,
             route=call.route,
             service=call.service,
@@ -78,11 +77,11 @@
         )
 
     def rejected(self, exc: CallRejectedError) -> None:
-        if not self._may_tell(self._clock.monotonic()):
+        if not self._take_token(self._clock.monotonic()):
             self._held_back += 1
             return
         held_back, self._held_back = self._held_back, 0
-        # Without the error's text, which may hold what the caller sent.
+        # The text of the error is omitted: it may contain data of the caller.
         self._log.change(
             "Rejected a request.",
             request=exc.call_id,
@@ -90,17 +89,17 @@
             held_back=held_back or None,
         )
 
-    def _may_tell(self, now: float) -> bool:
-        gained = (now - self._filled) * MOST_PER_S
-        self._tokens = min(MOST_PER_S, self._tokens + gained)
-        self._filled = now
+    def _take_token(self, now: float) -> bool:
+        gained = (now - self._refilled_at) * MAX_LINES_PER_S
+        self._tokens = min(MAX_LINES_PER_S, self._tokens + gained)
+        self._refilled_at = now
         if self._tokens < 1:
             return False
         self._tokens -= 1
         return True
 
 
-def _is_usual(call: Call, outcome: Outcome, now: float) -> bool:
+def _is_ordinary(call: Call, outcome: Outcome, now: float) -> bool:
     if not isinstance(outcome, Done) or len(call.steps) > 1:
         return False
     return now <= call.aim and not is_server_error(outcome.response.status)
--- a/src/radishwind/entry/runner.py
+++ b/src/radishwind/entry/runner.py
@@ -1,4 +1,4 @@
-"""The interface by which the entry side runs one attempt at one target."""
+"""Interface for running one attempt of a call at one target."""
 
 import abc
 
@@ -11,11 +11,11 @@
 
 
 class AttemptResult(msgspec.Struct, frozen=True):
-    """What became of one attempt.
+    """The result of one attempt.
 
     Attributes:
       outcome: the outcome.
-      load: the target's load, where it told it.
+      load: the load report of the target, if it sent one.
     """
 
     outcome: Outcome
@@ -29,4 +29,4 @@
     async def run(
         self, call: Call, member: Member, attempt_id: str
     ) -> AttemptResult:
-        """Runs `call` at `member`; never raises for what a peer does."""
+        """Runs `call` at `member`; never raises for a failure of a peer."""
--- a/src/radishwind/entry/tests/test_call.py
+++ b/src/radishwind/entry/tests/test_call.py
@@ -53,7 +53,7 @@
         ("get", "/tags/1", False),
     ],
 )
-def test_idempotent_by_method_or_whole_path_segments(method, path, idempotent):
+def test_idempotent_by_method_or_path_prefix(method, path, idempotent):
     assert call_for(method=method, path=path).idempotent is idempotent
 
 
@@ -72,7 +72,7 @@
         ("Radishwind-Caller", "\udc80"),
     ],
 )
-def test_malformed_fields_are_refused_by_name(field):
+def test_malformed_field_is_rejected_with_its_name(field):
     with pytest.raises(CallRejectedError) as caught:
         call_for(field)
 
@@ -81,17 +81,17 @@
 
 
 @pytest.mark.parametrize("name", [*FIELDS, "Host"])
-def test_repeated_fields_are_refused(name):
+def test_repeated_field_is_rejected(name):
     with pytest.raises(CallRejectedError, match="at most once"):
         call_for((name, "1"), (name.lower(), "1"))
 
 
-def test_unknown_service_is_refused():
+def test_unknown_service_is_rejected():
     with pytest.raises(ServiceUnknownError, match="RW-2003"):
         call_for(path="/nobody")
 
 
-def test_server_gets_the_time_left_and_one_more_level():
+def test_server_request_states_the_time_left_and_the_next_depth():
     call = call_for(("radishwind-timeout-ms", "900"), ("Radishwind-Depth", "3"))
 
     headers = server_request(call, now=100.25).headers
@@ -101,7 +101,7 @@
     assert len(headers) == 2
 
 
-def test_deepest_call_may_not_call_further():
+def test_call_below_the_maximum_depth_is_rejected():
     deepest = call_for(("Radishwind-Depth", "25"))
     below = server_request(deepest, now=100.0)
 
@@ -118,7 +118,7 @@
     ),
     path=st.one_of(st.just("/tags"), st.text()),
 )
-def test_any_request_is_classified_or_refused(headers, path):
+def test_any_request_is_classified_or_rejected(headers, path):
     try:
         call = call_for(*headers, path=path)
     except CallRejectedError as exc:
@@ -126,6 +126,6 @@
         return
     assert 100.0 < call.deadline <= 105.0
     assert 0 <= call.depth <= 25
-    # What is forwarded to peers is text that they can read.
+    # What is forwarded to peers must be encodable text.
     msgspec.json.encode((call.caller, call.key))
     assert dataclasses.replace(call, depth=0).service == "tags"
--- a/src/radishwind/entry/tests/test_call_executor.py
+++ b/src/radishwind/entry/tests/test_call_executor.py
@@ -63,7 +63,7 @@
 
 
 class ScriptedRunner(AttemptRunner):
-    """Plays one entry of the script per attempt: an outcome, or a wait."""
+    """Returns one outcome of the script per attempt, or waits for an event."""
 
     def __init__(self, *script):
         self._script = list(script)
@@ -84,7 +84,7 @@
         return AttemptResult(step)
 
 
-class HedgeAtOnce(HedgePolicy):
+class ImmediateHedging(HedgePolicy):
     def __init__(self, tokens=1):
         self.tokens = tokens
         self.ended = []
@@ -120,7 +120,7 @@
             hedges=hedges,
         )
 
-    async def ask(self, method="GET", body=b""):
+    async def send(self, method="GET", body=b""):
         request = Request(method, "/tags/1", (), body)
         with anyio.fail_after(10):
             async with anyio.create_task_group() as tasks:
@@ -138,56 +138,56 @@
     return Done(Response(200, (), body or text))
 
 
-async def test_refused_attempts_go_to_other_targets():
+async def test_refused_attempts_are_retried_at_other_targets():
     entry = Entry(REFUSED, REFUSED, done())
 
-    response = await entry.ask("POST")
+    response = await entry.send("POST")
 
     assert response.body == b"ok"
     assert len(set(entry.targets())) == 3
     assert [number for number, _ in entry.runner.attempts] == ["1", "2", "3"]
 
 
-async def test_unknown_is_final_for_a_request_that_is_not_idempotent():
+async def test_unknown_outcome_is_final_for_a_request_that_is_not_idempotent():
     entry = Entry(BROKEN, done())
 
-    response = await entry.ask("POST")
+    response = await entry.send("POST")
 
     assert header(response.headers, "radishwind-outcome") == "unknown"
     assert len(entry.runner.attempts) == 1
 
 
-async def test_unknown_is_repeated_for_an_idempotent_request():
+async def test_unknown_outcome_is_retried_for_an_idempotent_request():
     entry = Entry(BROKEN, done())
 
-    assert (await entry.ask()).status == 200
+    assert (await entry.send()).status == 200
 
 
 async def test_streamed_body_is_sent_once():
     entry = Entry(REFUSED, done())
 
-    response = await entry.ask("GET", Stream())
+    response = await entry.send("GET", Stream())
 
     assert header(response.headers, "radishwind-outcome") == "not-run"
     assert len(entry.runner.attempts) == 1
 
 
-async def test_given_up_call_tells_when_to_come_back():
+async def test_refusal_after_the_last_attempt_states_a_retry_time():
     entry = Entry(REFUSED, targets=1)
 
-    response = await entry.ask("POST")
+    response = await entry.send("POST")
 
     assert header(response.headers, "retry-after") == "1"
     assert header(response.headers, "radishwind-outcome") == "not-run"
 
 
-async def test_no_target_is_not_run():
-    response = await Entry(targets=0).ask()
+async def test_call_without_a_target_is_not_run():
+    response = await Entry(targets=0).send()
 
     assert header(response.headers, "radishwind-code") == "3001"
 
 
-async def test_malformed_field_is_answered_by_number():
+async def test_malformed_field_is_answered_with_its_result_code():
     request = Request("GET", "/tags/1", (("Radishwind-Depth", "x"),))
 
     response = await Entry().pipeline.handle(request)
@@ -196,11 +196,11 @@
     assert header(response.headers, "radishwind-code") == "2001"
 
 
-async def test_hedge_wins_and_the_slow_attempt_is_cancelled():
-    hedges = HedgeAtOnce()
+async def test_slow_attempt_is_cancelled_if_the_hedge_responds_first():
+    hedges = ImmediateHedging()
     entry = Entry(anyio.Event(), done(b"hedge"), hedges=hedges)
 
-    response = await entry.ask()
+    response = await entry.send()
 
     assert response.body == b"hedge"
     first, second = entry.targets()
@@ -211,15 +211,15 @@
     assert not entry.chooser._in_flight
 
 
-async def test_first_attempt_wins_and_the_hedge_is_cancelled():
-    entry = Entry(anyio.Event(), anyio.Event(), hedges=HedgeAtOnce())
+async def test_hedge_is_cancelled_if_the_first_attempt_responds_first():
+    entry = Entry(anyio.Event(), anyio.Event(), hedges=ImmediateHedging())
     responses = []
 
-    async def ask():
-        responses.append(await entry.ask())
+    async def send():
+        responses.append(await entry.send())
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(ask)
+        tasks.start_soon(send)
         while len(entry.runner.attempts) < 2:
             await anyio.wait_all_tasks_blocked()
         release, entry.runner._script[0] = entry.runner._script[0], done(b"1")
@@ -229,39 +229,39 @@
     assert entry.runner.cancelled == [entry.targets()[1]]
 
 
-async def test_both_answers_at_once_one_is_aborted():
+async def test_one_of_two_simultaneous_responses_is_aborted():
     first, second = Stream(), Stream()
     gate = anyio.Event()
-    entry = Entry(gate, gate, hedges=HedgeAtOnce())
+    entry = Entry(gate, gate, hedges=ImmediateHedging())
     responses = []
 
-    async def ask():
-        responses.append(await entry.ask())
+    async def send():
+        responses.append(await entry.send())
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(ask)
+        tasks.start_soon(send)
         while len(entry.runner.attempts) < 2:
             await anyio.wait_all_tasks_blocked()
         entry.runner._script[:] = [done(body=first), done(body=second)]
         gate.set()
 
     kept = responses[0].body
-    # The other was aborted, or cancelled before it came to be an answer.
+    # The other was aborted, or cancelled before it was recorded.
     assert kept in (first, second)
     assert not kept.aborted
     other = second if kept is first else first
     assert other.aborted or len(entry.runner.cancelled) == 1
 
 
-async def test_failed_hedge_leaves_the_first_attempt_running():
-    entry = Entry(anyio.Event(), REFUSED, hedges=HedgeAtOnce())
+async def test_first_attempt_continues_after_a_failed_hedge():
+    entry = Entry(anyio.Event(), REFUSED, hedges=ImmediateHedging())
     responses = []
 
-    async def ask():
-        responses.append(await entry.ask())
+    async def send():
+        responses.append(await entry.send())
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(ask)
+        tasks.start_soon(send)
         while len(entry.runner.attempts) < 2:
             await anyio.wait_all_tasks_blocked()
         await anyio.wait_all_tasks_blocked()
@@ -273,33 +273,33 @@
     assert not entry.runner.cancelled
 
 
-async def test_first_refused_before_the_hedge_is_retried():
-    entry = Entry(REFUSED, done(), hedges=HedgeAtOnce(tokens=0))
+async def test_first_attempt_refused_before_the_hedge_is_retried():
+    entry = Entry(REFUSED, done(), hedges=ImmediateHedging(tokens=0))
 
-    assert (await entry.ask()).status == 200
+    assert (await entry.send()).status == 200
     assert len(set(entry.targets())) == 2
 
 
 async def test_no_hedge_for_a_request_that_is_not_idempotent():
-    hedges = HedgeAtOnce()
+    hedges = ImmediateHedging()
     entry = Entry(done(), hedges=hedges)
 
-    await entry.ask("POST")
+    await entry.send("POST")
 
     assert hedges.tokens == 1
 
 
 async def test_no_hedge_at_the_only_target():
-    hedges = HedgeAtOnce()
+    hedges = ImmediateHedging()
     gate = anyio.Event()
     entry = Entry(gate, targets=1, hedges=hedges)
     responses = []
 
-    async def ask():
-        responses.append(await entry.ask())
+    async def send():
+        responses.append(await entry.send())
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(ask)
+        tasks.start_soon(send)
         await anyio.wait_all_tasks_blocked()
         await anyio.wait_all_tasks_blocked()
         entry.runner._script[0] = done()
@@ -309,10 +309,10 @@
     assert hedges.tokens == 1
 
 
-async def test_refusal_after_an_unknown_attempt_is_not_told_as_not_run():
+async def test_refusal_after_an_unknown_outcome_does_not_report_not_run():
     entry = Entry(BROKEN, REFUSED, targets=2)
 
-    response = await entry.ask()
+    response = await entry.send()
 
     assert len(entry.runner.attempts) == 2
     assert header(response.headers, "radishwind-outcome") == "unknown"
--- a/src/radishwind/entry/tests/test_large_answers.py
+++ b/src/radishwind/entry/tests/test_large_answers.py
@@ -1,4 +1,4 @@
-"""Of two attempts at a large answer one is kept, whole or cut, over sockets."""
+"""A race of two attempts with large responses keeps one of them, unmixed."""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -19,10 +19,10 @@
 
 pytestmark = pytest.mark.anyio
 
-PIECE = 32 * 1024
-PIECES = 64
-SIZE = PIECE * PIECES
-LENGTH = (("Content-Length", str(SIZE)),)
+CHUNK_BYTES = 32 * 1024
+CHUNKS = 64
+SIZE_BYTES = CHUNK_BYTES * CHUNKS
+LENGTH = (("Content-Length", str(SIZE_BYTES)),)
 
 
 @pytest.fixture
@@ -30,21 +30,21 @@
     return "asyncio"
 
 
-class Answer(BodyStream):
-    """A body that counts what was sent of it, and may break off."""
+class CountedBody(BodyStream):
+    """A body that counts the chunks sent and may break off."""
 
-    def __init__(self, mark, most):
-        self.mark = mark
-        self.most = most
+    def __init__(self, fill, max_chunks):
+        self.fill = fill
+        self.max_chunks = max_chunks
         self.sent = 0
         self.ended = anyio.Event()
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
         try:
-            for _ in range(self.most):
+            for _ in range(self.max_chunks):
                 self.sent += 1
-                yield self.mark * PIECE
-            if self.most < PIECES:
+                yield self.fill * CHUNK_BYTES
+            if self.max_chunks < CHUNKS:
                 raise ExchangeBrokenError("the server broke off")
         finally:
             self.ended.set()
@@ -54,28 +54,28 @@
 
 
 class Node:
-    """Answers once it is told to."""
+    """Responds once `may_answer` is set."""
 
-    def __init__(self, mark, most=PIECES):
-        self.body = Answer(mark, most)
+    def __init__(self, fill, max_chunks=CHUNKS):
+        self.body = CountedBody(fill, max_chunks)
         self.may_answer = anyio.Event()
-        self.asked = anyio.Event()
-        self.left = anyio.Event()
+        self.received = anyio.Event()
+        self.cancelled = anyio.Event()
         self.server = HttptoolsServer(ServerLimits())
 
     async def handle(self, request):
-        self.asked.set()
+        self.received.set()
         try:
             await self.may_answer.wait()
         except BaseException:
-            self.left.set()
+            self.cancelled.set()
             raise
-        return Response(200, LENGTH, self.body, SIZE)
+        return Response(200, LENGTH, self.body, SIZE_BYTES)
 
 
 @contextlib.asynccontextmanager
 async def racing(first, hedge):
-    """Yields the answer kept of an attempt at each of two nodes."""
+    """Yields the response kept of an attempt at each of two nodes."""
     sender = HttptoolsSender(2)
     race = Race()
 
@@ -92,9 +92,9 @@
     with anyio.fail_after(20):
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(run_first)
-            await first.asked.wait()
+            await first.received.wait()
             tasks.start_soon(race.run_hedge, lambda: attempt(hedge))
-            await hedge.asked.wait()
+            await hedge.received.wait()
             hedge.may_answer.set()
         yield kept[0].response
     await sender.close()
@@ -102,27 +102,27 @@
         await node.server.close(0.0)
 
 
-async def read(body, got):
-    async for piece in body:
-        got.append(piece)
+async def read(body, chunks):
+    async for chunk in body:
+        chunks.append(chunk)
 
 
-async def test_the_first_head_wins_and_no_body_of_the_other_crosses():
+async def test_first_response_head_wins_and_the_other_body_is_not_sent():
     first, hedge = Node(b"a"), Node(b"b")
     async with racing(first, hedge) as response:
-        body = b"".join([piece async for piece in response.body])
-        await first.left.wait()
+        body = b"".join([chunk async for chunk in response.body])
+        await first.cancelled.wait()
 
-    assert body == b"b" * SIZE
+    assert body == b"b" * SIZE_BYTES
     assert first.body.sent == 0
 
 
-async def test_an_answer_that_breaks_off_is_not_spliced_with_another():
-    first, hedge = Node(b"a"), Node(b"b", most=8)
-    got = []
+async def test_truncated_response_is_not_spliced_with_the_other():
+    first, hedge = Node(b"a"), Node(b"b", max_chunks=8)
+    chunks = []
     async with racing(first, hedge) as response:
         with pytest.raises(ExchangeBrokenError):
-            await read(response.body, got)
+            await read(response.body, chunks)
 
-    assert sum(len(piece) for piece in got) < SIZE
-    assert set(b"".join(got)) <= set(b"b")
+    assert sum(len(chunk) for chunk in chunks) < SIZE_BYTES
+    assert set(b"".join(chunks)) <= set(b"b")
--- a/src/radishwind/entry/tests/test_not_run_is_true.py
+++ b/src/radishwind/entry/tests/test_not_run_is_true.py
@@ -1,3 +1,5 @@
+"""A call is reported as not run only if none of its attempts may have run."""
+
 import random
 
 import pytest
@@ -28,7 +30,7 @@
 CALL = Call("1", "s", Request("GET", "/"), ServiceRules(), True, 9.0, 0, "c")
 
 
-class Three(Directory):
+class ThreeTargets(Directory):
     def eligible_members(self, service):
         address = Address("127.0.0.1", 1)
         return tuple(Member(n, "s", "d", address) for n in ("a", "b", "c"))
@@ -37,7 +39,7 @@
         return self.eligible_members("s")
 
 
-class Plays(AttemptRunner):
+class ScriptedRunner(AttemptRunner):
     def __init__(self, *outcomes):
         self._outcomes = iter(outcomes)
 
@@ -47,7 +49,7 @@
 
 @pytest.mark.anyio
 @pytest.mark.parametrize(
-    ("outcomes", "told"),
+    ("outcomes", "expected"),
     [
         ((BROKEN, REFUSED, REFUSED), BROKEN),
         ((REFUSED, BROKEN, REFUSED), BROKEN),
@@ -55,13 +57,13 @@
         ((REFUSED, REFUSED, REFUSED), REFUSED),
     ],
 )
-async def test_what_may_have_run_once_is_not_told_as_not_run(outcomes, told):
+async def test_possible_run_is_not_reported_as_not_run(outcomes, expected):
     attempts = CallExecutor(
         clock=ManualClock(),
-        placement=UnrestrictedPlacement(Three()),
+        placement=UnrestrictedPlacement(ThreeTargets()),
         chooser=RandomChooser(random.Random(1)),
         retries=CappedRetryPolicy(),
         hedges=NoHedging(),
-        runner=Plays(*outcomes),
+        runner=ScriptedRunner(*outcomes),
     )
-    assert await attempts.run(CALL) == told
+    assert await attempts.run(CALL) == expected
