--- a/src/radishwind/target/tests/test_warmup_limiter.py
+++ b/src/radishwind/target/tests/test_warmup_limiter.py
@@ -10,7 +10,7 @@
 
 from radishwind.core import ManualClock
 from radishwind.core.codes import ResultCode
-from radishwind.target.warmup_limiter import MOST_COUNTED
+from radishwind.target.warmup_limiter import MAX_TRACKED
 from radishwind.target.warmup_limiter import WarmupLimit
 from radishwind.target.warmup_limiter import WarmupLimiter
 from radishwind.target.warmup_limiter import WINDOW_S
@@ -283,5 +283,5 @@
         made.refusal(one, 0)
         made.try_send(one)
 
-    assert len(made._urgent) <= MOST_COUNTED
-    assert len(made._sent) <= MOST_COUNTED
+    assert len(made._highest_offers) <= MAX_TRACKED
+    assert len(made._sent) <= MAX_TRACKED
--- a/src/radishwind/target/warmup_limiter.py
+++ b/src/radishwind/target/warmup_limiter.py
@@ -1,10 +1,10 @@
-"""Bounds what a cold server is sent, so that no rate of ours fells it.
+"""Limits the requests sent to a cold server, so that they do not crash it.
 
-A server that just started stands few requests a second and crashes well above
-that, with everything that it runs. A fleet that lost power comes back cold all
-at once: each server that falls starts cold again, and callers who repeat fell
-it anew, for as long as they come. The node beside a server is the only one
-that sends to it, so its count is the count.
+A server that has just started sustains few requests a second, and crashes with
+everything it runs if it gets many more. After a power loss all servers of a
+fleet are cold at once: each server that crashes is cold again after its
+restart, and retrying callers crash it anew for as long as they come. The node
+beside a server is the only one that sends to it, so its count is exact.
 """
 
 import abc
@@ -19,32 +19,33 @@
 from radishwind.outcomes.model import NotRun
 from radishwind.telemetry.logs import PartLogger
 
-#: Sends are counted in a window a little longer than the second in which they
-#: may not arrive too densely: what is sent far apart may arrive closer (s).
+#: Sliding window in which sent requests are counted (s). It is a little longer
+#: than the second that the limit is for, since requests may arrive closer
+#: together than they were sent.
 WINDOW_S = 1.1
 
-#: The part of the bound that waits for requests of the highest rank while
-#: nobody knows yet how many of them come.
-FIRST_KEPT = 1 / 3
+#: Fraction of the limit reserved for requests of the highest priority while
+#: their rate is unknown.
+INITIAL_RESERVED_FRACTION = 1 / 3
 
-#: Sends remembered at most; no law allows so many in a window.
-MOST_COUNTED = 512
+#: Upper bound of the sent requests that are tracked, and so of the limit.
+MAX_TRACKED = 512
 
-#: How long offers of the highest rank are remembered (s).
-LATELY_S = 4.0
+#: Time over which the rate of the highest priority is measured (s).
+DEMAND_WINDOW_S = 4.0
 
-#: The least that a refused caller is told to wait (s).
-_LEAST_RETRY_S = 0.05
+#: Lower bound of the Retry-After of a refusal (s).
+_MIN_RETRY_AFTER_S = 0.05
 
 
 class WarmupLimit(msgspec.Struct, frozen=True):
-    """What a cold server of a service stands.
+    """The rate of requests that a cold server of a service sustains.
 
     Attributes:
-      rate_per_s: requests a second that it stands; 0 for none at all.
-      burst_factor: so many times that is still allowed in any second.
-      burst_allowance: requests beyond it that are allowed in any second.
-      warmup_s: how long one is cold after its start (s).
+      rate_per_s: sustained rate (requests/s); 0 for no requests at all.
+      burst_factor: factor on the rate that is allowed within any second.
+      burst_allowance: requests beyond it that are allowed within any second.
+      warmup_s: time for which a server is cold after its start (s).
     """
 
     rate_per_s: float
@@ -54,41 +55,44 @@
 
     @property
     def max_per_window(self) -> int:
-        """Requests that may be sent in any window."""
+        """Requests that may be sent in any window of `WINDOW_S`."""
         if self.rate_per_s <= 0:
             return 0
-        most = (
+        max_requests = (
             math.floor(
                 self.rate_per_s * self.burst_factor + self.burst_allowance
             )
             - 1
         )
-        return min(max(1, most), MOST_COUNTED)
+        return min(max(1, max_requests), MAX_TRACKED)
 
 
 class SendLimiter(abc.ABC):
-    """Says whether the server beside may be sent one more request."""
+    """Decides whether the backend server may be sent one more request."""
 
     @abc.abstractmethod
     def refusal(self, call: Call, waiting: int) -> NotRun | None:
-        """Returns why `call` had better not wait here, if so.
+        """Returns the refusal of a `call` that had better not wait here.
 
         Args:
-          call: what would wait.
-          waiting: requests that wait already.
+          call: the call that would wait.
+          waiting: requests already waiting.
+
+        Returns:
+          The refusal; `None` if the call may wait.
         """
 
     @abc.abstractmethod
     def try_send(self, call: Call) -> NotRun | None:
-        """Counts `call` as sent now, or returns why it must not be."""
+        """Counts `call` as sent now, or returns why it must not be sent."""
 
     @abc.abstractmethod
     def remaining(self) -> int | None:
-        """Returns how many may be sent now; `None` where nothing bounds it."""
+        """Returns how many requests may be sent now; `None` if unlimited."""
 
 
 class NoSendLimiter(SendLimiter):
-    """Bounds nothing."""
+    """Limits nothing."""
 
     def refusal(self, call: Call, waiting: int) -> NotRun | None:
         return None
@@ -101,111 +105,113 @@
 
 
 class WarmupLimiter(SendLimiter):
-    """Counts what a cold server gets in any window.
+    """Limits what a cold server is sent in a sliding window.
 
-    A server of unknown warmth counts as cold, for as long as one can be that
-    has just started. An answer to what was asked since tells how long it really
-    is; a heartbeat, which may be late, only lengthens it. Steady time ends it,
-    so no jump of the time of day does.
+    A server whose state is unknown counts as cold for the whole warm-up time of
+    a server that has just started. The response to a health check sent since
+    then determines the remaining time. A heartbeat, which may be late, can only
+    extend it. The warm-up ends by monotonic time, so clock steps don't end it.
     """
 
     def __init__(self, clock: Clock, running_s: float = 0.0) -> None:
-        """Makes a gate beside a server of unknown warmth.
+        """Creates a limiter for a server whose state is unknown.
 
         Args:
           clock: the clock.
-          running_s: how long this process has run already (s). What the one
-            before it sent counts until the first window is over.
+          running_s: time since the start of this process (s). Requests sent by
+            the previous process are assumed to exhaust the first window.
         """
         self._clock = clock
-        self._law: WarmupLimit | None = None
+        self._limit: WarmupLimit | None = None
         self._log = PartLogger("target", clock)
         self._began = clock.monotonic() - running_s
-        # Since when its warmth is not known, if it isn't (monotonic s).
+        # Since when the state is unknown (monotonic s); `None` if it is known.
         self._unknown_since: float | None = clock.monotonic()
         self._cold_until = -math.inf
-        # When the last ones were sent, and their ranks (monotonic s).
+        # Send times (monotonic s) and priorities of the latest requests.
         self._sent: collections.deque[tuple[float, int]] = collections.deque(
-            maxlen=MOST_COUNTED
+            maxlen=MAX_TRACKED
         )
-        # When requests of the highest rank were offered (monotonic s).
-        self._urgent: collections.deque[float] = collections.deque(
-            maxlen=MOST_COUNTED
+        # When requests of the highest priority were offered (monotonic s).
+        self._highest_offers: collections.deque[float] = collections.deque(
+            maxlen=MAX_TRACKED
         )
-        self._highest_rank: int | None = None
-        # Calls with a lot that asked lately, the longest ago first, and when.
-        self._asked: dict[str, float] = {}
+        self._highest_priority: int | None = None
+        # Calls with a group rank offered within the window, by their id, the
+        # oldest first, and when (monotonic s).
+        self._group_offers: dict[str, float] = {}
         self._offers_since = -math.inf
 
     @property
     def is_cold(self) -> bool:
-        """Whether the server is cold, or may be."""
-        law = self._law
-        if law is None:
+        """Whether the server is cold or may be."""
+        limit = self._limit
+        if limit is None:
             return False
         now = self._clock.monotonic()
         since = self._unknown_since
-        if since is not None and now < since + law.warmup_s:
+        if since is not None and now < since + limit.warmup_s:
             return True
         return now < self._cold_until
 
-    def configure(self, law: WarmupLimit | None) -> None:
-        """Takes what is configured; `None` where nothing bounds it."""
-        if law == self._law:
+    def configure(self, limit: WarmupLimit | None) -> None:
+        """Sets the configured limit; `None` for unlimited."""
+        if limit == self._limit:
             return
-        self._law = law
-        if law is not None and not law.rate_per_s:
+        self._limit = limit
+        if limit is not None and not limit.rate_per_s:
             self._log.warning(
-                "The configuration lets cold servers have no requests."
+                "The configuration allows cold servers no requests."
             )
 
     def mark_unknown(self, since: float) -> None:
-        """Takes that the server may have turned cold and has not told yet.
+        """Records that the server may have become cold without reporting it.
 
         Args:
-          since: what was asked before tells nothing of it (monotonic s).
+          since: health checks sent before this don't count (monotonic s).
         """
         self._unknown_since = since
 
     def record_start(self, left_s: float) -> None:
-        """Takes what a server tells that just began a new life.
+        """Records the remaining warm-up time of a server that just started.
 
         Args:
-          left_s: how much longer it is cold (s).
+          left_s: remaining warm-up time (s).
         """
         now = self._clock.monotonic()
         self._unknown_since = None
         self._cold_until = now + left_s
-        law = self._law
-        if law is not None and now - (law.warmup_s - left_s) >= self._began:
-            # It is younger than this node, so nobody else sent it anything.
+        limit = self._limit
+        if limit is not None and now - (limit.warmup_s - left_s) >= self._began:
+            # The server is younger than this node, so that no previous process
+            # of the node sent it anything.
             self._began = -math.inf
         self._log_cold(left_s)
 
     def record_heartbeat(self, left_s: float) -> None:
-        """Takes what a heartbeat tells, which may be late.
+        """Records the warm-up time in a heartbeat, which may be late.
 
         Args:
-          left_s: how much longer the server is cold (s).
+          left_s: remaining warm-up time (s).
         """
-        self._lengthen(left_s)
+        self._extend(left_s)
 
     def record_check(self, left_s: float, asked: float) -> None:
-        """Takes what the server answered to a look.
+        """Records the warm-up time in the response to a health check.
 
         Args:
-          left_s: how much longer it is cold (s).
-          asked: when it was asked (monotonic s).
+          left_s: remaining warm-up time (s).
+          asked: when the check was sent (monotonic s).
         """
         if self._unknown_since is not None and asked < self._unknown_since:
             return
         self._unknown_since = None
         if left_s > 0:
-            self._lengthen(left_s)
+            self._extend(left_s)
             return
         self._cold_until = min(self._cold_until, self._clock.monotonic())
 
-    def _lengthen(self, left_s: float) -> None:
+    def _extend(self, left_s: float) -> None:
         now = self._clock.monotonic()
         if now >= self._cold_until:
             self._log_cold(left_s)
@@ -217,112 +223,123 @@
         self._log.change(
             "The server is cold.",
             left_s=round(left_s, 3),
-            most=self._law.max_per_window if self._law else None,
+            most=self._limit.max_per_window if self._limit else None,
         )
 
     def refusal(self, call: Call, waiting: int) -> NotRun | None:
-        law = self._law
-        if law is None or not self.is_cold:
+        limit = self._limit
+        if limit is None or not self.is_cold:
             return None
         now = self._clock.monotonic()
-        self._note_offer(call.priority, now)
-        if self._draws_a_blank(law, call, now):
-            return self._refused(law, now)
-        if self._room(law, call.priority, now) > waiting:
+        self._record_offer(call.priority, now)
+        if self._is_excluded_by_rank(limit, call, now):
+            return self._refused(limit, now)
+        if self._available(limit, call.priority, now) > waiting:
             return None
-        return self._refused(law, now)
+        return self._refused(limit, now)
 
     def try_send(self, call: Call) -> NotRun | None:
-        law = self._law
+        limit = self._limit
         now = self._clock.monotonic()
-        # What was let wait is refused by the bound alone.
-        is_cold = law is not None and self.is_cold
+        # A request that was allowed to wait is refused only by the total limit.
+        is_cold = limit is not None and self.is_cold
         if (
-            law is not None
+            limit is not None
             and is_cold
-            and self._count(law, now) >= law.max_per_window
+            and self._count_sent(limit, now) >= limit.max_per_window
         ):
-            return self._refused(law, now)
+            return self._refused(limit, now)
         self._sent.append((now, call.priority))
         return None
 
     def remaining(self) -> int | None:
-        law = self._law
-        if law is None or not self.is_cold:
+        limit = self._limit
+        if limit is None or not self.is_cold:
             return None
         return max(
-            0, law.max_per_window - self._count(law, self._clock.monotonic())
+            0,
+            limit.max_per_window
+            - self._count_sent(limit, self._clock.monotonic()),
         )
 
-    def _room(self, law: WarmupLimit, rank: int, now: float) -> int:
-        """Returns how many of `rank` may be sent now."""
-        left = law.max_per_window - self._count(law, now)
-        if self._is_highest(rank):
+    def _available(self, limit: WarmupLimit, priority: int, now: float) -> int:
+        """Returns how many requests of `priority` may be sent now."""
+        left = limit.max_per_window - self._count_sent(limit, now)
+        if self._is_highest(priority):
             return left
-        others = sum(sent != self._highest_rank for _, sent in self._sent)
-        return min(left, law.max_per_window - self._kept(law, now) - others)
+        others = sum(sent != self._highest_priority for _, sent in self._sent)
+        return min(
+            left, limit.max_per_window - self._reserved(limit, now) - others
+        )
 
-    def _is_highest(self, rank: int) -> bool:
-        return self._highest_rank is None or rank <= self._highest_rank
+    def _is_highest(self, priority: int) -> bool:
+        return (
+            self._highest_priority is None or priority <= self._highest_priority
+        )
 
-    def _draws_a_blank(self, law: WarmupLimit, call: Call, now: float) -> bool:
-        """Returns whether the lot of `call` says that it is not served.
+    def _is_excluded_by_rank(
+        self, limit: WarmupLimit, call: Call, now: float
+    ) -> bool:
+        """Returns whether `call` is refused because of its group rank.
 
-        Of calls that belong together all are served or none, at whichever
-        servers they come: those whose lot is within the part that can be.
+        Calls of one group share a rank, so that either all or none of them are
+        served, whichever servers they come to. Calls are served whose rank is
+        within the fraction of calls that the limit allows.
         """
         if not call.group_rank:
             return False
         name = call.call_id.rpartition(".")[0] or call.call_id
-        self._asked.pop(name, None)
-        self._asked[name] = now
-        while now - next(iter(self._asked.values())) >= WINDOW_S:
-            del self._asked[next(iter(self._asked))]
-        kept = 0 if self._is_highest(call.priority) else self._kept(law, now)
-        return call.group_rank + 0.5 > (law.max_per_window - kept) / len(
-            self._asked
+        self._group_offers.pop(name, None)
+        self._group_offers[name] = now
+        while now - next(iter(self._group_offers.values())) >= WINDOW_S:
+            del self._group_offers[next(iter(self._group_offers))]
+        reserved = (
+            0 if self._is_highest(call.priority) else self._reserved(limit, now)
+        )
+        return call.group_rank + 0.5 > (limit.max_per_window - reserved) / len(
+            self._group_offers
         )
 
-    def _count(self, law: WarmupLimit, now: float) -> int:
-        """Returns how many count as sent in the window that ends now."""
+    def _count_sent(self, limit: WarmupLimit, now: float) -> int:
+        """Returns how many requests count as sent in the window ending now."""
         if now - self._began < WINDOW_S:
-            return law.max_per_window
+            return limit.max_per_window
         while self._sent and now - self._sent[0][0] >= WINDOW_S:
             self._sent.popleft()
         return len(self._sent)
 
-    def _kept(self, law: WarmupLimit, now: float) -> int:
-        """Returns how many are kept for the highest rank.
+    def _reserved(self, limit: WarmupLimit, now: float) -> int:
+        """Returns how many requests are reserved for the highest priority.
 
-        As many as came lately, and what their number usually varies by: first
-        come, first served would leave it the part that it has of all that
-        comes, however little that is.
+        This is the expected number in a window plus its standard deviation.
+        First come, first served would leave the highest priority only its share
+        of all requests, however small that is.
         """
-        since = max(now - LATELY_S, self._offers_since)
-        while self._urgent and self._urgent[0] < since:
-            self._urgent.popleft()
+        since = max(now - DEMAND_WINDOW_S, self._offers_since)
+        while self._highest_offers and self._highest_offers[0] < since:
+            self._highest_offers.popleft()
         if now - since < WINDOW_S:
-            return math.ceil(law.max_per_window * FIRST_KEPT)
-        expected = len(self._urgent) * WINDOW_S / (now - since)
+            return math.ceil(limit.max_per_window * INITIAL_RESERVED_FRACTION)
+        expected = len(self._highest_offers) * WINDOW_S / (now - since)
         return math.ceil(expected + math.sqrt(expected))
 
-    def _note_offer(self, rank: int, now: float) -> None:
-        if self._highest_rank is None or rank < self._highest_rank:
-            self._highest_rank = rank
+    def _record_offer(self, priority: int, now: float) -> None:
+        if self._highest_priority is None or priority < self._highest_priority:
+            self._highest_priority = priority
             self._offers_since = now
-            self._urgent.clear()
-        if rank == self._highest_rank:
-            self._urgent.append(now)
+            self._highest_offers.clear()
+        if priority == self._highest_priority:
+            self._highest_offers.append(now)
 
-    def _refused(self, law: WarmupLimit, now: float) -> NotRun:
+    def _refused(self, limit: WarmupLimit, now: float) -> NotRun:
         until = self._began + WINDOW_S
         if self._sent:
             until = max(until, self._sent[0][0] + WINDOW_S)
-        if not law.max_per_window:
+        if not limit.max_per_window:
             until = self._cold_until
-        wait_s = min(max(_LEAST_RETRY_S, until - now), WINDOW_S)
+        wait_s = min(max(_MIN_RETRY_AFTER_S, until - now), WINDOW_S)
         return NotRun(
             ResultCode.SERVER_COLD,
-            "The server is cold and gets no more just now.",
+            "The server is cold and its request rate is exhausted.",
             round(wait_s, 3),
         )
