--- a/src/radishwind/target/run_time_estimator.py
+++ b/src/radishwind/target/run_time_estimator.py
@@ -1,31 +1,32 @@
-"""What runs take at the server beside, with all that they wait for.
+"""Estimates the run times of routes on the backend server, waits included.
 
-The time that work takes at the usual pace says nothing of the calls that a run
-waits for, and little of a server whose pace changes. In an overload of what it
-calls, a run of 0.18 s of work takes 0.6 s. One that begins with less than that
-left holds a slot until its caller has gone.
+The run time of work at the normal pace does not include the nested calls that a
+run waits for, and predicts little for a server whose pace changes. When a
+service that it calls is overloaded, a run of 0.18 s of work takes 0.6 s. A run
+started with less than that left until its deadline holds a slot until its
+caller has gone.
 """
 
 from typing import NamedTuple
 
 import msgspec
 
-#: Routes remembered; the longest known is forgotten.
-MOST_ROUTES = 2048
+#: Routes tracked; beyond it the one added first is removed.
+MAX_ROUTES = 2048
 
-#: Weight of one run in the mean, and in how far runs are off it.
-_WEIGHT = 0.1
+#: Weight of one run in the mean and in the mean deviation.
+_SMOOTHING = 0.1
 
-#: Runs seen before anything is said.
-LEAST_RUNS = 8
+#: Runs needed before there is an estimate.
+MIN_RUNS = 8
 
 
 class RunTimeEstimate(NamedTuple):
-    """What a run is expected to take; 0 where not known.
+    """The expected run time; 0 if unknown.
 
     Attributes:
-      mean_s: in the mean (s).
-      likely_s: what four runs of five end within (s).
+      mean_s: mean run time (s).
+      likely_s: time within which four of five runs end (s).
     """
 
     mean_s: float
@@ -35,41 +36,45 @@
 UNKNOWN_RUN_TIME = RunTimeEstimate(0.0, 0.0)
 
 
-class _Taken(msgspec.Struct):
-    """What runs of one route took.
+class _RouteStatistics(msgspec.Struct):
+    """Run time statistics of one route.
 
     Attributes:
-      mean_s: in the mean (s).
-      off_s: how far they are off it, in the mean (s).
-      runs: how many, to the least that counts.
+      mean_s: smoothed mean run time (s).
+      deviation_s: smoothed mean absolute deviation from it (s).
+      runs: number of runs, up to `MIN_RUNS`.
     """
 
     mean_s: float
-    off_s: float = 0.0
+    deviation_s: float = 0.0
     runs: int = 1
 
 
 class RunTimeEstimator:
-    """Learns them by route."""
+    """Learns run times by route."""
 
     def __init__(self) -> None:
-        self._taken: dict[str, _Taken] = {}
+        self._routes: dict[str, _RouteStatistics] = {}
 
     def record_run(self, route: str, run_s: float) -> None:
-        """Takes that a run of `route` took so long, or was cut then (s)."""
-        taken = self._taken.get(route)
-        if taken is None:
-            self._taken[route] = _Taken(run_s)
-            if len(self._taken) > MOST_ROUTES:
-                del self._taken[next(iter(self._taken))]
+        """Records that a run of `route` ended or was cut after `run_s` (s)."""
+        statistics = self._routes.get(route)
+        if statistics is None:
+            self._routes[route] = _RouteStatistics(run_s)
+            if len(self._routes) > MAX_ROUTES:
+                del self._routes[next(iter(self._routes))]
             return
-        taken.runs += taken.runs < LEAST_RUNS
-        taken.off_s += _WEIGHT * (abs(run_s - taken.mean_s) - taken.off_s)
-        taken.mean_s += _WEIGHT * (run_s - taken.mean_s)
+        statistics.runs += statistics.runs < MIN_RUNS
+        statistics.deviation_s += _SMOOTHING * (
+            abs(run_s - statistics.mean_s) - statistics.deviation_s
+        )
+        statistics.mean_s += _SMOOTHING * (run_s - statistics.mean_s)
 
     def estimate(self, route: str) -> "RunTimeEstimate":
-        """Returns what a run of `route` is expected to take."""
-        taken = self._taken.get(route)
-        if taken is None or taken.runs < LEAST_RUNS:
+        """Returns the expected run time of `route`."""
+        statistics = self._routes.get(route)
+        if statistics is None or statistics.runs < MIN_RUNS:
             return UNKNOWN_RUN_TIME
-        return RunTimeEstimate(taken.mean_s, taken.mean_s + taken.off_s)
+        return RunTimeEstimate(
+            statistics.mean_s, statistics.mean_s + statistics.deviation_s
+        )
--- a/src/radishwind/target/tests/test_run_time_estimator.py
+++ b/src/radishwind/target/tests/test_run_time_estimator.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from radishwind.target.run_time_estimator import LEAST_RUNS
-from radishwind.target.run_time_estimator import MOST_ROUTES
+from radishwind.target.run_time_estimator import MAX_ROUTES
+from radishwind.target.run_time_estimator import MIN_RUNS
 from radishwind.target.run_time_estimator import RunTimeEstimator
 from radishwind.target.run_time_estimator import UNKNOWN_RUN_TIME
 
 
 def test_nothing_is_said_before_there_is_evidence():
     times = RunTimeEstimator()
-    for _ in range(LEAST_RUNS - 1):
+    for _ in range(MIN_RUNS - 1):
         times.record_run("r", 0.5)
 
     assert times.estimate("r") == times.estimate("other") == UNKNOWN_RUN_TIME
@@ -47,7 +47,7 @@
 
 def test_routes_are_forgotten_beyond_a_bound():
     times = RunTimeEstimator()
-    for i in range(MOST_ROUTES + 3):
+    for i in range(MAX_ROUTES + 3):
         times.record_run(f"r{i}", 0.1)
 
-    assert len(times._taken) == MOST_ROUTES
+    assert len(times._routes) == MAX_ROUTES
