--- a/src/radishwind/sidecar/control_side.py
+++ b/src/radishwind/sidecar/control_side.py
@@ -82,7 +82,7 @@
             rumor_bus=membership.rumor_bus,
             peers=client,
             rng=rng,
-            learned=target.server.mark_leaving,
+            on_leaving=target.server.mark_leaving,
         )
         self._habits = HabitKeeper(
             clock=clock,
--- a/src/radishwind/target/leaving.py
+++ b/src/radishwind/target/leaving.py
@@ -1,8 +1,8 @@
-"""Records which lives of servers leave, so that a restart does not forget it.
+"""Records of the server processes that are leaving; they survive a restart.
 
-A life that leaves must get nothing new once that was acknowledged,
-also from a node that was killed meanwhile and began anew. So the word is kept
-by the store or by two peers before it is acknowledged.
+A process that is leaving must get no new requests once that was acknowledged,
+not even from a node that was killed meanwhile and restarted. Therefore the
+record is persisted by the store or by two peers before it is acknowledged.
 """
 
 from collections.abc import Callable
@@ -32,25 +32,25 @@
 TOPIC = "leaving"
 CONTROL_NAME = "leaving"
 
-#: How long a record is kept (s): a server that leaves goes on for its drain
-#: time and at times many seconds more, and its node may restart within that.
-KEPT_S = 120
+#: Lifetime of a record (s). A server that is leaving continues for its drain
+#: time, at times many seconds longer, and its node may restart within that.
+RECORD_TTL_S = 120
 
-#: Peers that keep the word where the store does not.
-PEERS_ENOUGH = 2
+#: Peers that must hold the record where the store does not.
+MIN_PEER_COPIES = 2
 
-#: Peers asked to keep it.
+#: Peers asked to hold it.
 _PEERS_ASKED = 4
 
-#: What a peer answers that keeps the word.
-_KEPT = b"{}"
+#: The response of a peer that holds the record.
+_ACKNOWLEDGED = b"{}"
 
-#: How long a peer may take (s).
+#: Time limit of a call to a peer (s).
 _PEER_TIMEOUT_S = 0.4
 
 
 class LeavingRecords:
-    """Keeps and tells which lives of servers leave."""
+    """Persists and distributes which server processes are leaving."""
 
     def __init__(
         self,
@@ -62,19 +62,19 @@
         rumor_bus: RumorBus,
         peers: PeerClient,
         rng: random.Random,
-        learned: Callable[[ServerProcess], object],
+        on_leaving: Callable[[ServerProcess], object],
     ) -> None:
-        """Wires the records.
+        """Creates the records and subscribes to those of other nodes.
 
         Args:
-          node_name: of this node.
+          node_name: the name of this node.
           clock: the clock.
           store: the platform's store.
-          directory: the nodes there are.
-          rumor_bus: tells every node.
+          directory: the members of the fleet.
+          rumor_bus: distributes the records to all nodes.
           peers: calls other nodes.
           rng: chooses the peers that are asked.
-          learned: takes each life that leaves.
+          on_leaving: called with each process that is leaving.
         """
         self._node_name = node_name
         self._clock = clock
@@ -83,76 +83,85 @@
         self._rumor_bus = rumor_bus
         self._peers = peers
         self._rng = rng
-        self._learned = learned
+        self._on_leaving = on_leaving
         self._log = PartLogger("leaving", clock)
-        self._kept: set[str] = set()
+        self._persisted: set[str] = set()
         rumor_bus.subscribe(TOPIC, self._on_rumor)
 
     async def load(self) -> bool:
-        """Reads the records of the store; returns whether that worked."""
+        """Reads the records in the store; returns whether that succeeded."""
         try:
             entries = await self._store.list(PREFIX)
         except StoreError as exc:
-            self._log.warning("Records unread.", reason=str(exc)[:120])
+            self._log.warning(
+                "Could not read the leaving records.", reason=str(exc)[:120]
+            )
             return False
         for entry in entries:
-            self._learned(
+            self._on_leaving(
                 ServerProcess.from_key(entry.key.removeprefix(PREFIX))
             )
         return True
 
-    async def persist(self, life: ServerProcess, within_s: float) -> bool:
-        """Returns whether the word on `life` is kept now.
+    async def persist(self, process: ServerProcess, within_s: float) -> bool:
+        """Persists the record of a process; returns whether that succeeded.
 
         Args:
-          life: one that leaves.
-          within_s: how long this may take (s).
+          process: the process that is leaving.
+          within_s: time limit (s).
         """
-        key = life.key
-        if key in self._kept:
+        key = process.key
+        if key in self._persisted:
             return True
-        self._tell_all(key)
-        kept = anyio.Event()
+        self._publish(key)
+        persisted = anyio.Event()
         with anyio.move_on_after(within_s):
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._keep_in_store, key, kept)
-                tasks.start_soon(self._keep_at_peers, key, kept)
-                await kept.wait()
+                tasks.start_soon(self._persist_in_store, key, persisted)
+                tasks.start_soon(self._persist_at_peers, key, persisted)
+                await persisted.wait()
                 tasks.cancel_scope.cancel()
-        if not kept.is_set():
+        if not persisted.is_set():
             self._log.change(
-                "Nobody keeps the word on a server that leaves.",
+                "Neither the store nor enough peers hold a leaving record.",
                 life=key,
             )
             return False
-        self._kept.add(key)
+        self._persisted.add(key)
         return True
 
     async def handle(self, request: Request) -> Response:
-        """Keeps the word that a peer brings."""
+        """Accepts a record from a peer."""
         body = await whole_body(request.body)
         try:
             key = body.decode()
         except UnicodeDecodeError as exc:
-            self._log.warning("A peer's word is malformed.", reason=str(exc))
+            self._log.warning(
+                "A leaving record of a peer is malformed.", reason=str(exc)
+            )
             return Response(400)
-        self._tell_all(key)
-        return Response(200, (), _KEPT, len(_KEPT))
+        self._publish(key)
+        return Response(200, (), _ACKNOWLEDGED, len(_ACKNOWLEDGED))
 
-    def _tell_all(self, key: str) -> None:
-        self._rumor_bus.publish(TOPIC, key, 1, msgspec.json.encode(1), KEPT_S)
+    def _publish(self, key: str) -> None:
+        self._rumor_bus.publish(
+            TOPIC, key, 1, msgspec.json.encode(1), RECORD_TTL_S
+        )
 
-    async def _keep_in_store(self, key: str, kept: anyio.Event) -> None:
+    async def _persist_in_store(self, key: str, persisted: anyio.Event) -> None:
         try:
-            lease = await self._store.grant(KEPT_S)
+            lease = await self._store.grant(RECORD_TTL_S)
             put = Put(PREFIX + key, b"1", lease)
             await self._store.transact((), (put,))
         except StoreError as exc:
-            self._log.info("The store did not keep it.", reason=str(exc)[:120])
+            self._log.info(
+                "The store did not persist a leaving record.",
+                reason=str(exc)[:120],
+            )
             return
-        kept.set()
+        persisted.set()
 
-    async def _keep_at_peers(self, key: str, kept: anyio.Event) -> None:
+    async def _persist_at_peers(self, key: str, persisted: anyio.Event) -> None:
         members = [
             m
             for m in self._directory.members()
@@ -170,15 +179,18 @@
                     _PEER_TIMEOUT_S,
                 )
             except PeerError as exc:
-                self._log.info("A peer kept nothing.", reason=str(exc)[:120])
+                self._log.info(
+                    "A peer did not confirm a leaving record.",
+                    reason=str(exc)[:120],
+                )
                 return
             confirmed.append(member.name)
-            if len(confirmed) >= PEERS_ENOUGH:
-                kept.set()
+            if len(confirmed) >= MIN_PEER_COPIES:
+                persisted.set()
 
         async with anyio.create_task_group() as tasks:
             for member in members[:_PEERS_ASKED]:
                 tasks.start_soon(ask, member)
 
     def _on_rumor(self, key: str, value: bytes) -> None:
-        self._learned(ServerProcess.from_key(key))
+        self._on_leaving(ServerProcess.from_key(key))
--- a/src/radishwind/target/tests/test_leaving_records.py
+++ b/src/radishwind/target/tests/test_leaving_records.py
@@ -70,7 +70,7 @@
         rumor_bus=rumor_bus,
         peers=HttpPeerClient(network),
         rng=random.Random(1),
-        learned=lambda life: None,
+        on_leaving=lambda process: None,
     )
 
 
