--- a/src/radishwind/target/__init__.py
+++ b/src/radishwind/target/__init__.py
@@ -1,4 +1,4 @@
-"""The target side: the one authority on the server beside the node."""
+"""The target side: decides what is sent to the node's backend server."""
 
 from radishwind.target.announcement_handler import AnnouncementHandler
 from radishwind.target.backend_server import BackendServer
--- a/src/radishwind/target/announcement_handler.py
+++ b/src/radishwind/target/announcement_handler.py
@@ -1,4 +1,4 @@
-"""Receives the announcements of the server beside, on the admin listener."""
+"""Receives the announcements of the backend server on the admin listener."""
 
 from collections.abc import Callable
 
@@ -15,7 +15,7 @@
 from radishwind.target.backend_server import BackendServer
 from radishwind.telemetry.logs import PartLogger
 
-#: Announcements are small; more is not read.
+#: The largest body of an announcement (bytes); a larger one is not read.
 MAX_BYTES = 4096
 
 _decoder = msgspec.json.Decoder(Announcement)
@@ -23,52 +23,55 @@
 
 
 class AnnouncementHandler:
-    """Answers `POST /v1/server`.
+    """Handles `POST /v1/server`.
 
     Args:
       clock: the clock.
-      server: takes the announcements.
-      started: called when a new start of the server has announced itself.
+      server: accepts the announcements.
+      on_started: called when a new process of the server has announced itself.
     """
 
     def __init__(
-        self, clock: Clock, server: BackendServer, started: Callable[[], None]
+        self,
+        clock: Clock,
+        server: BackendServer,
+        on_started: Callable[[], None],
     ) -> None:
         self._clock = clock
         self._server = server
-        self._started = started
+        self._on_started = on_started
         self._log = PartLogger("target", clock)
         self._reported_unlisted = False
 
     async def handle(self, request: Request) -> Response:
-        """Takes one announcement; 204 if it was taken."""
+        """Handles one announcement; responds with 204 if it was accepted."""
         if request.body_bytes is None or request.body_bytes > MAX_BYTES:
             return _refused(f"expected a body of at most {MAX_BYTES} bytes")
         try:
             announcement = _decoder.decode(await whole_body(request.body))
-            fresh = self._server.accept_announcement(
+            is_new = self._server.accept_announcement(
                 announcement, self._clock.monotonic()
             )
         except msgspec.MsgspecError as exc:
             return _refused(str(exc))
         except AnnouncementRefusedError as exc:
-            self._log.warning("An announcement was refused.", reason=str(exc))
+            self._log.warning("Refused an announcement.", reason=str(exc))
             return _refused(str(exc.args[0]))
-        if fresh:
+        if is_new:
             self._log.info(
                 "The server announced a new start.",
                 address=announcement.address,
             )
-            self._started()
+            self._on_started()
         self._report_unlisted(announcement.target)
         return _NO_CONTENT
 
     def _report_unlisted(self, target: str) -> None:
-        """Logs once that the inventory lacks the target."""
+        """Logs once that the inventory does not list the target."""
         unlisted = self._server.listed is False
         if unlisted and not self._reported_unlisted:
             self._log.error(
-                "The server is not in the inventory and gets nothing.",
+                "The server is not in the inventory and gets no requests.",
                 target=target,
             )
         self._reported_unlisted = unlisted
--- a/src/radishwind/target/backend_server.py
+++ b/src/radishwind/target/backend_server.py
@@ -1,4 +1,4 @@
-"""What the node knows of the server beside it: address, state, warmth."""
+"""What the node knows of its backend server: address, state, warm-up."""
 
 from collections.abc import Callable
 import enum
@@ -11,18 +11,19 @@
 from radishwind.http.types import Address
 from radishwind.outcomes.model import NotRun
 
-#: How long a server that just started counts as cold (s), unless its health
-#: tells better.
-WARM_UP_S = 10.0
+#: Time for which a server counts as cold after its start (s), unless its health
+#: checks report the warm-up.
+WARMUP_S = 10.0
 
-#: What a server that just started is given at least, as a share of a warm one.
-COLDEST = 0.1
+#: Lower bound of the warm fraction: a server that has just started gets at
+#: least this share of the load of a warm one.
+MIN_WARM_FRACTION = 0.1
 
-_RETRY_S = 1.0
+_RETRY_AFTER_S = 1.0
 
 
 class ServerState(enum.StrEnum):
-    """What a server says of itself."""
+    """The state that a server reports."""
 
     STARTING = "starting"
     READY = "ready"
@@ -30,15 +31,15 @@
 
 
 class Announcement(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a server tells the node beside it, at its start and every second.
+    """What a server reports to its node, at its start and every second.
 
     Attributes:
       target: its name in the inventory.
       address: where it receives requests, `HOST:PORT`.
-      state: whether it takes new work.
+      state: whether it accepts new work.
       instance: unique for each start of the server.
-      uptime_s: time since it started (s); `None` if it does not tell.
-      health_path: where it answers probes; empty if nowhere.
+      uptime_s: time since it started (s); `None` if not reported.
+      health_path: path of its health check; empty if it has none.
     """
 
     target: str
@@ -56,15 +57,15 @@
 
 
 class ServerView(msgspec.Struct, frozen=True):
-    """What was last announced.
+    """The server as last announced.
 
     Attributes:
       address: where the server receives requests.
-      state: as announced.
-      instance: of the announcement; empty for an address from the settings.
-      started: monotonic time (s) of its start; `None` if not told.
-      health_path: where it answers probes; empty if nowhere.
-      last_announced: monotonic time (s) of the last announcement.
+      state: the announced state.
+      instance: as announced; empty for an address from the settings.
+      started: its start (monotonic s); `None` if not reported.
+      health_path: path of its health check; empty if it has none.
+      last_announced: time of the last announcement (monotonic s).
     """
 
     address: Address
@@ -76,51 +77,51 @@
 
 
 class BackendServer:
-    """The server beside the node; nothing is sent to it unless it is listed.
+    """The backend server of this node; it gets requests only if it is listed.
 
     Args:
       target: the name of the target in the inventory.
       address: from the settings; `None` for a server that announces itself.
-      ready_changed: told whenever `ready` changes.
+      on_ready_changed: called with the new value whenever `ready` changes.
     """
 
     def __init__(
         self,
         target: str,
         address: Address | None,
-        ready_changed: Callable[[bool], None] = lambda ready: None,
+        on_ready_changed: Callable[[bool], None] = lambda ready: None,
     ) -> None:
         self._target = target
         self._view = ServerView(address) if address else None
         self._listed: bool | None = None
-        self._told_warm: float | None = None
+        self._reported_warm_fraction: float | None = None
         self._health_draining = False
-        self._ready_changed = ready_changed
-        self._ready_told = self.ready
+        self._on_ready_changed = on_ready_changed
+        self._notified_ready = self.ready
 
     @property
     def view(self) -> ServerView | None:
-        """What is known; `None` before the first announcement."""
+        """The server as last announced; `None` before that."""
         return self._view
 
     @property
     def listed(self) -> bool | None:
-        """Whether the inventory lists the target; `None` before the first."""
+        """Whether the inventory lists the target; `None` if not known yet."""
         return self._listed
 
     @property
     def ready(self) -> bool:
-        """Whether the server is known and says that it takes new work."""
+        """Whether the server is known and reports that it accepts new work."""
         return self._view is not None and not self.draining
 
     @property
     def is_domain_evacuated(self) -> bool:
-        """Whether its failure domain is to get nothing new."""
+        """Whether its failure domain gets no new work."""
         return False
 
     @property
     def draining(self) -> bool:
-        """Whether the server says that it takes no new work."""
+        """Whether the server reports that it accepts no new work."""
         if self._view is None:
             return False
         return self._health_draining or (
@@ -128,13 +129,17 @@
         )
 
     def set_listed(self, listed: bool) -> None:
-        """Takes whether the inventory lists the target."""
+        """Sets whether the inventory lists the target."""
         self._listed = listed
 
     def accept_announcement(
         self, announcement: Announcement, now: float
     ) -> bool:
-        """Takes an announcement; returns whether the server is a new start.
+        """Accepts an announcement; returns whether it is of a new start.
+
+        Args:
+          announcement: the announcement.
+          now: the time (monotonic s).
 
         Raises:
           AnnouncementRefusedError: it is for another target or malformed.
@@ -148,7 +153,7 @@
             address = Address.parse(announcement.address)
         except ValueError as exc:
             raise AnnouncementRefusedError(str(exc)) from exc
-        old = self._view
+        previous = self._view
         uptime_s = announcement.uptime_s
         self._view = ServerView(
             address,
@@ -158,61 +163,68 @@
             announcement.health_path,
             now,
         )
-        fresh = old is None or old.instance != announcement.instance
-        if fresh:
-            self._told_warm = None
+        is_new = previous is None or previous.instance != announcement.instance
+        if is_new:
+            self._reported_warm_fraction = None
             self._health_draining = False
         self._notify_ready()
-        return fresh
+        return is_new
+
+    def record_health(
+        self, state: ServerState, warm_fraction: float | None
+    ) -> None:
+        """Records the response to a probe.
 
-    def record_health(self, state: ServerState, warm: float | None) -> None:
-        """Takes what a probe was told.
+        A server that announced draining stays so whatever its health check
+        says.
 
-        A server that announced draining stays so whatever its health says.
+        Args:
+          state: the reported state.
+          warm_fraction: the reported warm fraction; `None` if not reported.
         """
         self._health_draining = state is ServerState.DRAINING
-        self._told_warm = warm
+        self._reported_warm_fraction = warm_fraction
         self._notify_ready()
 
     def _notify_ready(self) -> None:
-        if self.ready == self._ready_told:
+        if self.ready == self._notified_ready:
             return
-        self._ready_told = self.ready
-        self._ready_changed(self.ready)
+        self._notified_ready = self.ready
+        self._on_ready_changed(self.ready)
 
     def refusal(self) -> NotRun | None:
-        """Returns why nothing may be sent to the server, if so."""
+        """Returns why nothing may be sent to the server; `None` if it may."""
         if not self._listed:
             return NotRun(
                 ResultCode.TARGET_UNLISTED,
                 f"The inventory in force does not list {self._target}.",
-                _RETRY_S,
+                _RETRY_AFTER_S,
             )
         if self._view is None:
             return NotRun(
                 ResultCode.SERVER_UNANNOUNCED,
-                "The server beside has not announced itself.",
-                _RETRY_S,
+                "The backend server has not announced itself.",
+                _RETRY_AFTER_S,
             )
         if self.draining:
             return NotRun(
-                ResultCode.LEAVING, "The server is draining.", _RETRY_S
+                ResultCode.LEAVING, "The server is draining.", _RETRY_AFTER_S
             )
         return None
 
     def warm_fraction(self, now: float) -> float:
-        """Returns 0 for a server just started to 1 for a warm one."""
+        """Returns the warm-up progress, from 0 (just started) to 1 (warm)."""
         if self._view is None:
             return 0.0
-        ramp = 1.0
+        fraction = 1.0
         if self._view.started is not None:
-            ramp = min(1.0, (now - self._view.started) / WARM_UP_S)
-        if self._told_warm is not None:
-            ramp = self._told_warm
-        return max(COLDEST, min(1.0, ramp))
+            fraction = min(1.0, (now - self._view.started) / WARMUP_S)
+        if self._reported_warm_fraction is not None:
+            fraction = self._reported_warm_fraction
+        return max(MIN_WARM_FRACTION, min(1.0, fraction))
 
     def status(self, now: float) -> dict[str, Any]:
-        """Returns what operators are shown."""
+        """Returns the fields of the status page."""
         view = self._view
         if view is None:
             return {"announced": False, "listed": self._listed}
@@ -222,7 +234,9 @@
             "address": str(view.address),
             "state": "draining" if self.draining else str(view.state),
             "warm": round(self.warm_fraction(now), 3),
-            "heard_s_ago": round(now - view.last_announced, 1)
-            if view.last_announced
-            else None,
+            "heard_s_ago": (
+                round(now - view.last_announced, 1)
+                if view.last_announced
+                else None
+            ),
         }
