--- a/src/radishwind/target/registered_server.py
+++ b/src/radishwind/target/registered_server.py
@@ -1,9 +1,9 @@
-"""The server beside by its heartbeats: which life counts, and leaving.
+"""The backend server by its heartbeats: which process counts, and its leaving.
 
-Heartbeats may arrive late, also from a life that has ended. So one that was
-replaced, or that said it leaves, never comes back, while a later one under the
-same incarnation does. An incarnation that answers a request itself is believed
-before any heartbeat.
+Heartbeats may arrive late, also from a process that has ended. A process that
+was replaced or announced that it leaves is therefore never accepted again,
+while a later one under the same incarnation is. An incarnation that itself
+answers a request takes precedence over any heartbeat.
 """
 
 from collections.abc import Callable
@@ -20,38 +20,38 @@
 from radishwind.target.server_process import ServerProcess
 from radishwind.telemetry.logs import PartLogger
 
-#: Lives remembered that ended or leave; one instance has few in a day.
-MOST_REMEMBERED = 256
+#: Processes remembered that ended or leave; an instance has few in a day.
+MAX_ENDED_PROCESSES = 256
 
-#: A life that started before the believed one, by clocks that may step, is
-#: taken once the believed one was silent for so long (s): it tells itself each
-#: 1.5 s, and a heartbeat may be seconds late.
-OLDER_AFTER_S = 4.0
+#: Silence of the current process after which one that started before it, by
+#: clocks that may step, is accepted (s). The current process sends a heartbeat
+#: each 1.5 s, and a heartbeat may be seconds late.
+ACCEPT_OLDER_AFTER_S = 4.0
 
-#: When to come back to a server that is down (s): its node tells others first.
-_DOWN_RETRY_S = 0.2
+#: Retry-After while the server is down (s); its node informs the others first.
+_DOWN_RETRY_AFTER_S = 0.2
 
-#: When to come back where the failure domain is emptied (s): servers elsewhere
-#: take the request at once.
-_EMPTIED_RETRY_S = 0.05
+#: Retry-After while the failure domain is evacuated (s); servers elsewhere
+#: accept the request at once.
+_EVACUATED_RETRY_AFTER_S = 0.05
 
-#: A server that took no connection is asked again after this time (s).
-DOWN_CHECK_S = 0.25
+#: Interval at which a server that accepts no connections is checked (s).
+DOWN_CHECK_INTERVAL_S = 0.25
 
 
 class Registration(msgspec.Struct, frozen=True):
-    """What one heartbeat tells.
+    """The contents of one heartbeat.
 
     Attributes:
       incarnation: unique for each start of the server.
-      service: the service it gives; empty if not told.
+      service: the service it provides; empty if not stated.
       address: where it receives requests.
       slots: requests it runs at once.
-      leaving: whether it takes no new work any more.
-      warmup_left_s: how long it is still slow after its start (s).
-      sequence: grows with each heartbeat of one life.
-      started_ms: when it started, by its own clock (ms since the epoch, UTC); 0
-        where that was not told.
+      leaving: whether it accepts no new work any more.
+      warmup_left_s: remaining time for which it is slow after its start (s).
+      sequence: increases with each heartbeat of a process.
+      started_ms: its start time by its own clock (ms since the epoch, UTC); 0
+        if unknown.
     """
 
     incarnation: str
@@ -65,12 +65,12 @@
 
     @property
     def process(self) -> ServerProcess:
-        """The life that tells it."""
+        """The process that sent it."""
         return ServerProcess(self.incarnation, self.started_ms)
 
 
 class RegisteredServer(BackendServer):
-    """The server beside as its heartbeats and answers tell."""
+    """The backend server as known from its heartbeats and responses."""
 
     def __init__(
         self,
@@ -78,40 +78,40 @@
         service: str,
         address: Address,
         clock: Clock,
-        ready_changed: Callable[[bool], None],
+        on_ready_changed: Callable[[bool], None],
     ) -> None:
-        """Knows nothing but where the server is to be.
+        """Creates a server of which only the configured address is known.
 
         Args:
           target: the name of the target.
-          service: the service that the settings name.
-          address: where the settings say that it receives requests.
+          service: the service named by the settings.
+          address: where it receives requests according to the settings.
           clock: the clock.
-          ready_changed: told whenever `ready` changes.
+          on_ready_changed: called with the new value whenever `ready` changes.
         """
-        super().__init__(target, None, ready_changed)
+        super().__init__(target, None, on_ready_changed)
         self.set_listed(True)
         self._clock = clock
         self._log = PartLogger("target", clock)
         self._address = address
         self._health_path = ""
-        self._order = 0
+        self._sequence = 0
         self._cold_until = 0.0
         self._down_since: float | None = None
-        self._emptied = False
-        self._life = ServerProcess("")
-        # When the believed life last told of itself (monotonic s).
-        self._told_at = 0.0
-        # Those that ended or leave, the oldest first.
+        self._is_domain_evacuated = False
+        self._process = ServerProcess("")
+        # When the latest heartbeat of the current process came (monotonic s).
+        self._last_heartbeat = 0.0
+        # Processes that ended or leave, the oldest first.
         self._ended: dict[ServerProcess, None] = {}
-        # Lives believed so far; tells peers when one begins.
+        # Number of processes accepted so far; a change shows a new one.
         self.process_count = 0
         self.service = service
         self.slots = 0
 
     @property
     def incarnation(self) -> str:
-        """The incarnation believed to answer; empty if none is."""
+        """The incarnation of the current process; empty if there is none."""
         return self._view.instance if self._view else ""
 
     @property
@@ -120,86 +120,91 @@
 
     @property
     def health_path(self) -> str:
-        """Where servers of the service answer health checks."""
+        """Path of the health checks of the service."""
         return self._health_path
 
     @property
     def is_down(self) -> bool:
-        """Whether the server took no connection when it was last tried."""
+        """Whether the server refused the latest connection attempt."""
         return self._down_since is not None
 
     @property
     def is_domain_evacuated(self) -> bool:
-        """Whether the operator empties the failure domain."""
-        return self._emptied
+        """Whether the operator evacuates the failure domain."""
+        return self._is_domain_evacuated
 
     @property
     def process(self) -> ServerProcess:
-        """The life believed to answer; of no incarnation if none is."""
-        return self._life
-
-    def register(self, told: Registration) -> bool:
-        """Takes a heartbeat; returns whether it changed what is believed."""
-        if told.leaving:
-            return self.mark_leaving(told.process)
-        if self._is_over(told.process):
+        """The current process; without an incarnation if there is none."""
+        return self._process
+
+    def register(self, heartbeat: Registration) -> bool:
+        """Accepts a heartbeat; returns whether the state changed."""
+        if heartbeat.leaving:
+            return self.mark_leaving(heartbeat.process)
+        if self._has_ended(heartbeat.process):
             return False
-        if self._view is not None and told.process.may_equal(self._life):
-            return self._again(told)
-        if self._is_late(told.process):
+        if self._view is not None and heartbeat.process.may_equal(
+            self._process
+        ):
+            return self._refresh(heartbeat)
+        if self._is_outdated(heartbeat.process):
             self._log.info(
-                "A heartbeat of an earlier life is left out.",
-                believed=self._life.key,
-                told=told.process.key,
+                "Ignored a heartbeat of an earlier process.",
+                believed=self._process.key,
+                told=heartbeat.process.key,
             )
             return False
-        self._replace(told)
+        self._replace(heartbeat)
         return True
 
-    def mark_leaving(self, life: ServerProcess) -> bool:
-        """Takes that `life` takes no new work any more, for good."""
-        life = self.resolve(life)
-        if life.may_equal(self._life):
-            # An answer named the incarnation only.
-            self._life = life
-        known = life in self._ended
-        self._remember(life)
-        newer = _started_before(self._life, life)
-        if self._view is None or not (newer or life == self._life):
+    def mark_leaving(self, process: ServerProcess) -> bool:
+        """Marks `process` as leaving for good; returns whether that is news."""
+        process = self.resolve(process)
+        if process.may_equal(self._process):
+            # A response stated the incarnation only.
+            self._process = process
+        known = process in self._ended
+        self._remember_ended(process)
+        is_newer = _started_before(self._process, process)
+        if self._view is None or not (is_newer or process == self._process):
             return not known
-        if newer:
-            self._begin(life, 0)
+        if is_newer:
+            self._start_process(process, 0)
         self._view = msgspec.structs.replace(
             self._view, state=ServerState.DRAINING
         )
         if not known:
             self._log.change(
-                "The server leaves; it gets nothing new.", life=life.key
+                "The server is leaving; it gets no new requests.",
+                life=process.key,
             )
         self._notify_ready()
         return not known
 
-    def resolve(self, life: ServerProcess) -> ServerProcess:
-        """Returns `life`, or the believed one where no start was told."""
-        if life.started_ms or not life.may_equal(self._life):
-            return life
-        return self._life
+    def resolve(self, process: ServerProcess) -> ServerProcess:
+        """Returns `process`, or the current one if no start time is known."""
+        if process.started_ms or not process.may_equal(self._process):
+            return process
+        return self._process
 
     def has_ended(self, incarnation: str) -> bool:
-        """Returns whether a life of `incarnation` ended or leaves.
+        """Returns whether a process of `incarnation` ended or is leaving.
 
-        Another of the same incarnation may be running; only a heartbeat, which
-        tells when it started, can say so.
+        Another process of the same incarnation may be running. Only a heartbeat
+        can tell, since it states the start time.
         """
-        return any(life.incarnation == incarnation for life in self._ended)
+        return any(
+            process.incarnation == incarnation for process in self._ended
+        )
 
     def record_answering_incarnation(
         self, meant: str, incarnation: str
     ) -> None:
-        """Takes that `incarnation` answered where `meant` was to."""
+        """Records that `incarnation` answered a request for `meant`."""
         if meant != self.incarnation or not incarnation:
             return
-        self._remember(self._life)
+        self._remember_ended(self._process)
         view = self._view
         if view is None:
             return
@@ -209,7 +214,7 @@
         self._view = msgspec.structs.replace(
             view, instance=incarnation, state=state
         )
-        self._begin(ServerProcess(incarnation), 0)
+        self._start_process(ServerProcess(incarnation), 0)
         self._log.change(
             "Another incarnation answers at the server's address.",
             meant=meant,
@@ -218,13 +223,13 @@
         self._notify_ready()
 
     def set_health_path(self, path: str) -> None:
-        """Takes the path of health checks of the service."""
+        """Sets the path of the health checks of the service."""
         self._health_path = path
         if self._view is not None:
             self._view = msgspec.structs.replace(self._view, health_path=path)
 
     def apply_settings(self, address: Address, service: str) -> None:
-        """Takes what the settings say anew."""
+        """Applies a change of the settings."""
         if address != self._address or service != self.service:
             self._log.change(
                 "The settings name another server.",
@@ -235,97 +240,102 @@
         self.service = service
 
     def mark_unreachable(self) -> None:
-        """Takes that the server accepts no connection."""
+        """Records that the server accepts no connections."""
         if self._down_since is None:
             self._down_since = self._clock.monotonic()
             self._log.change(
-                "The server takes no connections.",
+                "The server accepts no connections.",
                 incarnation=self.incarnation,
             )
             self._notify_ready()
 
     def mark_reachable(self) -> None:
-        """Takes that the server accepted a connection."""
+        """Records that the server accepted a connection."""
         if self._down_since is None:
             return
         down_s = self._clock.monotonic() - self._down_since
         self._down_since = None
         self._log.change(
-            "The server takes connections again.",
+            "The server accepts connections again.",
             incarnation=self.incarnation,
             down_s=round(down_s, 3),
         )
         self._notify_ready()
 
-    def set_domain_evacuated(self, emptied: bool) -> None:
-        """Takes whether the operator empties the failure domain."""
-        if emptied == self._emptied:
+    def set_domain_evacuated(self, evacuated: bool) -> None:
+        """Sets whether the operator evacuates the failure domain."""
+        if evacuated == self._is_domain_evacuated:
             return
-        self._emptied = emptied
+        self._is_domain_evacuated = evacuated
         self._log.change(
-            "The failure domain is emptied; the server gets nothing."
-            if emptied
-            else "The failure domain is taken back; the server gets work."
+            "The failure domain is evacuated; the server gets no requests."
+            if evacuated
+            else "The failure domain is back in use; the server gets requests."
         )
 
     def refusal(self) -> NotRun | None:
-        if self._emptied:
+        if self._is_domain_evacuated:
             return NotRun(
                 ResultCode.DOMAIN_EMPTIED,
-                "The operator empties the failure domain of the target.",
-                _EMPTIED_RETRY_S,
+                "The operator evacuates the failure domain of the target.",
+                _EVACUATED_RETRY_AFTER_S,
             )
-        refused = super().refusal()
-        if refused is None and self._down_since is not None:
+        refusal = super().refusal()
+        if refusal is None and self._down_since is not None:
             return NotRun(
                 ResultCode.SERVER_DOWN,
-                "The server beside takes no connections.",
-                _DOWN_RETRY_S,
+                "The backend server accepts no connections.",
+                _DOWN_RETRY_AFTER_S,
             )
-        return refused
+        return refusal
 
     def warm_fraction(self, now: float) -> float:
         if self._view is None:
             return 0.0
         return 0.5 if now < self._cold_until else 1.0
 
-    def _again(self, told: Registration) -> bool:
-        """Takes a further heartbeat of the life that is believed."""
-        if told.started_ms and not self._life.started_ms:
-            # An answer named the incarnation only.
-            self._life = told.process
-        if told.sequence <= self._order:
+    def _refresh(self, heartbeat: Registration) -> bool:
+        """Accepts a further heartbeat of the current process."""
+        if heartbeat.started_ms and not self._process.started_ms:
+            # A response stated the incarnation only.
+            self._process = heartbeat.process
+        if heartbeat.sequence <= self._sequence:
             return False
-        self._order = told.sequence
-        self._note(told)
+        self._sequence = heartbeat.sequence
+        self._apply(heartbeat)
         return False
 
-    def _is_over(self, life: ServerProcess) -> bool:
-        """Returns whether `life` ended or leaves, as far as was told."""
+    def _has_ended(self, process: ServerProcess) -> bool:
+        """Returns whether `process` ended or is leaving, as far as is known."""
         return (
-            life in self._ended
-            or ServerProcess(life.incarnation) in self._ended
+            process in self._ended
+            or ServerProcess(process.incarnation) in self._ended
         )
 
-    def _is_late(self, life: ServerProcess) -> bool:
-        """Returns whether `life` is one from before the believed one."""
-        believed = self._life
-        if life.incarnation != believed.incarnation:
+    def _is_outdated(self, process: ServerProcess) -> bool:
+        """Returns whether `process` started before the current one."""
+        current = self._process
+        if process.incarnation != current.incarnation:
             return False
-        if life.started_ms > believed.started_ms:
+        if process.started_ms > current.started_ms:
             return False
-        return self._clock.monotonic() - self._told_at < OLDER_AFTER_S
-
-    def _replace(self, told: Registration) -> None:
-        before = self._life
-        if before.incarnation and not _started_before(told.process, before):
-            self._remember(before)
-        self._begin(told.process, told.sequence)
-        self._note(told)
+        return (
+            self._clock.monotonic() - self._last_heartbeat
+            < ACCEPT_OLDER_AFTER_S
+        )
+
+    def _replace(self, heartbeat: Registration) -> None:
+        previous = self._process
+        if previous.incarnation and not _started_before(
+            heartbeat.process, previous
+        ):
+            self._remember_ended(previous)
+        self._start_process(heartbeat.process, heartbeat.sequence)
+        self._apply(heartbeat)
         self._view = ServerView(
-            told.address or self._address,
+            heartbeat.address or self._address,
             ServerState.READY,
-            told.incarnation,
+            heartbeat.incarnation,
             None,
             self._health_path,
             self._clock.monotonic(),
@@ -333,36 +343,36 @@
         self._down_since = None
         self._log.change(
             "The server registered.",
-            life=told.process.key,
-            before=before.key,
-            service=told.service,
-            slots=told.slots,
+            life=heartbeat.process.key,
+            before=previous.key,
+            service=heartbeat.service,
+            slots=heartbeat.slots,
         )
         self._notify_ready()
 
-    def _begin(self, life: ServerProcess, order: int) -> None:
-        self._life = life
-        self._order = order
-        self._told_at = self._clock.monotonic()
+    def _start_process(self, process: ServerProcess, sequence: int) -> None:
+        self._process = process
+        self._sequence = sequence
+        self._last_heartbeat = self._clock.monotonic()
         self.process_count += 1
 
-    def _note(self, told: Registration) -> None:
+    def _apply(self, heartbeat: Registration) -> None:
         now = self._clock.monotonic()
-        self._told_at = now
-        self._cold_until = now + told.warmup_left_s
-        if told.slots:
-            self.slots = told.slots
-        if told.service:
-            self.service = told.service
-
-    def _remember(self, life: ServerProcess) -> None:
-        self._ended[life] = None
-        while len(self._ended) > MOST_REMEMBERED:
+        self._last_heartbeat = now
+        self._cold_until = now + heartbeat.warmup_left_s
+        if heartbeat.slots:
+            self.slots = heartbeat.slots
+        if heartbeat.service:
+            self.service = heartbeat.service
+
+    def _remember_ended(self, process: ServerProcess) -> None:
+        self._ended[process] = None
+        while len(self._ended) > MAX_ENDED_PROCESSES:
             del self._ended[next(iter(self._ended))]
 
 
-def _started_before(life: ServerProcess, other: ServerProcess) -> bool:
-    """Returns whether `life` started before `other`, a life of the same."""
-    if life.incarnation != other.incarnation:
+def _started_before(process: ServerProcess, other: ServerProcess) -> bool:
+    """Returns whether `process` is an earlier start of the same incarnation."""
+    if process.incarnation != other.incarnation:
         return False
-    return 0 < life.started_ms < other.started_ms
+    return 0 < process.started_ms < other.started_ms
--- a/src/radishwind/target/server_process.py
+++ b/src/radishwind/target/server_process.py
@@ -1,8 +1,7 @@
-"""Which start of a server is meant: its incarnation and when it started.
+"""Identifies one process of a server by its incarnation and start time.
 
-A server may start again under the incarnation that it had. Only the moment of
-its start, which it tells with all that it says of itself, tells two such lives
-apart.
+A server may restart under the same incarnation. Only its start time, which it
+states with everything it reports of itself, distinguishes the two processes.
 """
 
 import msgspec
@@ -11,12 +10,12 @@
 
 
 class ServerProcess(msgspec.Struct, frozen=True):
-    """One life of a server.
+    """One process of a server, from its start to its end.
 
     Attributes:
-      incarnation: by which requests name it.
-      started_ms: when it started, by its own clock (ms since the epoch, UTC); 0
-        where that was not told.
+      incarnation: the name by which requests address it.
+      started_ms: its start time by its own clock (ms since the epoch, UTC); 0
+        if unknown.
     """
 
     incarnation: str
@@ -24,21 +23,24 @@
 
     @property
     def key(self) -> str:
-        """Names this life in a record."""
+        """The key of this process in a record."""
         if not self.started_ms and _START_MARK not in self.incarnation:
             return self.incarnation
         return f"{self.incarnation}{_START_MARK}{self.started_ms}"
 
     @classmethod
     def from_key(cls, key: str) -> "ServerProcess":
-        """Returns the life that `key` names."""
+        """Returns the process with the given key."""
         incarnation, mark, started = key.rpartition(_START_MARK)
         if mark and started.isascii() and started.isdigit():
             return cls(incarnation, int(started))
         return cls(key)
 
     def may_equal(self, other: "ServerProcess") -> bool:
-        """Returns whether both may be the same life, by what was told."""
+        """Returns whether both may be the same process.
+
+        An unknown start time matches any.
+        """
         if self.incarnation != other.incarnation:
             return False
         if not self.started_ms or not other.started_ms:
--- a/src/radishwind/target/tests/test_server_processes.py
+++ b/src/radishwind/target/tests/test_server_processes.py
@@ -7,7 +7,7 @@
 
 from radishwind.core import ManualClock
 from radishwind.core.codes import ResultCode
-from radishwind.target.registered_server import OLDER_AFTER_S
+from radishwind.target.registered_server import ACCEPT_OLDER_AFTER_S
 from radishwind.target.registered_server import Registration
 from radishwind.target.server_process import ServerProcess
 
@@ -72,7 +72,7 @@
 
 def test_a_clock_that_stepped_back_shuts_nobody_out_for_good(server, clock):
     server.register(told(SECOND, 30))
-    clock.advance(OLDER_AFTER_S + 0.1)
+    clock.advance(ACCEPT_OLDER_AFTER_S + 0.1)
 
     assert server.register(told(FIRST, 3))
     assert server.process == ServerProcess("i-1", FIRST)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -63,7 +63,7 @@
     lines = await told_of(fleet, "ref-1")
 
     assert own_line(lines, "ref-1").fields["code"] in range(3000, 4000)
-    assert any("takes no connections" in x.text for x in lines) or any(
+    assert any("accepts no connections" in x.text for x in lines) or any(
         "a-2 drains" in x.text for x in lines
     )
 
