--- a/src/radishwind/quotas/__init__.py
+++ b/src/radishwind/quotas/__init__.py
@@ -1,9 +1,10 @@
-"""Quotas of client accounts, which hold over all nodes together.
+"""Quotas of client accounts, enforced over all nodes together.
 
-One live node an account keeps its count (`Lender`); the others (`Borrower`)
-decide at once by what they hold, tell it what they let in, and are lent more
-ahead of need. Both are decisions without a socket; `QuotaChannel` carries
-their messages.
+For each account one live node, its lender (`Lender`), keeps a token bucket. The
+other nodes (`Borrower`) admit requests by the tokens that they hold, without
+waiting. They report what they admitted, and lease further tokens before they
+run out. `Lender` and `Borrower` do no network I/O; `QuotaChannel` carries their
+messages.
 """
 
 from radishwind.quotas.borrower import Borrower
--- a/src/radishwind/quotas/borrower.py
+++ b/src/radishwind/quotas/borrower.py
@@ -1,56 +1,57 @@
-"""Decides at once on requests of accounts, by what this node holds of them.
+"""Admits requests by the tokens that this node has leased.
 
-A request is let in by what was lent ahead; else one is let in that was not
-lent, if the account has room as far as this node knows, and no further one
-until its lender confirms it. So what is let in without a lender's word is at
-most one a node and account, whatever is lost or cut off.
+A request is admitted by a leased token. Without one, a request is admitted if
+the account is not short of tokens as far as this node knows, and then no other
+one until the lender has acknowledged it. Each node thus admits at most one
+request of an account that the lender doesn't know of, whatever messages are
+lost and whichever nodes are cut off.
 """
 
 from collections.abc import Callable
 import random
 
+from radishwind.quotas.account_bucket import LEASE_S
 from radishwind.quotas.counts import AccountCounts
 from radishwind.quotas.gate import QuotaGate
 from radishwind.quotas.lender_map import LenderMap
 from radishwind.quotas.limits import QuotaLimit
-from radishwind.quotas.loan import Loan
 from radishwind.quotas.messages import LeaseGrant
 from radishwind.quotas.messages import LeaseGrantItem
 from radishwind.quotas.messages import LeaseRequest
 from radishwind.quotas.messages import LeaseRequestItem
 from radishwind.quotas.messages import ShortageNotice
 from radishwind.quotas.messages import split_into_datagrams
-from radishwind.quotas.pool import LEASE_S
-from radishwind.quotas.returns import return_in_s
+from radishwind.quotas.retry_schedule import schedule_retry_s
+from radishwind.quotas.token_lease import TokenLease
 
-#: A question without an answer is asked again after so long (s).
-ASK_AGAIN_S = 0.15
+#: An unanswered request to a lender is repeated after this time.
+REPEAT_REQUEST_S = 0.15
 
-#: A lender that answered nothing for so long is silent (s).
-SILENT_S = 0.4
+#: A lender that answered no request for this time counts as unresponsive.
+UNRESPONSIVE_S = 0.4
 
-#: A lender that answered so lately is in touch (s).
-_ANSWERED_S = 1.0
+#: A lender that answered within this time counts as reachable.
+_RECENT_ANSWER_S = 1.0
 
-#: What isn't used is given up so long before its lease is over (s).
-_GIVE_UP_S = 0.3
+#: Unused tokens are released this long before their lease expires.
+_RELEASE_BEFORE_EXPIRY_S = 0.3
 
-#: Giving up what was lent is told again after so long (s).
-_GIVES_UP_AGAIN_S = 0.1
+#: The release of tokens is reported at most once in this time.
+_RELEASE_INTERVAL_S = 0.1
 
-#: An account that had no request for so long is forgotten (s).
-IDLE_S = 3.0
+#: The state of an account without requests is removed after this time.
+IDLE_TIMEOUT_S = 3.0
 
-#: An account stays short so long after its lender said so last (s): two such
-#: messages may be lost.
-SHORT_S = 2.0
+#: A notice of a shortage is valid for this time; lenders repeat it often enough
+#: that two of them may be lost.
+SHORTAGE_TIMEOUT_S = 2.0
 
 
 class Borrower(QuotaGate):
-    """Holds what this node was lent, by account.
+    """Holds the leased tokens of this node, by account.
 
     Attributes:
-      counts: requests let in and refused, by account.
+      counts: requests admitted and refused, by account.
     """
 
     def __init__(
@@ -58,295 +59,337 @@
         lender_map: LenderMap,
         limit_of: Callable[[str], QuotaLimit | None],
         rng: random.Random,
-        ask_own: Callable[[LeaseRequest], LeaseGrant],
+        request_locally: Callable[[LeaseRequest], LeaseGrant],
         wake: Callable[[], None],
     ) -> None:
-        """Makes a borrower.
+        """Creates a borrower.
 
         Args:
-          lender_map: the nodes there are.
+          lender_map: assigns accounts to nodes.
           limit_of: returns the limit of an account in force; `None` if it has
             none.
-          rng: spreads times to come back; names this start.
-          ask_own: asks the lender in this node, at once.
-          wake: is called when `flush` has something to send.
+          rng: random source for retry times and for the id of this start.
+          request_locally: asks the lender of this node, synchronously.
+          wake: called when `pop_requests` has something to send.
         """
         self._lender_map = lender_map
         self._limit_of = limit_of
         self._rng = rng
-        self._ask_own = ask_own
+        self._request_locally = request_locally
         self._wake = wake
-        self._start = rng.getrandbits(48)
-        self._order = 0
+        self._start_id = rng.getrandbits(48)
+        self._sequence = 0
         self._session = 0
-        self._loans: dict[str, Loan] = {}
-        #: By account, who said that it is short and until when (monotonic s).
-        self._short: dict[str, tuple[str, float]] = {}
-        #: By lender, since when it has not answered (monotonic s).
-        self._unanswered: dict[str, float] = {}
-        #: By lender, when it answered last (monotonic s).
-        self._answered: dict[str, float] = {}
+        self._leases: dict[str, TokenLease] = {}
+        #: By account: the lender that announced a shortage, and until when its
+        #: notice is valid (monotonic, s).
+        self._shortages: dict[str, tuple[str, float]] = {}
+        #: By lender: since when it has not answered (monotonic, s).
+        self._unanswered_since: dict[str, float] = {}
+        #: By lender: when it last answered (monotonic, s).
+        self._answered_at: dict[str, float] = {}
         self._due: dict[str, None] = {}
         self.counts = AccountCounts()
 
     @property
     def account_count(self) -> int:
-        """How many accounts this node holds something of."""
-        return len(self._loans)
+        """Number of accounts that this node keeps state of."""
+        return len(self._leases)
 
     def admit(self, account: str, now: float) -> float | None:
         limit = self._limit_of(account)
         if limit is None:
             return None
-        loan = self._loan(account)
-        loan.came(now)
-        if not loan.held(now) and loan.lender == self._lender_map.own_name:
-            self._ask_here(account, loan, now)
-        if loan.held(now):
-            loan.spent += 1
-            if 2 * loan.held(now) < loan.want(now):
-                self._ask_soon(account)
-        elif self._may_unasked(account, limit, loan, now):
-            loan.spent += 1
-            loan.confirmed = False
-            loan.unasked_to = loan.spent
-            self._ask_soon(account)
+        lease = self._lease(account)
+        lease.record_arrival(now)
+        if (
+            not lease.available(now)
+            and lease.lender == self._lender_map.own_name
+        ):
+            self._refresh_locally(account, lease, now)
+        if lease.available(now):
+            lease.admitted += 1
+            if 2 * lease.available(now) < lease.wanted(now):
+                self._schedule_request(account)
+        elif self._may_admit_unleased(account, limit, lease, now):
+            lease.admitted += 1
+            lease.unleased_acked = False
+            lease.last_unleased = lease.admitted
+            self._schedule_request(account)
         else:
-            loan.missed = True
-            self._ask_soon(account)
+            lease.has_refused = True
+            self._schedule_request(account)
             self.counts.refused(account)
-            return return_in_s(loan, limit, self._rng, now)
+            return schedule_retry_s(lease, limit, self._rng, now)
         self.counts.admitted(account)
         return None
 
-    def refund(self, account: str, taken_at: float, now: float) -> None:
-        limit, loan = self._limit_of(account), self._loans.get(account)
-        if limit is None or loan is None:
+    def refund(self, account: str, admitted_at: float, now: float) -> None:
+        limit, lease = self._limit_of(account), self._leases.get(account)
+        if limit is None or lease is None:
             return
-        if now - taken_at > limit.taken_back_s or loan.returned >= loan.spent:
+        if (
+            now - admitted_at > limit.refund_within_s
+            or lease.refunded >= lease.admitted
+        ):
             return
-        loan.returned += 1
+        lease.refunded += 1
 
     def describe(self, account: str) -> str:
-        limit, loan = self._limit_of(account), self._loans.get(account)
-        if limit is None or loan is None:
+        limit, lease = self._limit_of(account), self._leases.get(account)
+        if limit is None or lease is None:
             return ""
-        short = account in self._short
+        short = account in self._shortages
         return (
-            f"{loan.lender} (lends quota={limit.rate_per_s:g}/s "
+            f"{lease.lender} (lends quota={limit.rate_per_s:g}/s "
             f"most={limit.max_per_window:.0f}/{limit.window_s:g}s "
-            f"nodes={loan.askers} lent_to={loan.limit} let_in={loan.spent} "
-            f"short={short})"
+            f"nodes={lease.borrower_count} lent_to={lease.admit_limit} "
+            f"let_in={lease.admitted} short={short})"
         )
 
     def handle_grant(self, grant: LeaseGrant, now: float) -> None:
-        """Takes an answer."""
-        if grant.to_start != self._start:
+        """Applies a lender's answer."""
+        if grant.start_id != self._start_id:
             return
-        self._unanswered.pop(grant.node, None)
-        self._answered[grant.node] = now
+        self._unanswered_since.pop(grant.node, None)
+        self._answered_at[grant.node] = now
         for item in grant.items:
-            loan = self._loans.get(item.account)
-            if loan is None or loan.session != item.session:
+            lease = self._leases.get(item.account)
+            if lease is None or lease.session != item.session:
                 continue
-            if loan.lender != grant.node or grant.order <= loan.heard_to:
+            if (
+                lease.lender != grant.node
+                or grant.sequence <= lease.ignored_up_to
+            ):
                 continue
-            loan.heard(grant.order)
-            self._take_item(loan, item, grant, now)
+            lease.answer_received(grant.sequence)
+            self._apply_grant(lease, item, grant, now)
 
-    def handle_shortage(self, told: ShortageNotice, now: float) -> None:
-        """Takes it that accounts are short or not; only their lender knows."""
-        for account in told.accounts:
+    def handle_shortage(self, notice: ShortageNotice, now: float) -> None:
+        """Applies a notice; ignores accounts that its sender does not lend."""
+        for account in notice.accounts:
             if self._limit_of(account) is None:
                 continue
-            if self._lender_map.lender_of(account) != told.node:
+            if self._lender_map.lender_of(account) != notice.node:
                 continue
-            self._note_room(account, told.node, told.is_over, now)
+            self._update_shortage(account, notice.node, notice.has_ended, now)
 
     def pop_requests(self, now: float) -> list[tuple[str, LeaseRequest]]:
-        """Returns the messages that are due, with the node each is for."""
+        """Returns the messages that are due, each with its recipient's name."""
         due, self._due = self._due, {}
         by_lender: dict[str, list[LeaseRequestItem]] = {}
         for account in due:
-            loan = self._loans.get(account)
-            if loan is None:
+            lease = self._leases.get(account)
+            if lease is None:
                 continue
-            if loan.lender == self._lender_map.own_name:
-                self._ask_here(account, loan, now)
+            if lease.lender == self._lender_map.own_name:
+                self._refresh_locally(account, lease, now)
                 continue
-            if loan.gave_up and now - loan.asked_at < _GIVES_UP_AGAIN_S:
+            if (
+                lease.is_released
+                and now - lease.requested_at < _RELEASE_INTERVAL_S
+            ):
                 continue
-            items = by_lender.setdefault(loan.lender, [])
-            items.append(self._item(account, loan, now))
-        asks: list[tuple[str, LeaseRequest]] = []
+            items = by_lender.setdefault(lease.lender, [])
+            items.append(self._request_item(account, lease, now))
+        requests: list[tuple[str, LeaseRequest]] = []
         for lender, items in by_lender.items():
-            self._unanswered.setdefault(lender, now)
+            self._unanswered_since.setdefault(lender, now)
             for group in split_into_datagrams(items):
-                asks.append((lender, self._ask(group, now)))
-        return asks
+                requests.append((lender, self._request(group, now)))
+        return requests
 
     def tick(self, now: float) -> None:
-        """Asks again, gives up what isn't used, and forgets what is idle."""
-        for account, loan in list(self._loans.items()):
+        """Repeats requests, releases unused tokens, removes idle accounts."""
+        for account, lease in list(self._leases.items()):
             if self._limit_of(account) is None:
-                # Nobody lends it any more, so nobody would answer.
-                del self._loans[account]
+                # The account lost its quota, so no lender would answer.
+                del self._leases[account]
                 continue
-            self._follow_lender(account, loan)
-            if self._is_idle(loan, now):
-                del self._loans[account]
-            elif self._is_due(loan, now):
-                self._ask_soon(account)
-        self._forget(now)
+            self._follow_lender(account, lease)
+            if self._is_idle(lease, now):
+                del self._leases[account]
+            elif self._is_request_due(lease, now):
+                self._schedule_request(account)
+        self._remove_outdated(now)
 
     def unresponsive_lenders(self, now: float) -> tuple[str, ...]:
-        """Returns the lenders that answer nothing.
+        """Returns the names of lenders that do not answer.
 
         Args:
           now: monotonic time (s).
         """
         return tuple(
             lender
-            for lender, since in self._unanswered.items()
-            if now - since >= SILENT_S
+            for lender, since in self._unanswered_since.items()
+            if now - since >= UNRESPONSIVE_S
         )
 
-    def _forget(self, now: float) -> None:
+    def _remove_outdated(self, now: float) -> None:
         lenders = {
-            loan.lender for loan in self._loans.values() if loan.awaits_answer
+            lease.lender
+            for lease in self._leases.values()
+            if lease.awaits_answer
         }
-        for lender in set(self._unanswered) - lenders:
-            del self._unanswered[lender]
-        self._answered = {
+        for lender in set(self._unanswered_since) - lenders:
+            del self._unanswered_since[lender]
+        self._answered_at = {
             lender: when
-            for lender, when in self._answered.items()
-            if now - when < _ANSWERED_S
+            for lender, when in self._answered_at.items()
+            if now - when < _RECENT_ANSWER_S
         }
-        self._short = {
-            account: told
-            for account, told in self._short.items()
-            if now < told[1]
+        self._shortages = {
+            account: shortage
+            for account, shortage in self._shortages.items()
+            if now < shortage[1]
         }
 
-    def _is_idle(self, loan: Loan, now: float) -> bool:
-        if loan.has_news or loan.gave_up:
+    def _is_idle(self, lease: TokenLease, now: float) -> bool:
+        if lease.has_unreported_use or lease.is_released:
             return False
-        return now - loan.used_at > IDLE_S
-
-    def _is_due(self, loan: Loan, now: float) -> bool:
-        if loan.awaits_answer:
-            return now - loan.asked_at >= ASK_AGAIN_S
-        if loan.want(now):
-            return loan.lease_until - now < LEASE_S / 2
-        if loan.limit > loan.spent and now >= loan.lease_until - _GIVE_UP_S:
-            loan.give_up(self._order)
+        return now - lease.used_at > IDLE_TIMEOUT_S
+
+    def _is_request_due(self, lease: TokenLease, now: float) -> bool:
+        """Returns whether to ask the lender; releases unused tokens in time."""
+        if lease.awaits_answer:
+            return now - lease.requested_at >= REPEAT_REQUEST_S
+        if lease.wanted(now):
+            return lease.expires_at - now < LEASE_S / 2
+        if (
+            lease.admit_limit > lease.admitted
+            and now >= lease.expires_at - _RELEASE_BEFORE_EXPIRY_S
+        ):
+            lease.release(self._sequence)
             return True
         return False
 
-    def _loan(self, account: str) -> Loan:
-        loan = self._loans.get(account)
-        if loan is None:
-            loan = self._loans[account] = Loan(
+    def _lease(self, account: str) -> TokenLease:
+        lease = self._leases.get(account)
+        if lease is None:
+            lease = self._leases[account] = TokenLease(
                 self._lender_map.lender_of(account),
                 self._next_session(),
-                heard_to=self._order,
+                ignored_up_to=self._sequence,
             )
         else:
-            self._follow_lender(account, loan)
-        return loan
+            self._follow_lender(account, lease)
+        return lease
 
     def _next_session(self) -> int:
         self._session += 1
         return self._session
 
-    def _follow_lender(self, account: str, loan: Loan) -> None:
+    def _follow_lender(self, account: str, lease: TokenLease) -> None:
+        """Moves the lease to the account's present lender."""
         lender = self._lender_map.lender_of(account)
-        if lender == loan.lender:
+        if lender == lease.lender:
             return
-        loan.move(lender, self._next_session(), self._order)
-        self._ask_soon(account)
+        lease.change_lender(lender, self._next_session(), self._sequence)
+        self._schedule_request(account)
 
-    def _may_unasked(
-        self, account: str, limit: QuotaLimit, loan: Loan, now: float
+    def _may_admit_unleased(
+        self, account: str, limit: QuotaLimit, lease: TokenLease, now: float
     ) -> bool:
-        """Returns whether one that was not lent may be let in."""
-        if not loan.confirmed or limit.unasked < 1:
+        """Returns whether a request may be admitted without a leased token."""
+        if not lease.unleased_acked or limit.max_unleased < 1:
             return False
         if self._lender_map.discovered_at(now) is None:
-            # How many others do the same can't be told.
+            # It is unknown how many other nodes do the same.
             return False
-        teller, until = self._short.get(account, ("", now))
-        if teller == loan.lender and now < until:
+        announced_by, valid_until = self._shortages.get(account, ("", now))
+        if announced_by == lease.lender and now < valid_until:
             return False
-        return self._lender_map.known_count <= limit.unasked or self._in_touch(
-            loan.lender, now
+        return (
+            self._lender_map.known_count <= limit.max_unleased
+            or self._is_reachable(lease.lender, now)
         )
 
-    def _in_touch(self, lender: str, now: float) -> bool:
+    def _is_reachable(self, lender: str, now: float) -> bool:
         """Returns whether `lender` answers, as far as this node can tell.
 
-        One that was not asked lately is taken to be where most others are.
+        A lender that was not asked recently is presumed reachable if at least
+        as many of the others answer as do not.
         """
-        silent = self.unresponsive_lenders(now)
-        if lender in silent:
+        unresponsive = self.unresponsive_lenders(now)
+        if lender in unresponsive:
             return False
-        if not silent or now - self._answered.get(lender, -1e9) < _ANSWERED_S:
+        if (
+            not unresponsive
+            or now - self._answered_at.get(lender, -1e9) < _RECENT_ANSWER_S
+        ):
             return True
-        answered = sum(
-            now - when < _ANSWERED_S for when in self._answered.values()
+        responsive_count = sum(
+            now - when < _RECENT_ANSWER_S for when in self._answered_at.values()
         )
-        return answered >= len(silent)
+        return responsive_count >= len(unresponsive)
 
-    def _ask_soon(self, account: str) -> None:
+    def _schedule_request(self, account: str) -> None:
         if not self._due:
             self._wake()
         self._due[account] = None
 
-    def _ask_here(self, account: str, loan: Loan, now: float) -> None:
-        item = self._item(account, loan, now)
-        self.handle_grant(self._ask_own(self._ask((item,), now)), now)
+    def _refresh_locally(
+        self, account: str, lease: TokenLease, now: float
+    ) -> None:
+        """Reports to the lender of this node and applies its answer."""
+        item = self._request_item(account, lease, now)
+        self.handle_grant(
+            self._request_locally(self._request((item,), now)), now
+        )
 
-    def _ask(
+    def _request(
         self, items: tuple[LeaseRequestItem, ...], now: float
     ) -> LeaseRequest:
-        self._order += 1
+        self._sequence += 1
         for item in items:
-            self._loans[item.account].told(self._order, now)
+            self._leases[item.account].request_sent(self._sequence, now)
         return LeaseRequest(
-            self._lender_map.own_name, self._start, self._order, now, items
+            self._lender_map.own_name,
+            self._start_id,
+            self._sequence,
+            now,
+            items,
         )
 
-    def _item(self, account: str, loan: Loan, now: float) -> LeaseRequestItem:
+    def _request_item(
+        self, account: str, lease: TokenLease, now: float
+    ) -> LeaseRequestItem:
         return LeaseRequestItem(
             account,
-            loan.session,
-            loan.spent,
-            loan.returned,
-            loan.spent_known,
-            loan.returned_known,
-            max(int(loan.missed), loan.want(now)),
-            loan.gave_up,
+            lease.session,
+            lease.admitted,
+            lease.refunded,
+            lease.admitted_acked,
+            lease.refunded_acked,
+            max(int(lease.has_refused), lease.wanted(now)),
+            lease.is_released,
         )
 
-    def _take_item(
-        self, loan: Loan, item: LeaseGrantItem, grant: LeaseGrant, now: float
+    def _apply_grant(
+        self,
+        lease: TokenLease,
+        item: LeaseGrantItem,
+        grant: LeaseGrant,
+        now: float,
     ) -> None:
-        loan.spent_known = max(loan.spent_known, item.spent)
-        loan.returned_known = max(loan.returned_known, item.returned)
-        loan.askers = max(1, item.askers)
-        loan.missed = False
-        if not loan.gave_up:
-            loan.limit = item.limit
-            # From when it was asked: the answer may have lain here since.
-            loan.lease_until = grant.sent_at + LEASE_S
-        if loan.spent_known >= loan.unasked_to:
-            loan.confirmed = True
-        self._note_room(item.account, grant.node, item.calm, now)
-
-    def _note_room(
-        self, account: str, lender: str, has_room: bool, now: float
+        lease.admitted_acked = max(lease.admitted_acked, item.admitted)
+        lease.refunded_acked = max(lease.refunded_acked, item.refunded)
+        lease.borrower_count = max(1, item.borrower_count)
+        lease.has_refused = False
+        if not lease.is_released:
+            lease.admit_limit = item.admit_limit
+            # Counted from the request: the answer may have waited in a buffer.
+            lease.expires_at = grant.sent_at + LEASE_S
+        if lease.admitted_acked >= lease.last_unleased:
+            lease.unleased_acked = True
+        self._update_shortage(
+            item.account, grant.node, item.allows_unleased, now
+        )
+
+    def _update_shortage(
+        self, account: str, lender: str, has_ended: bool, now: float
     ) -> None:
-        if has_room:
-            self._short.pop(account, None)
+        if has_ended:
+            self._shortages.pop(account, None)
         else:
-            self._short[account] = (lender, now + SHORT_S)
+            self._shortages[account] = (lender, now + SHORTAGE_TIMEOUT_S)
--- a/src/radishwind/quotas/gate.py
+++ b/src/radishwind/quotas/gate.py
@@ -1,43 +1,44 @@
-"""Whether an account's request lies within its quota."""
+"""Interface that enforces the quotas of accounts."""
 
 import abc
 
 
 class QuotaGate(abc.ABC):
-    """Counts the requests of accounts against their quotas."""
+    """Admits or refuses requests according to the quotas of their accounts."""
 
     @abc.abstractmethod
     def admit(self, account: str, now: float) -> float | None:
-        """Counts a request that comes now, if it lies within the quota.
+        """Admits a request if it is within the quota, and counts it.
 
         Args:
-          account: the name of the account.
+          account: name of the account.
           now: monotonic time (s).
 
         Returns:
-          `None` if it may run, else after how long there will be room (s).
+          `None` if the request is admitted, else the time after which a retry
+          is likely to be admitted (s).
         """
 
     @abc.abstractmethod
-    def refund(self, account: str, taken_at: float, now: float) -> None:
-        """Takes back the count of a request that was let in and did not run.
+    def refund(self, account: str, admitted_at: float, now: float) -> None:
+        """Undoes the count of an admitted request that did not run.
 
         Args:
-          account: the name of the account.
-          taken_at: when it was let in (monotonic s).
+          account: name of the account.
+          admitted_at: when the request was admitted (monotonic, s).
           now: monotonic time (s).
         """
 
     def describe(self, account: str) -> str:
-        """Returns what decides on the requests of `account`, for the log."""
+        """Returns what decides on requests of `account`, for the log."""
         return ""
 
 
 class NoQuotas(QuotaGate):
-    """Lets everything in."""
+    """Admits every request."""
 
     def admit(self, account: str, now: float) -> float | None:
         return None
 
-    def refund(self, account: str, taken_at: float, now: float) -> None:
-        """Counts nothing."""
+    def refund(self, account: str, admitted_at: float, now: float) -> None:
+        """Does nothing, since nothing is counted."""
--- a/src/radishwind/quotas/lender.py
+++ b/src/radishwind/quotas/lender.py
@@ -1,47 +1,48 @@
-"""Lends requests of the accounts that this node is ranked first for."""
+"""Lends tokens of the accounts that are assigned to this node."""
 
 from collections.abc import Callable
 
 from radishwind.core.clock import Clock
+from radishwind.quotas.account_bucket import AccountBucket
+from radishwind.quotas.account_bucket import BorrowerId
+from radishwind.quotas.account_bucket import LEASE_S
 from radishwind.quotas.lender_map import LenderMap
 from radishwind.quotas.limits import QuotaLimit
 from radishwind.quotas.messages import LeaseGrant
 from radishwind.quotas.messages import LeaseGrantItem
 from radishwind.quotas.messages import LeaseRequest
+from radishwind.quotas.messages import shortage_notices
 from radishwind.quotas.messages import ShortageNotice
-from radishwind.quotas.messages import shortages
-from radishwind.quotas.pool import Key
-from radishwind.quotas.pool import LEASE_S
-from radishwind.quotas.pool import Pool
 from radishwind.telemetry.logs import PartLogger
 
-#: All nodes are told again that an account is short after so long (s).
-TELL_AGAIN_S = 0.7
+#: Interval at which the notice of a continuing shortage is repeated.
+ANNOUNCE_INTERVAL_S = 0.7
 
-#: A node that stood still for longer may have been replaced meanwhile (s).
-STOOD_STILL_S = 1.0
+#: After a pause of this process longer than this, another node may have lent
+#: its accounts meanwhile.
+MAX_PAUSE_S = 1.0
 
-#: A node that just found the others lends nothing for so long (s): it may not
-#: know all yet. Nor while others still come, up to the longer time.
-SETTLES_S = 0.3
-SETTLED_BY_S = 0.7
-_COMING_S = 0.2
+#: A node that has just discovered others lends nothing for the first of these
+#: times, since it may not know all of them yet. It also waits, until the second
+#: time is over, as long as a node has appeared within the last `_JOIN_QUIET_S`.
+MIN_DISCOVERY_S = 0.3
+MAX_DISCOVERY_S = 0.7
+_JOIN_QUIET_S = 0.2
 
-#: Where nodes were lost, another may lend for so long until it notices (s).
-_BOTH_LEND_S = 1.0
+#: After nodes were lost, another node may lend the same accounts for this long
+#: until it notices.
+_MAX_OVERLAP_S = 1.0
 
-#: An account that nobody asked for is no longer told to be short (s).
-_ASKED_LATELY_S = 2.0
+#: A shortage is announced only if tokens were requested within this time.
+_DEMAND_TIMEOUT_S = 2.0
 
 
 class Lender:
-    """Keeps the pools of the accounts that this node lends.
+    """Keeps the token buckets of the accounts that this node lends.
 
-    Nothing outlives the process, and nothing is handed over: whoever begins
-    to lend has a small part of the tolerance and what time brings from then on.
-
-    Attributes:
-      lent: requests lent since the start.
+    Nothing outlives the process, and no state is handed over to another node: a
+    new lender starts with a small share of the tolerance and refills from then
+    on.
     """
 
     def __init__(
@@ -50,201 +51,225 @@
         limit_of: Callable[[str], QuotaLimit | None],
         clock: Clock,
     ) -> None:
-        """Makes a lender.
+        """Creates a lender.
 
         Args:
-          lender_map: the nodes there are.
+          lender_map: assigns accounts to nodes.
           limit_of: returns the limit of an account in force; `None` if it has
             none.
-          clock: tells log lines that come again.
+          clock: clock that suppresses repeated log lines.
         """
         self._lender_map = lender_map
         self._limit_of = limit_of
         self._log = PartLogger("quotas", clock)
-        self._pools: dict[str, Pool] = {}
+        self._buckets: dict[str, AccountBucket] = {}
         now = clock.monotonic()
         self._ready_at = now
         self._ticked_at = now
-        self._lent_before = 0
+        self._lent_by_removed = 0
 
     @property
     def tokens_lent(self) -> int:
-        """Requests lent since the start."""
-        return self._lent_before + sum(p.lent for p in self._pools.values())
+        """Number of tokens lent since the start."""
+        return self._lent_by_removed + sum(
+            b.tokens_lent for b in self._buckets.values()
+        )
 
     @property
     def account_count(self) -> int:
-        """How many accounts that are in use this node lends."""
-        return len(self._pools)
+        """Number of accounts in use that this node lends."""
+        return len(self._buckets)
 
     @property
     def short_count(self) -> int:
-        """How many of them have no room."""
-        return sum(pool.is_short for pool in self._pools.values())
+        """Number of these accounts that are short of tokens."""
+        return sum(bucket.is_short for bucket in self._buckets.values())
 
     def handle_request(
-        self, ask: LeaseRequest, now: float
+        self, request: LeaseRequest, now: float
     ) -> tuple[LeaseGrant, tuple[ShortageNotice, ...]]:
-        """Takes a question.
+        """Answers a request for tokens.
 
         Args:
-          ask: the question.
+          request: the request.
           now: monotonic time (s).
 
         Returns:
-          The answer, and what all nodes must hear.
+          The answer, and notices to be sent to all nodes.
         """
-        self._notice_pause(now)
-        key = Key(ask.node, ask.start)
+        self._check_pause(now)
+        borrower = BorrowerId(request.node, request.start_id)
         granted: list[LeaseGrantItem] = []
         short: list[str] = []
-        for item in ask.items:
-            pool = self._pool(item.account, now)
-            if pool is None:
+        for item in request.items:
+            bucket = self._bucket(item.account, now)
+            if bucket is None:
                 continue
-            pool.fill(self._lender_map.reachable_fraction, now)
-            answer = pool.take(key, ask.order, item, now)
-            pool.fill(self._lender_map.reachable_fraction, now)
+            bucket.refill(self._lender_map.reachable_fraction, now)
+            answer = bucket.handle_item(borrower, request.sequence, item, now)
+            bucket.refill(self._lender_map.reachable_fraction, now)
             if answer is not None:
                 granted.append(answer)
-                if pool.is_short and answer.limit <= answer.spent:
-                    self._note_over(item.account, pool)
-            if self._must_tell(pool, now):
+                if bucket.is_short and answer.admit_limit <= answer.admitted:
+                    self._log_over_quota(item.account, bucket)
+            if self._should_announce(bucket, now):
                 short.append(item.account)
         grant = LeaseGrant(
             self._lender_map.own_name,
-            ask.start,
-            ask.order,
-            ask.sent_at,
+            request.start_id,
+            request.sequence,
+            request.sent_at,
             tuple(granted),
         )
-        return grant, tuple(shortages(self._lender_map.own_name, short, ()))
+        return grant, tuple(
+            shortage_notices(self._lender_map.own_name, short, ())
+        )
 
     def tick(self, now: float) -> tuple[ShortageNotice, ...]:
-        """Drops what is no longer needed.
+        """Refills the buckets and removes those that are no longer needed.
 
         Args:
           now: monotonic time (s).
 
         Returns:
-          What all nodes must hear.
+          Notices to be sent to all nodes.
         """
-        self._notice_pause(now)
+        self._check_pause(now)
         self._lender_map.discovered_at(now)
         short: list[str] = []
-        roomy: list[str] = []
-        for account, pool in list(self._pools.items()):
+        recovered: list[str] = []
+        for account, bucket in list(self._buckets.items()):
             limit = self._limit_of(account)
             if limit is None:
-                self._drop(account)
+                self._remove(account)
                 continue
-            pool.limit = limit
+            bucket.limit = limit
             if self._lender_map.lender_of(account) != self._lender_map.own_name:
-                # It may come back; then it must not begin anew.
-                pool.rest(now)
-                if now - pool.asked_at > limit.window_s:
-                    self._drop(account)
+                # The bucket is kept for a window: if the account is assigned to
+                # this node again, it must not get the initial tokens again.
+                bucket.skip_refill(now)
+                if now - bucket.requested_at > limit.window_s:
+                    self._remove(account)
                 continue
-            pool.expire(now)
-            pool.fill(self._lender_map.reachable_fraction, now)
-            if pool.told_short and not pool.is_short:
-                pool.told_short = False
-                roomy.append(account)
-                self._note_back(account, pool)
-            if pool.is_idle and pool.is_full(
+            bucket.expire_leases(now)
+            bucket.refill(self._lender_map.reachable_fraction, now)
+            if bucket.shortage_announced and not bucket.is_short:
+                bucket.shortage_announced = False
+                recovered.append(account)
+                self._log_within_quota(account, bucket)
+            if bucket.is_unused and bucket.is_full(
                 self._lender_map.reachable_fraction
             ):
-                self._drop(account)
-            elif self._must_tell(pool, now):
+                self._remove(account)
+            elif self._should_announce(bucket, now):
                 short.append(account)
-        return tuple(shortages(self._lender_map.own_name, short, roomy))
+        return tuple(
+            shortage_notices(self._lender_map.own_name, short, recovered)
+        )
 
     def resume(self, now: float) -> None:
-        """Takes it that `tick` was not called since nothing had to be lent."""
+        """Restarts ticking after a time in which no account had a quota.
+
+        `tick` is not called during such a time, which is no pause of the
+        process.
+        """
         self._ticked_at = now
 
-    def _pool(self, account: str, now: float) -> Pool | None:
-        """Returns the pool of `account`; `None` if it isn't lent here."""
+    def _bucket(self, account: str, now: float) -> AccountBucket | None:
+        """Returns the bucket of `account`; `None` if not to be lent here."""
         limit = self._limit_of(account)
         if (
             limit is None
             or self._lender_map.lender_of(account) != self._lender_map.own_name
         ):
             return None
-        found_at = self._lender_map.discovered_at(now)
-        if found_at is None or not self._is_ready(found_at, now):
-            # Each node may let in one unasked until it is answered.
+        discovered_at = self._lender_map.discovered_at(now)
+        if discovered_at is None or not self._is_ready(discovered_at, now):
+            # Each node may admit one request without a token until the lender
+            # answers it.
             return None
-        pool = self._pools.get(account)
-        if pool is None:
-            pool = self._pools[account] = self._open(limit, found_at, now)
-        pool.limit = limit
-        return pool
-
-    def _is_ready(self, found_at: float, now: float) -> bool:
-        if now < max(self._ready_at, found_at + SETTLES_S):
+        bucket = self._buckets.get(account)
+        if bucket is None:
+            bucket = self._buckets[account] = self._create_bucket(
+                limit, discovered_at, now
+            )
+        bucket.limit = limit
+        return bucket
+
+    def _is_ready(self, discovered_at: float, now: float) -> bool:
+        if now < max(self._ready_at, discovered_at + MIN_DISCOVERY_S):
             return False
-        if now - found_at >= SETTLED_BY_S:
+        if now - discovered_at >= MAX_DISCOVERY_S:
             return True
-        return now - self._lender_map.changed_at >= _COMING_S
+        return now - self._lender_map.changed_at >= _JOIN_QUIET_S
+
+    def _create_bucket(
+        self, limit: QuotaLimit, discovered_at: float, now: float
+    ) -> AccountBucket:
+        """Creates a bucket, filled as if refilled since this node is lender.
 
-    def _open(self, limit: QuotaLimit, found_at: float, now: float) -> Pool:
-        """Opens a pool: full if nobody else can have lent for long enough."""
+        It is full if no other node can have lent the account for long enough.
+        """
         since = max(
             self._lender_map.changed_at,
-            self._lender_map.lost_at + _BOTH_LEND_S,
+            self._lender_map.lost_at + _MAX_OVERLAP_S,
             self._ready_at,
-            found_at + SETTLES_S,
+            discovered_at + MIN_DISCOVERY_S,
         )
-        share = self._lender_map.reachable_fraction
+        fraction = self._lender_map.reachable_fraction
         gained = max(0.0, now - since) * limit.rate_per_s
-        level = min(limit.depth, limit.opening + gained) * share
-        return Pool(limit, level, since, now)
+        level = min(limit.depth, limit.initial_tokens + gained) * fraction
+        return AccountBucket(limit, level, since, now)
 
-    def _must_tell(self, pool: Pool, now: float) -> bool:
-        if not pool.is_short or now - pool.told_short_at < TELL_AGAIN_S:
+    def _should_announce(self, bucket: AccountBucket, now: float) -> bool:
+        """Returns whether to announce a shortage now; records that it was."""
+        if (
+            not bucket.is_short
+            or now - bucket.announced_at < ANNOUNCE_INTERVAL_S
+        ):
             return False
-        if now - pool.asked_at > _ASKED_LATELY_S:
+        if now - bucket.requested_at > _DEMAND_TIMEOUT_S:
             return False
-        pool.told_short_at = now
-        pool.told_short = True
+        bucket.announced_at = now
+        bucket.shortage_announced = True
         return True
 
-    def _note_over(self, account: str, pool: Pool) -> None:
-        if pool.is_over:
+    def _log_over_quota(self, account: str, bucket: AccountBucket) -> None:
+        if bucket.is_over_quota:
             return
-        pool.is_over = True
+        bucket.is_over_quota = True
         self._log.info(
             f"Account {account} is over its quota.",
-            rate_per_s=pool.limit.rate_per_s,
-            most=round(pool.limit.max_per_window, 1),
-            window_s=pool.limit.window_s,
-            level=round(pool.level, 1),
+            rate_per_s=bucket.limit.rate_per_s,
+            most=round(bucket.limit.max_per_window, 1),
+            window_s=bucket.limit.window_s,
+            level=round(bucket.level, 1),
             share=round(self._lender_map.reachable_fraction, 3),
         )
 
-    def _note_back(self, account: str, pool: Pool) -> None:
-        if not pool.is_over:
+    def _log_within_quota(self, account: str, bucket: AccountBucket) -> None:
+        if not bucket.is_over_quota:
             return
-        pool.is_over = False
+        bucket.is_over_quota = False
         self._log.info(
-            f"Account {account} has room again.", level=round(pool.level, 1)
+            f"Account {account} is within its quota again.",
+            level=round(bucket.level, 1),
         )
 
-    def _drop(self, account: str) -> None:
-        self._lent_before += self._pools.pop(account).lent
+    def _remove(self, account: str) -> None:
+        self._lent_by_removed += self._buckets.pop(account).tokens_lent
 
-    def _notice_pause(self, now: float) -> None:
-        """Begins anew where this node stood still and others may have lent."""
+    def _check_pause(self, now: float) -> None:
+        """Discards all buckets after a pause, since others may have lent."""
         paused_s = now - self._ticked_at
         self._ticked_at = now
-        if paused_s <= STOOD_STILL_S:
+        if paused_s <= MAX_PAUSE_S:
             return
         self._log.change(
-            "Stood still; lends accounts anew.",
+            "Process was paused; discarded the token buckets of all accounts.",
             paused_s=round(paused_s, 2),
-            accounts=len(self._pools),
+            accounts=len(self._buckets),
         )
-        for account in tuple(self._pools):
-            self._drop(account)
+        for account in tuple(self._buckets):
+            self._remove(account)
         self._ready_at = now + LEASE_S
--- a/src/radishwind/quotas/lender_map.py
+++ b/src/radishwind/quotas/lender_map.py
@@ -1,40 +1,42 @@
-"""Which node lends what: the nodes there are, ranked by hash an account."""
+"""Assigns each account to the node that lends its quota."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
 
 import xxhash
 
-#: Lenders remembered; all are found anew when the nodes change.
-_REMEMBERED = 4096
+#: Cached assignments of accounts; the cache is emptied when full.
+_MAX_CACHED_LENDERS = 4096
 
 
 class LenderMap:
-    """The nodes that a node knows, and who of them lends.
+    """Known nodes, and the lender of each account among them.
 
     Attributes:
-      own_name: the name of this node.
-      live: those that may be in touch; this one among them unless it leaves.
-      known_count: how many there may be at all, those out of touch among them.
-      changed_at: when one came or went last (monotonic s).
-      lost_at: when one was lost that did not say that it leaves (monotonic s).
+      own_name: name of this node.
+      live: names of nodes that are presumed reachable; includes this node
+        unless it is leaving.
+      known_count: number of nodes that may exist, unreachable ones included.
+      changed_at: when a node last appeared or disappeared (monotonic, s).
+      lost_at: when a node last disappeared without announcing that it leaves
+        (monotonic, s).
     """
 
     def __init__(
-        self, own: str, now: float, is_alone: Callable[[], bool]
+        self, own_name: str, now: float, is_alone: Callable[[], bool]
     ) -> None:
-        """Makes a lender_map of one node that knows nobody yet.
+        """Creates a map that contains this node only.
 
         Args:
-          own: the name of this node.
+          own_name: name of this node.
           now: monotonic time (s).
-          is_alone: returns whether there is proof that no other node is there;
-            that none was heard of is no proof.
+          is_alone: returns whether it is proven that no other node exists.
+            Having heard of none is no proof.
         """
-        self.own_name = own
+        self.own_name = own_name
         self._is_alone = is_alone
         self._discovered_at: float | None = None
-        self.live: frozenset[str] = frozenset((own,))
+        self.live: frozenset[str] = frozenset((own_name,))
         self.known_count = 1
         self.changed_at = now
         self.lost_at = -float("inf")
@@ -42,18 +44,18 @@
 
     @property
     def reachable_fraction(self) -> float:
-        """The part of all nodes that is in touch with this one."""
+        """Fraction of all known nodes that is presumed reachable."""
         return len(self.live) / self.known_count
 
     def discovered_at(self, now: float) -> float | None:
-        """Returns since when it is known who else there is (monotonic s).
+        """Returns since when the other nodes are known (monotonic, s).
 
         Args:
           now: monotonic time (s).
 
         Returns:
-          When another node was heard of first, or it was proved that there is
-          none; `None` before.
+          When this node first heard of another one, or found it proven that
+          there is none; `None` if neither has happened yet.
         """
         if self._discovered_at is None and (
             self.known_count > 1 or self._is_alone()
@@ -64,11 +66,11 @@
     def update_members(
         self, live: Iterable[str], known: int, now: float
     ) -> None:
-        """Takes the nodes there are.
+        """Replaces the set of nodes.
 
         Args:
-          live: the names of those that may be in touch and do not leave.
-          known: how many there may be, those believed dead among them.
+          live: names of the nodes that are presumed reachable and not leaving.
+          known: number of nodes that may exist, suspected dead ones included.
           now: monotonic time (s).
         """
         names = frozenset(live) or frozenset((self.own_name,))
@@ -77,22 +79,22 @@
         self.discovered_at(now)
         if names == self.live:
             return
-        came, went = names - self.live, self.live - names
+        added, removed = names - self.live, self.live - names
         self.live = names
         self.changed_at = now
         if lost:
             self.lost_at = now
-        self._move(came, went)
+        self._reassign(added, removed)
 
     def lender_of(self, account: str) -> str:
-        """Returns the node that lends requests of `account`.
+        """Returns the name of the node that lends the quota of `account`.
 
-        Each node has its own rank for each account (rendezvous hashing), so
-        that a node that comes or goes moves its own accounts only.
+        Rendezvous hashing: each node has its own rank for each account, so a
+        node that joins or leaves moves only the accounts assigned to it.
         """
         found = self._lenders.get(account)
         if found is None:
-            if len(self._lenders) >= _REMEMBERED:
+            if len(self._lenders) >= _MAX_CACHED_LENDERS:
                 self._lenders.clear()
             found = max(
                 self.live, key=lambda name: (_rank(name, account), name)
@@ -100,14 +102,14 @@
             self._lenders[account] = found
         return found
 
-    def _move(self, came: frozenset[str], went: frozenset[str]) -> None:
-        """Follows a change for the accounts that were asked for."""
+    def _reassign(self, added: frozenset[str], removed: frozenset[str]) -> None:
+        """Updates the cached assignments after a change of the nodes."""
         for account, lender in list(self._lenders.items()):
-            if lender in went:
+            if lender in removed:
                 del self._lenders[account]
                 continue
             self._lenders[account] = max(
-                (lender, *came), key=lambda name: (_rank(name, account), name)
+                (lender, *added), key=lambda name: (_rank(name, account), name)
             )
 
 
--- a/src/radishwind/quotas/limits.py
+++ b/src/radishwind/quotas/limits.py
@@ -1,8 +1,9 @@
-"""What an account may use, and how the tolerance of its bound is shared out.
+"""Derived limits of an account, and how the tolerance is divided.
 
-In any window all nodes together let in at most `rate x window + burst`, and a
-tolerance beside it. The tolerance pays for what nodes can't know of each other
-in time: of each part below the sum is at most the whole.
+In any window all nodes together admit at most `rate * window + burst` requests
+plus a tolerance. The tolerance covers what the nodes cannot know about each
+other in time. It is divided among the causes listed below, whose shares add up
+to at most the whole.
 """
 
 from typing import Self
@@ -11,51 +12,54 @@
 
 from radishwind.accounts import Account
 
-#: Parts of the tolerance: what may be held beyond the burst; what one who
-#: begins to lend has at once, without knowing what another lent; what nodes
-#: let in without having been lent it. The rest is for two who lend at once and
-#: for requests that are taken back late.
-_HELD = 0.4
-_OPENING = 0.2
-_UNASKED = 0.3
+#: Shares of the tolerance: bucket depth beyond the burst; tokens that a new
+#: lender starts with, not knowing what another one lent; and requests that
+#: nodes admit without a leased token. The rest covers two lenders of one
+#: account at the same time and requests that are refunded late.
+_DEPTH_SHARE = 0.4
+_INITIAL_SHARE = 0.2
+_UNLEASED_SHARE = 0.3
 
-#: Requests that did not run are taken back within this time (s).
-MOST_TAKEN_BACK_S = 1.0
+#: A request that did not run is refunded only within this time.
+MAX_REFUND_DELAY_S = 1.0
 
 
 class QuotaBounds(msgspec.Struct, frozen=True):
-    """How exactly the quotas of all accounts are kept.
+    """How precisely the quotas of all accounts are enforced.
 
     Attributes:
-      window_s: the window in which requests are counted (s).
-      over: the tolerance, as a part of what the quota allows in a window.
-      slack: requests of tolerance beside that, an account and window.
+      window_s: window over which requests are counted (s).
+      tolerance_ratio: tolerance as a fraction of what the quota allows in a
+        window.
+      tolerance_requests: further tolerance for each account and window
+        (requests).
     """
 
     window_s: float = 5.0
-    over: float = 0.1
-    slack: float = 20.0
+    tolerance_ratio: float = 0.1
+    tolerance_requests: float = 20.0
 
 
 class QuotaLimit(msgspec.Struct, frozen=True):
-    """What one account may use, worked out.
+    """Limits of one account, derived from its quota and the bounds.
 
     Attributes:
-      rate_per_s: requests a second over all nodes.
-      depth: requests that may be held at once over all nodes.
-      opening: what one who begins to lend has at once (requests).
-      unasked: nodes that may each let in one request without a lender.
-      taken_back_s: a request that did not run is taken back so long after it
-        was let in (s).
-      window_s: the window of the bound (s).
-      max_per_window: the bound (requests a window).
+      rate_per_s: refill rate over all nodes (requests/s).
+      depth: tokens that the bucket holds at most.
+      initial_tokens: tokens that a new lender starts with.
+      max_unleased: number of nodes that may each admit one request without a
+        leased token.
+      refund_within_s: how long after its admission a request that did not run
+        can be refunded (s).
+      window_s: window of the bound (s).
+      max_per_window: the bound (requests per window).
     """
 
     rate_per_s: float
     depth: float
-    opening: float
-    unasked: float
-    taken_back_s: float
+    initial_tokens: float
+    max_unleased: float
+    refund_within_s: float
     window_s: float
     max_per_window: float
 
@@ -66,14 +70,16 @@
             return None
         rate, burst = account.rate_per_s, account.burst
         quota = rate * bounds.window_s + burst
-        tolerance = bounds.over * quota + bounds.slack
-        spare = (1 - _HELD - _OPENING - _UNASKED) * tolerance
+        tolerance = bounds.tolerance_ratio * quota + bounds.tolerance_requests
+        spare = (
+            1 - _DEPTH_SHARE - _INITIAL_SHARE - _UNLEASED_SHARE
+        ) * tolerance
         return cls(
             rate_per_s=rate,
-            depth=max(1.0, burst + _HELD * tolerance),
-            opening=_OPENING * tolerance,
-            unasked=_UNASKED * tolerance,
-            taken_back_s=min(MOST_TAKEN_BACK_S, spare / rate),
+            depth=max(1.0, burst + _DEPTH_SHARE * tolerance),
+            initial_tokens=_INITIAL_SHARE * tolerance,
+            max_unleased=_UNLEASED_SHARE * tolerance,
+            refund_within_s=min(MAX_REFUND_DELAY_S, spare / rate),
             window_s=bounds.window_s,
             max_per_window=quota + tolerance,
         )
--- a/src/radishwind/quotas/messages.py
+++ b/src/radishwind/quotas/messages.py
@@ -1,4 +1,4 @@
-"""The datagrams by which quotas are lent, as msgpack arrays."""
+"""Datagrams of the quota protocol, encoded as msgpack arrays."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -8,96 +8,98 @@
 
 import msgspec
 
-#: The longest list of items in one datagram (bytes), beside the names of nodes.
-_ITEMS_BYTES = 1_000
+#: Size limit of the items in one datagram, without the names of the nodes.
+_MAX_ITEMS_BYTES = 1_000
 
-#: Bytes of an item beside its account's name, at most.
-_ITEM_BYTES = 56
+#: Upper bound of an item's encoded size without the name of its account.
+_ITEM_OVERHEAD_BYTES = 56
 
 _Count = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 _Name = Annotated[str, msgspec.Meta(min_length=1, max_length=255)]
 
 
 class LeaseRequestItem(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """What a node used of one account and wants to hold.
+    """What a borrower used of one account, and the tokens it wants.
 
     Attributes:
-      account: its name.
-      session: names what the counts below begin with; grows.
-      spent: requests let in since then.
-      returned: of these, those taken back since they did not run.
-      spent_known: of `spent`, what a lender has confirmed.
-      returned_known: the same of `returned`.
-      want: requests that it wants to hold.
-      gives_up: whether it holds nothing any more of what it was lent.
+      account: name of the account.
+      session: identifies the counts below, which begin at zero; increases.
+      admitted: requests admitted in this session.
+      refunded: of these, those refunded since they did not run.
+      admitted_acked: value of `admitted` that a lender has acknowledged.
+      refunded_acked: value of `refunded` that a lender has acknowledged.
+      wanted: tokens that the borrower wants to hold.
+      releases: whether the borrower has released all tokens it was lent.
     """
 
     account: _Name
     session: _Count
-    spent: _Count
-    returned: _Count
-    spent_known: _Count
-    returned_known: _Count
-    want: _Count
-    gives_up: bool
+    admitted: _Count
+    refunded: _Count
+    admitted_acked: _Count
+    refunded_acked: _Count
+    wanted: _Count
+    releases: bool
 
 
 class LeaseRequest(
     msgspec.Struct, frozen=True, array_like=True, tag=1, gc=False
 ):
-    """Tells the node that lends what another used, and asks for more.
+    """Reports use to a lender and asks it for tokens.
 
     Attributes:
-      node: who asks.
-      start: names its start.
-      order: grows with each of its messages.
-      sent_at: when by its own clock (s); comes back with the answer.
-      items: by account.
+      node: name of the borrower.
+      start_id: identifies the start of the borrower's process.
+      sequence: sequence number; increases with each message of the borrower.
+      sent_at: when it was sent, by the borrower's clock (s); the answer echoes
+        it.
+      items: one item for each account.
     """
 
     node: _Name
-    start: _Count
-    order: _Count
+    start_id: _Count
+    sequence: _Count
     sent_at: float
     items: tuple[LeaseRequestItem, ...]
 
 
 class LeaseGrantItem(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """What a node is lent of one account.
+    """Tokens of one account that a borrower is lent.
 
     Attributes:
-      account: its name.
-      session: as asked.
-      spent: what the lender has counted of it.
-      returned: the same of what was taken back.
-      limit: up to this of `spent` it may let in.
-      calm: whether there is room, so that one may be let in unasked.
-      askers: how many nodes use the account.
+      account: name of the account.
+      session: session of the request.
+      admitted: admitted requests that the lender has counted.
+      refunded: refunded requests that the lender has counted.
+      admit_limit: the borrower may admit up to this value of `admitted`.
+      allows_unleased: whether the bucket has tokens left, so that a request
+        may be admitted without a leased one.
+      borrower_count: number of nodes that use the account.
     """
 
     account: _Name
     session: _Count
-    spent: _Count
-    returned: _Count
-    limit: _Count
-    calm: bool
-    askers: _Count
+    admitted: _Count
+    refunded: _Count
+    admit_limit: _Count
+    allows_unleased: bool
+    borrower_count: _Count
 
 
 class LeaseGrant(msgspec.Struct, frozen=True, array_like=True, tag=2, gc=False):
-    """Answers an `LeaseRequest`.
+    """Answers a `LeaseRequest`.
 
     Attributes:
-      node: who lends.
-      to_start: the start of the node that asked.
-      order: of the message that is answered.
-      sent_at: the same.
-      items: by account.
+      node: name of the lender.
+      start_id: start of the borrower, copied from the request.
+      sequence: sequence number of the request.
+      sent_at: when the request was sent, by the borrower's clock (s).
+      items: one item for each account.
     """
 
     node: _Name
-    to_start: _Count
-    order: _Count
+    start_id: _Count
+    sequence: _Count
     sent_at: float
     items: tuple[LeaseGrantItem, ...]
 
@@ -105,19 +107,19 @@
 class ShortageNotice(
     msgspec.Struct, frozen=True, array_like=True, tag=3, gc=False
 ):
-    """Says that accounts have no room, or room again.
+    """Announces that accounts are short of tokens, or no longer are.
 
-    While they have none, nothing is let in unasked.
+    During a shortage no request is admitted without a leased token.
 
     Attributes:
-      node: who lends.
-      accounts: their names.
-      is_over: whether they have room again.
+      node: name of the lender.
+      accounts: names of the accounts.
+      has_ended: whether the shortage has ended.
     """
 
     node: _Name
     accounts: tuple[_Name, ...]
-    is_over: bool = False
+    has_ended: bool = False
 
 
 QuotaMessage: TypeAlias = LeaseRequest | LeaseGrant | ShortageNotice
@@ -129,48 +131,53 @@
 
 
 def encode(message: QuotaMessage) -> bytes:
-    """Returns `message` as a datagram."""
+    """Returns `message` encoded as a datagram."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes) -> QuotaMessage | None:
-    """Returns the message in a datagram; `None` if there is none."""
+    """Returns the message in a datagram; `None` if it is malformed."""
     try:
         return _decoder.decode(data)
     except msgspec.MsgspecError:
         return None
 
 
-def split_into_datagrams(items: Iterable[_Item]) -> Iterator[tuple[_Item, ...]]:
-    """Yields `items` in groups that each fit a datagram."""
+def split_into_datagrams(
+    items: Iterable[_Item],
+) -> Iterator[tuple[_Item, ...]]:
+    """Yields `items` in groups that each fit one datagram."""
     group: list[_Item] = []
     size = 0
     for item in items:
-        more = len(item.account.encode()) + _ITEM_BYTES
-        if group and size + more > _ITEMS_BYTES:
+        item_size = len(item.account.encode()) + _ITEM_OVERHEAD_BYTES
+        if group and size + item_size > _MAX_ITEMS_BYTES:
             yield tuple(group)
             group, size = [], 0
         group.append(item)
-        size += more
+        size += item_size
     if group:
         yield tuple(group)
 
 
-#: Accounts named in one message of a shortage.
-_NAMED = 4
+#: Maximum number of accounts in one shortage notice.
+_MAX_NOTICE_ACCOUNTS = 4
 
 
-def shortages(
-    node: str, short: Iterable[str], roomy: Iterable[str]
+def shortage_notices(
+    node: str, short: Iterable[str], recovered: Iterable[str]
 ) -> Iterator[ShortageNotice]:
-    """Yields the messages that tell which accounts are short, or no more.
+    """Yields the notices that announce the begin or end of shortages.
 
     Args:
-      node: who lends.
-      short: the accounts without room.
-      roomy: those with room again.
+      node: name of the lender.
+      short: accounts that are short of tokens.
+      recovered: accounts that no longer are.
     """
-    for accounts, is_over in ((tuple(short), False), (tuple(roomy), True)):
-        for first in range(0, len(accounts), _NAMED):
-            named = accounts[first : first + _NAMED]
-            yield ShortageNotice(node, named, is_over)
+    for accounts, has_ended in (
+        (tuple(short), False),
+        (tuple(recovered), True),
+    ):
+        for first in range(0, len(accounts), _MAX_NOTICE_ACCOUNTS):
+            batch = accounts[first : first + _MAX_NOTICE_ACCOUNTS]
+            yield ShortageNotice(node, batch, has_ended)
--- a/tests/support/quota_net.py
+++ b/tests/support/quota_net.py
@@ -1,4 +1,4 @@
-"""Nodes that lend each other requests of accounts, in virtual time."""
+"""Simulated nodes that share the quotas of accounts, in virtual time."""
 
 import collections
 import dataclasses
@@ -24,104 +24,123 @@
 BATCH_S = 0.01
 
 
-class Node:
-    """One node; what it sends goes to its net."""
+class QuotaNode:
+    """One simulated node; its messages go through the network."""
 
-    def __init__(self, net, name, members):
-        self.net, self.name = net, name
-        self.limits = net.limits
+    def __init__(self, network, name, members):
+        self.network, self.name = network, name
+        self.limits = network.limits
         self.frozen = False
         self.alive = True
-        self.hears_at = 0.0
-        self.lender_map = LenderMap(name, net.now, lambda: len(net.nodes) == 1)
-        self.lender_map.update_members(members, len(members), net.now)
-        self.lender = Lender(self.lender_map, self.limit_of, net.clock)
+        self.members_known_at = 0.0
+        self.lender_map = LenderMap(
+            name, network.now, lambda: len(network.nodes) == 1
+        )
+        self.lender_map.update_members(members, len(members), network.now)
+        self.lender = Lender(self.lender_map, self.limit_of, network.clock)
         self.borrower = Borrower(
-            self.lender_map, self.limit_of, net.rng, self.ask_own, self.wake
+            self.lender_map,
+            self.limit_of,
+            network.rng,
+            self.request_locally,
+            self.wake,
         )
-        net.at(net.now + net.rng.random() * TICK_S, self.tick)
+        network.at(network.now + network.rng.random() * TICK_S, self.tick)
 
     def limit_of(self, account):
         return self.limits.get(account)
 
-    def ask_own(self, ask):
-        grant, short = self.lender.handle_request(ask, self.net.now)
-        self.tell(short)
+    def request_locally(self, request):
+        grant, notices = self.lender.handle_request(request, self.network.now)
+        self.broadcast(notices)
         return grant
 
     def wake(self):
-        self.net.at(self.net.now + BATCH_S, self.flush)
+        self.network.at(self.network.now + BATCH_S, self.flush)
 
     def flush(self):
         if not self.alive:
             return
         if self.frozen:
-            self.net.at(self.net.now + BATCH_S, self.flush)
+            self.network.at(self.network.now + BATCH_S, self.flush)
             return
-        for lender, ask in self.borrower.pop_requests(self.net.now):
-            self.net.send(self.name, lender, ask)
+        for lender, request in self.borrower.pop_requests(self.network.now):
+            self.network.send(self.name, lender, request)
 
     def tick(self):
         if not self.alive:
             return
-        self.net.at(self.net.now + TICK_S, self.tick)
+        self.network.at(self.network.now + TICK_S, self.tick)
         if self.frozen:
             return
-        self.tell(self.lender.tick(self.net.now))
-        self.borrower.tick(self.net.now)
+        self.broadcast(self.lender.tick(self.network.now))
+        self.borrower.tick(self.network.now)
         self.flush()
 
-    def tell(self, shortages):
-        for told in shortages:
-            self.borrower.handle_shortage(told, self.net.now)
-            for other in self.net.nodes:
+    def broadcast(self, notices):
+        for notice in notices:
+            self.borrower.handle_shortage(notice, self.network.now)
+            for other in self.network.nodes:
                 if other != self.name:
-                    self.net.send(self.name, other, told)
+                    self.network.send(self.name, other, notice)
 
-    def hear(self, sender, data):
+    def receive(self, sender, data):
         if not self.alive:
             return
         if self.frozen:
-            self.net.held.append((self, sender, data))
+            self.network.deferred.append((self, sender, data))
             return
         message = decode(data)
         if isinstance(message, LeaseRequest):
-            grant, short = self.lender.handle_request(message, self.net.now)
-            self.net.send(self.name, sender, grant)
-            self.tell(short)
+            grant, notices = self.lender.handle_request(
+                message, self.network.now
+            )
+            self.network.send(self.name, sender, grant)
+            self.broadcast(notices)
         elif isinstance(message, LeaseGrant):
-            self.borrower.handle_grant(message, self.net.now)
+            self.borrower.handle_grant(message, self.network.now)
         else:
-            self.borrower.handle_shortage(message, self.net.now)
+            self.borrower.handle_shortage(message, self.network.now)
 
 
 @dataclasses.dataclass
-class Net:
-    """Nodes, the way between them, and what they let in."""
+class QuotaNetwork:
+    """Simulated nodes, the network between them, and the requests admitted.
+
+    Attributes:
+      accounts: client accounts.
+      node_count: number of nodes.
+      seed: seed of the random source.
+      bounds: bounds that the limits are derived from.
+      loss: fraction of messages that are lost.
+      duplication: fraction of messages that are delivered twice.
+      delay: shortest and longest delay of a message (s).
+      settled: whether to run for some seconds first, so that lenders are ready.
+    """
 
     accounts: list
-    count: int
+    node_count: int
     seed: int = 1
     bounds: QuotaBounds = BOUNDS
     loss: float = 0.0
-    repeat: float = 0.0
+    duplication: float = 0.0
     delay: tuple = (0.0005, 0.003)
     settled: bool = True
 
     def __post_init__(self):
         self.clock = ManualClock()
         self.rng = random.Random(self.seed)
-        self.events, self.held = [], []
-        self.numbers = itertools.count()
+        self.events, self.deferred = [], []
+        self.event_numbers = itertools.count()
         self.limits = self.limits_of(self.accounts)
-        self.side = {}
+        self.partitions = {}
         self.sent = self.bytes_sent = 0
         self.admitted = collections.defaultdict(list)
         self.refused = collections.defaultdict(list)
-        names = [f"n{i:04}" for i in range(self.count)]
+        names = [f"n{i:04}" for i in range(self.node_count)]
         self.nodes = {}
         for name in names:
-            self.nodes[name] = Node(self, name, names)
+            self.nodes[name] = QuotaNode(self, name, names)
         if self.settled:
             self.run_until(5.0)
 
@@ -135,7 +154,7 @@
         return self.clock.monotonic()
 
     def at(self, when, call):
-        heapq.heappush(self.events, (when, next(self.numbers), call))
+        heapq.heappush(self.events, (when, next(self.event_numbers), call))
 
     def run_until(self, end):
         while self.events and self.events[0][0] <= end:
@@ -149,128 +168,154 @@
         assert len(data) < 1_400
         self.sent += 1
         self.bytes_sent += len(data)
-        copies = 1 + (self.rng.random() < self.repeat)
+        copies = 1 + (self.rng.random() < self.duplication)
         for _ in range(copies):
             if self.rng.random() < self.loss:
                 continue
-            late = self.rng.uniform(*self.delay)
-            self.at(self.now + late, lambda: self.deliver(sender, to, data))
+            delay_s = self.rng.uniform(*self.delay)
+            self.at(self.now + delay_s, lambda: self.deliver(sender, to, data))
 
     def deliver(self, sender, to, data):
-        if self.side.get(sender) == self.side.get(to):
-            self.nodes[to].hear(sender, data)
+        if self.partitions.get(sender) == self.partitions.get(to):
+            self.nodes[to].receive(sender, data)
 
-    def ask(self, node, account):
-        """One request at `node` now; returns whether it was let in."""
+    def request(self, node, account):
+        """Sends a request to `node` now; returns whether it was admitted."""
         wait_s = self.nodes[node].borrower.admit(account, self.now)
-        into = self.admitted if wait_s is None else self.refused
-        into[account].append(self.now)
+        times = self.admitted if wait_s is None else self.refused
+        times[account].append(self.now)
         return wait_s is None
 
     def cut(self, names, detect=(1.0, 3.0)):
-        """Cuts `names` off; each node notices after a while of its own."""
+        """Cuts off the nodes `names`.
+
+        Args:
+          names: names of the nodes.
+          detect: shortest and longest time after which a node notices (s).
+        """
         for name in names:
-            self.side[name] = "cut"
-        self.notice(detect)
+            self.partitions[name] = "cut"
+        self.schedule_member_updates(detect)
 
     def heal(self, within_s=0.5):
-        self.side.clear()
-        self.notice((0.0, within_s))
+        self.partitions.clear()
+        self.schedule_member_updates((0.0, within_s))
 
     def kill(self, name, detect=(1.0, 3.0)):
         self.nodes[name].alive = False
-        self.notice(detect)
+        self.schedule_member_updates(detect)
 
-    def start(self, name, heard=(0.05, 0.3)):
-        """Starts `name`; it knows itself only, then all hear of each other.
+    def start(self, name, discovery=(0.05, 0.3)):
+        """Starts a node, which knows only itself at first.
 
         Args:
-          name: the node.
-          heard: when it hears of the others, from and to (s).
+          name: name of the node.
+          discovery: shortest and longest time until it discovers the others
+            (s).
         """
-        node = self.nodes[name] = Node(self, name, [name])
-        node.hears_at = self.now + self.rng.uniform(*heard)
-        self.at(node.hears_at, lambda: self.look(node))
-        self.notice((0.05, 0.3))
+        node = self.nodes[name] = QuotaNode(self, name, [name])
+        node.members_known_at = self.now + self.rng.uniform(*discovery)
+        self.at(node.members_known_at, lambda: self.update_members(node))
+        self.schedule_member_updates((0.05, 0.3))
 
-    def notice(self, detect):
+    def schedule_member_updates(self, detect):
         for node in self.nodes.values():
             when = self.now + self.rng.uniform(*detect)
-            self.at(when, lambda node=node: self.look(node))
+            self.at(when, lambda node=node: self.update_members(node))
 
-    def look(self, node):
-        if self.now < node.hears_at:
+    def update_members(self, node):
+        if self.now < node.members_known_at:
             return
         live = [
             name
             for name, other in self.nodes.items()
-            if other.alive and self.side.get(name) == self.side.get(node.name)
+            if other.alive
+            and self.partitions.get(name) == self.partitions.get(node.name)
         ]
         node.lender_map.update_members(live, len(self.nodes), self.now)
 
-    def freeze(self, name, for_s):
-        """Stands still; what comes meanwhile is read afterwards."""
+    def freeze(self, name, duration_s):
+        """Pauses a node; messages that arrive meanwhile are handled later."""
         node = self.nodes[name]
         node.frozen = True
-        self.at(self.now + for_s, lambda: self.thaw(node))
+        self.at(self.now + duration_s, lambda: self.unfreeze(node))
 
-    def thaw(self, node):
+    def unfreeze(self, node):
         node.frozen = False
-        held, self.held = self.held, []
-        for to, sender, data in held:
-            to.hear(sender, data)
+        deferred, self.deferred = self.deferred, []
+        for to, sender, data in deferred:
+            to.receive(sender, data)
 
-    def worst(self, account, limit=None):
-        """Returns the worst window's requests over its bound."""
+    def worst_ratio(self, account, limit=None):
+        """Returns the largest number of requests in a window over its bound."""
         limit = limit or self.limits[account]
         return (
-            worst_window(self.admitted[account], limit.window_s)
+            max_in_window(self.admitted[account], limit.window_s)
             / limit.max_per_window
         )
 
 
-def worst_window(times, window_s):
-    """Returns the most of `times` in any window."""
-    most, first = 0, 0
+def max_in_window(times, window_s):
+    """Returns the largest number of `times` in any window."""
+    largest, first = 0, 0
     for last, when in enumerate(times):
         while when - times[first] > window_s:
             first += 1
-        most = max(most, last - first + 1)
-    return most
-
-
-def power_law(count=71, total_per_s=392.0, skew=1.2, times=1.6):
-    """Returns accounts and their usual rates by a power law (1/s)."""
-    parts = [(i + 1) ** -skew for i in range(count)]
-    rates = [total_per_s * p / sum(parts) for p in parts]
+        largest = max(largest, last - first + 1)
+    return largest
+
+
+def power_law_accounts(
+    account_count=71, total_per_s=392.0, skew=1.2, headroom=1.6
+):
+    """Returns accounts and their usual request rates (1/s), by a power law.
+
+    Args:
+      account_count: number of accounts.
+      total_per_s: sum of the rates (1/s).
+      skew: exponent of the power law.
+      headroom: quota of an account over its usual rate.
+    """
+    weights = [(i + 1) ** -skew for i in range(account_count)]
+    rates = [total_per_s * w / sum(weights) for w in weights]
     accounts = [
-        Account(f"account-{i:02}", (), None, rate * times, rate * times)
+        Account(f"account-{i:02}", (), None, rate * headroom, rate * headroom)
         for i, rate in enumerate(rates)
     ]
     return accounts, {a.name: r for a, r in zip(accounts, rates, strict=True)}
 
 
-def load(net, rates, until, nodes_of=None):
-    """Lets requests come at random until `until`, by account and rate."""
-    rng = random.Random(net.seed + 1)
-    names = list(net.nodes)
+def schedule_requests(network, rates, until, nodes_of=None):
+    """Schedules requests at random times (a Poisson process).
+
+    Args:
+      network: the network.
+      rates: request rate of each account (1/s).
+      until: when they end (s).
+      nodes_of: returns the names of the nodes that receive an account's
+        requests; all nodes if not given.
+    """
+    rng = random.Random(network.seed + 1)
+    names = list(network.nodes)
     for account, rate in rates.items():
-        at = net.now + rng.expovariate(rate)
-        own = nodes_of(account) if nodes_of else names
+        at = network.now + rng.expovariate(rate)
+        receivers = nodes_of(account) if nodes_of else names
         while at < until:
-            node = rng.choice(own)
-            net.at(at, lambda n=node, a=account: _come(net, n, a))
+            node = rng.choice(receivers)
+            network.at(
+                at, lambda n=node, a=account: _send_request(network, n, a)
+            )
             at += rng.expovariate(rate)
 
 
-def _come(net, name, account):
-    node = net.nodes[name]
+def _send_request(network, name, account):
+    node = network.nodes[name]
     if node.alive and not node.frozen:
-        net.ask(name, account)
+        network.request(name, account)
 
 
-class Bucket:
-    """One bucket that sees all at once."""
+class ReferenceBucket:
+    """A single token bucket that sees all requests at once."""
 
     def __init__(self, limit, burst):
         self.rate, self.burst = limit.rate_per_s, burst
@@ -285,14 +330,16 @@
         return True
 
 
-def refused_wrongly(net):
-    """Returns the part of requests refused though one bucket lets them in."""
-    wrong = total = 0
-    for account in net.accounts:
-        came = [(t, True) for t in net.admitted[account.name]]
-        came += [(t, False) for t in net.refused[account.name]]
-        bucket = Bucket(net.limits[account.name], max(1.0, account.burst))
-        for when, let_in in sorted(came):
+def false_refusal_ratio(network):
+    """Returns the fraction of requests refused that one bucket would admit."""
+    false_refusals = total = 0
+    for account in network.accounts:
+        arrivals = [(t, True) for t in network.admitted[account.name]]
+        arrivals += [(t, False) for t in network.refused[account.name]]
+        bucket = ReferenceBucket(
+            network.limits[account.name], max(1.0, account.burst)
+        )
+        for when, admitted in sorted(arrivals):
             total += 1
-            wrong += bucket.take(when) and not let_in
-    return wrong / max(1, total)
+            false_refusals += bucket.take(when) and not admitted
+    return false_refusals / max(1, total)
--- a/tests/support/quota_ways.py
+++ b/tests/support/quota_ways.py
@@ -1,9 +1,11 @@
-"""Ways to keep a quota over many nodes: its bound, refusals, messages.
+"""Compares ways to enforce quotas over many nodes, by simulation.
 
     python -m tests.support.quota_ways
 
-Virtual time, seeded: accounts by a power law, requests at random; the lending
-is the product's. Written as rows of a table.
+Prints the largest window over its bound, refusals, messages and bytes of each
+way, as rows of a table. Time is virtual and the runs are seeded; account sizes
+follow a power law, requests arrive at random. The lending is the product's own
+code.
 """
 
 import argparse
@@ -11,17 +13,19 @@
 import msgspec
 
 from radishwind.quotas import QuotaGate
-from tests.support.quota_net import load
-from tests.support.quota_net import Net
-from tests.support.quota_net import power_law
-from tests.support.quota_net import refused_wrongly
-
-#: Usual load lasts so long (s), and so does a hot account or a cut in it.
-PLAYED_S = 20.0
-HOT_FROM_S, HOT_S = 10.0, 6.5
+from tests.support.quota_net import false_refusal_ratio
+from tests.support.quota_net import power_law_accounts
+from tests.support.quota_net import QuotaNetwork
+from tests.support.quota_net import schedule_requests
+
+#: Duration of the usual load, and begin and duration of a surge of some
+#: accounts and of a network partition in it.
+DURATION_S = 20.0
+SURGE_FROM_S, SURGE_S = 10.0, 6.5
 CUT_FROM_S, CUT_S = 12.0, 5.0
 
-#: Loads by name: hot accounts, times of their usual, whether a third is cut.
+#: Loads by name: number of accounts that surge, their rate over the usual one,
+#: and whether a third of the nodes is cut off.
 LOADS = {
     "calm": (0, 1, False),
     "three largest 5 times": (3, 5, False),
@@ -34,74 +38,88 @@
 
 
 class EqualParts(QuotaGate):
-    """Each node has its part of rate and depth, and tells nobody."""
+    """Gives each node an equal part of rate and depth, without messages."""
 
-    def __init__(self, net):
-        self._net = net
+    def __init__(self, network):
+        self._network = network
         self._levels = {}
 
     def admit(self, account, now):
-        limit = self._net.limits[account]
-        depth = max(1.0, limit.depth / self._net.count)
+        limit = self._network.limits[account]
+        depth = max(1.0, limit.depth / self._network.node_count)
         level, at = self._levels.get(account, (depth, now))
-        rate = limit.rate_per_s / self._net.count
+        rate = limit.rate_per_s / self._network.node_count
         level = min(depth, level + (now - at) * rate)
-        let_in = level >= 1
-        self._levels[account] = (level - let_in, now)
-        return None if let_in else 1.0
-
-    def refund(self, account, taken_at, now):
-        """Counts nothing back."""
-
-
-def play(way, name, *, count, homed, seed=1):
-    """Returns a net after one load."""
-    hot, times, cut = LOADS[name]
-    accounts, rates = power_law()
-    net = Net(accounts, count, seed=seed)
+        admitted = level >= 1
+        self._levels[account] = (level - admitted, now)
+        return None if admitted else 1.0
+
+    def refund(self, account, admitted_at, now):
+        """Does nothing; refunds are not compared here."""
+
+
+def simulate(way, load_name, *, node_count, homed, seed=1):
+    """Returns a network after one load.
+
+    Args:
+      way: one of `WAYS`.
+      load_name: key of `LOADS`.
+      node_count: number of nodes.
+      homed: number of nodes that receive an account's requests; 0 for all.
+      seed: seed of the random source.
+    """
+    surging, factor, cut = LOADS[load_name]
+    accounts, rates = power_law_accounts()
+    network = QuotaNetwork(accounts, node_count, seed=seed)
     if way == "lending ahead":
-        net.limits.update(
-            (n, msgspec.structs.replace(limit, unasked=0.0))
-            for n, limit in net.limits.items()
+        network.limits.update(
+            (n, msgspec.structs.replace(limit, max_unleased=0.0))
+            for n, limit in network.limits.items()
         )
     if way == "equal parts":
-        for node in net.nodes.values():
-            node.borrower = EqualParts(net)
+        for node in network.nodes.values():
+            node.borrower = EqualParts(network)
             node.tick = node.flush = lambda: None
-        net.events = []
-    names = list(net.nodes)
-    homes = {a: net.rng.sample(names, homed) for a in rates} if homed else {}
+        network.events = []
+    names = list(network.nodes)
+    homes = (
+        {a: network.rng.sample(names, homed) for a in rates} if homed else {}
+    )
     nodes_of = homes.get if homed else None
-    net.sent = net.bytes_sent = 0
-    start = net.now
-    load(net, rates, start + PLAYED_S, nodes_of)
-    net.run_until(start + HOT_FROM_S)
-    more = {a.name: rates[a.name] * (times - 1) for a in accounts[:hot]}
-    load(net, more, net.now + HOT_S, nodes_of)
-    net.run_until(start + CUT_FROM_S)
+    network.sent = network.bytes_sent = 0
+    start = network.now
+    schedule_requests(network, rates, start + DURATION_S, nodes_of)
+    network.run_until(start + SURGE_FROM_S)
+    surge = {a.name: rates[a.name] * (factor - 1) for a in accounts[:surging]}
+    schedule_requests(network, surge, network.now + SURGE_S, nodes_of)
+    network.run_until(start + CUT_FROM_S)
     if cut:
-        net.cut(names[::3])
-    net.run_until(start + CUT_FROM_S + CUT_S)
+        network.cut(names[::3])
+    network.run_until(start + CUT_FROM_S + CUT_S)
     if cut:
-        net.heal()
-    net.run_until(start + PLAYED_S)
-    return net
+        network.heal()
+    network.run_until(start + DURATION_S)
+    return network
+
 
+def cells(network):
+    """Returns the results of a run as text.
 
-def figures(net):
-    """Returns worst window over bound, refused wrongly, messages, bytes."""
-    worst = max(net.worst(a.name) for a in net.accounts)
-    a_node = PLAYED_S * net.count
+    These are the largest window over its bound, the fraction of false refusals,
+    and the messages and bytes of a node and second.
+    """
+    worst = max(network.worst_ratio(a.name) for a in network.accounts)
+    node_seconds = DURATION_S * network.node_count
     return (
         f"{worst:.2f}",
-        f"{refused_wrongly(net):.3f}",
-        f"{net.sent / a_node:.1f}",
-        f"{net.bytes_sent / a_node:.0f}",
+        f"{false_refusal_ratio(network):.3f}",
+        f"{network.sent / node_seconds:.1f}",
+        f"{network.bytes_sent / node_seconds:.0f}",
     )
 
 
 def main():
-    """Prints the rows."""
+    """Prints the table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     seed = parser.parse_args().seed
@@ -109,15 +127,19 @@
     for name in LOADS:
         for homed in (0, 3):
             for way in WAYS:
-                net = play(way, name, count=58, homed=homed, seed=seed)
+                network = simulate(
+                    way, name, node_count=58, homed=homed, seed=seed
+                )
                 where = f"{homed} nodes" if homed else "all nodes"
                 print("|", name, "|", where, "|", way, "|",
-                      " | ".join(figures(net)), "|", flush=True)  # fmt: skip
+                      " | ".join(cells(network)), "|", flush=True)  # fmt: skip
     for count in (12, 58, 300, 1100):
         for name in ("calm", "largest 10 times"):
-            net = play(WAYS[-1], name, count=count, homed=0, seed=seed)
+            network = simulate(
+                WAYS[-1], name, node_count=count, homed=0, seed=seed
+            )
             print("|", name, "|", f"all of {count}", "|", WAYS[-1], "|",
-                  " | ".join(figures(net)), "|", flush=True)  # fmt: skip
+                  " | ".join(cells(network)), "|", flush=True)  # fmt: skip
 
 
 if __name__ == "__main__":
