--- a/src/radishwind/target/tests/test_backend_server.py
+++ b/src/radishwind/target/tests/test_backend_server.py
@@ -1,3 +1,5 @@
+"""The backend server by its announcements and health checks."""
+
 import pytest
 
 from radishwind.core import ManualClock
@@ -13,7 +15,7 @@
 ADDRESS = "127.0.0.1:9000"
 
 
-def test_nothing_is_sent_before_the_server_is_listed_and_announced():
+def test_server_must_be_listed_and_announced_to_get_requests():
     server = BackendServer("a", None)
     assert server.refusal().code is ResultCode.TARGET_UNLISTED
 
@@ -30,9 +32,9 @@
     assert server.refusal().code is ResultCode.TARGET_UNLISTED
 
 
-def test_ready_is_told_once_at_each_change():
-    told = []
-    server = BackendServer("a", None, told.append)
+def test_callback_runs_once_at_each_change_of_ready():
+    changes = []
+    server = BackendServer("a", None, changes.append)
     assert not server.ready
 
     server.accept_announcement(Announcement("a", ADDRESS), 0.0)
@@ -40,10 +42,10 @@
     server.record_health(ServerState.DRAINING, None)
     server.record_health(ServerState.READY, None)
 
-    assert told == [True, False, True]
+    assert changes == [True, False, True]
 
 
-def test_announced_draining_outweighs_a_health_answer_of_ready():
+def test_announced_draining_overrides_health_check_of_ready():
     server = BackendServer("a", None)
     server.set_listed(True)
     server.accept_announcement(
@@ -59,11 +61,13 @@
     assert server.draining
 
 
-def test_a_new_start_is_cold_and_warms_up():
+def test_new_start_is_cold_and_warms_up():
     server = BackendServer("a", None)
-    for instance, fresh in (("1", True), ("1", False), ("2", True)):
-        told = Announcement("a", ADDRESS, instance=instance, uptime_s=0.0)
-        assert server.accept_announcement(told, 100.0) is fresh
+    for instance, is_new in (("1", True), ("1", False), ("2", True)):
+        announcement = Announcement(
+            "a", ADDRESS, instance=instance, uptime_s=0.0
+        )
+        assert server.accept_announcement(announcement, 100.0) is is_new
 
     assert server.warm_fraction(100.0) == pytest.approx(0.1)
     assert server.warm_fraction(105.0) == pytest.approx(0.5)
@@ -71,7 +75,7 @@
     assert server.warm_fraction(105.0) == pytest.approx(0.9)
 
 
-def test_an_announcement_for_another_target_is_refused():
+def test_announcement_for_another_target_is_refused():
     server = BackendServer("a", None)
     with pytest.raises(AnnouncementRefusedError, match="expected target 'a'"):
         server.accept_announcement(Announcement("b", ADDRESS), 0.0)
@@ -82,16 +86,16 @@
 @pytest.mark.parametrize(
     "body", [b"", b"{", b'{"target": "a"}', b'{"target":"a","address":"x"}']
 )
-async def test_a_malformed_announcement_gets_a_numbered_error(body):
+async def test_malformed_announcement_gets_error_with_code(body):
     started = []
     handler = AnnouncementHandler(
         ManualClock(), BackendServer("a", None), lambda: started.append(1)
     )
 
-    answer = await handler.handle(
+    response = await handler.handle(
         Request("POST", "/v1/server", (), body, len(body))
     )
 
-    assert answer.status == 400
-    assert ("Radishwind-Code", "2006") in answer.headers
+    assert response.status == 400
+    assert ("Radishwind-Code", "2006") in response.headers
     assert not started
--- a/src/radishwind/target/tests/test_buffered_body.py
+++ b/src/radishwind/target/tests/test_buffered_body.py
@@ -1,4 +1,4 @@
-"""Large answers take bounded memory, and no slot for a slow reader."""
+"""Large responses use bounded memory and hold no slot for a slow reader."""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -29,73 +29,73 @@
 
 
 class Source(BodyStream):
-    """Counts what was asked of it."""
+    """Counts the bytes that were read from it."""
 
     def __init__(self):
-        self.read = 0
+        self.read_bytes = 0
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
         for start in range(0, len(BODY), CHUNK_BYTES):
-            piece = BODY[start : start + CHUNK_BYTES]
-            self.read += len(piece)
-            yield piece
+            chunk = BODY[start : start + CHUNK_BYTES]
+            self.read_bytes += len(chunk)
+            yield chunk
 
     def abort(self):
         pass
 
 
-async def answer(room, source):
+async def send(budget, source):
     length = (("Content-Length", str(len(BODY))),)
     setup = Setup(Response(200, (*OWN, *length), source, len(BODY)))
-    setup.exchange.buffer_budget = room
+    setup.exchange.buffer_budget = budget
     return (await setup.send()).response
 
 
-async def test_a_large_answer_is_whole_and_takes_room_until_it_is_read():
-    room, source = BufferBudget(), Source()
-    response = await answer(room, source)
+async def test_large_response_is_buffered_and_uses_budget_until_read():
+    budget, source = BufferBudget(), Source()
+    response = await send(budget, source)
     assert response.body.is_whole
-    assert source.read == room.used_bytes == len(BODY)
+    assert source.read_bytes == budget.used_bytes == len(BODY)
 
     assert await whole_body(response.body) == BODY
-    assert room.used_bytes == 0
+    assert budget.used_bytes == 0
 
 
-async def test_beyond_the_room_an_answer_is_read_as_its_reader_reads():
-    room, source = BufferBudget(len(BODY) + 10), Source()
-    first = await answer(room, source)
-    second = await answer(room, late := Source())
+async def test_response_beyond_the_budget_is_streamed_on_demand():
+    budget, source = BufferBudget(len(BODY) + 10), Source()
+    first = await send(budget, source)
+    second = await send(budget, second_source := Source())
     assert not second.body.is_whole
-    assert late.read == 0
-    assert room.used_bytes == len(BODY)
+    assert second_source.read_bytes == 0
+    assert budget.used_bytes == len(BODY)
     first.body.abort()
 
-    assert room.used_bytes == 0
-    assert (await answer(room, Source())).body.is_whole
+    assert budget.used_bytes == 0
+    assert (await send(budget, Source())).body.is_whole
 
 
-async def test_room_comes_back_once_however_an_answer_ends():
-    room = BufferBudget()
-    body = BufferedBody(BODY, room)
-    pieces = aiter(body)
-    await anext(pieces)
+async def test_budget_is_released_once_however_a_response_ends():
+    budget = BufferBudget()
+    body = BufferedBody(BODY, budget)
+    chunks = aiter(body)
+    await anext(chunks)
     body.abort()
-    await pieces.aclose()
+    await chunks.aclose()
     body.abort()
-    del body, pieces
-    unread = BufferedBody(BODY, room)
-    assert room.used_bytes == len(BODY)
+    del body, chunks
+    unread = BufferedBody(BODY, budget)
+    assert budget.used_bytes == len(BODY)
     del unread
 
-    assert room.used_bytes == 0
+    assert budget.used_bytes == 0
 
 
-async def test_a_reader_that_stops_holds_what_is_left_until_it_leaves():
-    room = BufferBudget()
+async def test_stalled_reader_uses_budget_until_it_disconnects():
+    budget = BufferBudget()
 
     async def handle(request):
         length = (("Content-Length", str(64 * len(BODY))),)
-        body = BufferedBody(64 * BODY, room)
+        body = BufferedBody(64 * BODY, budget)
         return Response(200, length, body, 64 * len(BODY))
 
     server = HttptoolsServer(ServerLimits())
@@ -106,8 +106,8 @@
             await stack.enter_async_context(stream)
             await stream.send(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
             await stream.receive(100)
-            assert room.used_bytes > 0
+            assert budget.used_bytes > 0
             await stream.aclose()
-            while room.used_bytes:  # noqa: ASYNC110
+            while budget.used_bytes:  # noqa: ASYNC110
                 await anyio.sleep(0.01)
     await server.close(0.0)
--- a/src/radishwind/target/tests/test_leaving_records.py
+++ b/src/radishwind/target/tests/test_leaving_records.py
@@ -1,4 +1,4 @@
-"""The word that a server leaves is kept by peers where the store is away."""
+"""Peers hold leaving records while the store is unavailable."""
 
 import random
 
@@ -18,23 +18,23 @@
 
 pytestmark = pytest.mark.anyio
 
-LIFE = ServerProcess("i-1", 1_000_000)
+PROCESS = ServerProcess("i-1", 1_000_000)
 
 
-class StoreAway:
+class UnavailableStore:
     async def grant(self, ttl_s):
-        raise StoreUnavailableError("away")
+        raise StoreUnavailableError("unavailable")
 
 
-class Board(NullRumorBus):
+class RecordingRumorBus(NullRumorBus):
     def __init__(self):
-        self.told = []
+        self.published = []
 
     def publish(self, topic, key, version, value, ttl_s):
-        self.told.append(key)
+        self.published.append(key)
 
 
-class Peers(Directory):
+class FixedDirectory(Directory):
     def __init__(self, count):
         self._members = tuple(
             Member(f"p{i}", "s", "a", Address("10.0.0.1", i))
@@ -49,7 +49,7 @@
 
 
 class Network(Sender):
-    """Hands each call to the records of the peer at its port."""
+    """Passes each call to the records of the peer at its port."""
 
     def __init__(self):
         self.peers = {}
@@ -65,8 +65,8 @@
     return LeavingRecords(
         node_name="own",
         clock=ManualClock(),
-        store=StoreAway(),
-        directory=Peers(count),
+        store=UnavailableStore(),
+        directory=FixedDirectory(count),
         rumor_bus=rumor_bus,
         peers=HttpPeerClient(network),
         rng=random.Random(1),
@@ -74,26 +74,28 @@
     )
 
 
-async def test_two_peers_are_enough():
-    network, boards = Network(), [Board() for _ in range(3)]
-    for port, rumor_bus in enumerate(boards):
+async def test_two_peers_suffice():
+    network, buses = Network(), [RecordingRumorBus() for _ in range(3)]
+    for port, rumor_bus in enumerate(buses):
         network.peers[port] = records(network, rumor_bus, 0)
 
-    assert await records(network, Board(), 3).persist(LIFE, 5.0)
+    assert await records(network, RecordingRumorBus(), 3).persist(PROCESS, 5.0)
 
-    assert sum(rumor_bus.told == [LIFE.key] for rumor_bus in boards) >= 2
+    assert sum(bus.published == [PROCESS.key] for bus in buses) >= 2
 
 
-async def test_one_peer_is_not():
+async def test_one_peer_does_not_suffice():
     network = Network()
-    network.peers[0] = records(network, Board(), 0)
+    network.peers[0] = records(network, RecordingRumorBus(), 0)
 
-    assert not await records(network, Board(), 1).persist(LIFE, 0.1)
+    assert not await records(network, RecordingRumorBus(), 1).persist(
+        PROCESS, 0.1
+    )
 
 
-async def test_bytes_that_are_no_word_are_refused():
+async def test_malformed_record_is_refused():
     request = Request("POST", "/x", (), b"\xff\xfe", 2)
 
-    answer = await records(Network(), Board(), 0).handle(request)
+    response = await records(Network(), RecordingRumorBus(), 0).handle(request)
 
-    assert answer.status == 400
+    assert response.status == 400
--- a/src/radishwind/target/tests/test_pipeline.py
+++ b/src/radishwind/target/tests/test_pipeline.py
@@ -1,3 +1,5 @@
+"""Attempts on one server: fields, slots, draining and crash suspects."""
+
 import anyio
 import anyio.lowlevel
 import pytest
@@ -41,7 +43,7 @@
 
 
 class Target:
-    """A target pipeline with one slot and a server set by the test."""
+    """A target pipeline whose server responds as the test sets it."""
 
     def __init__(self, slots=1):
         self.clock, self.sender = ManualClock(), DirectSender()
@@ -68,7 +70,7 @@
         return (await self.pipeline.run(call)).outcome
 
 
-async def test_the_server_sees_no_field_of_nodes_and_its_time_and_depth():
+async def test_server_gets_its_time_and_depth_but_no_node_fields():
     target = Target()
     fields = (
         ("Radishwind-Node-Attempt", "[]"),
@@ -85,7 +87,7 @@
     )
 
 
-async def test_the_server_cannot_tell_an_outcome_in_the_name_of_a_node():
+async def test_server_cannot_state_an_outcome_on_behalf_of_a_node():
     target = Target()
     fields = (
         ("Radishwind-Node-Answer", '["1.1","not-run",3002,"",null,[]]'),
@@ -99,13 +101,13 @@
     assert outcome.response.headers == (("Retry-After", "1"),)
 
 
-async def test_a_streamed_answer_holds_the_slot_to_its_end():
+async def test_streamed_response_holds_its_slot_until_its_end():
     target = Target()
     target.response = Response(200, (), Stream())
     outcome = await target.run()
     assert target.admission.in_flight == 1
 
-    assert [piece async for piece in outcome.response.body] == [b"piece"]
+    assert [chunk async for chunk in outcome.response.body] == [b"piece"]
     outcome.response.body.abort()
 
     assert target.admission.in_flight == 0
@@ -113,13 +115,13 @@
 
 
 @pytest.mark.parametrize("cut", [True, False])
-async def test_a_streamed_answer_given_up_or_cut_frees_the_slot_once(cut):
+async def test_aborted_or_cut_stream_releases_its_slot_once(cut):
     target = Target()
     target.response = Response(200, (), Stream(cut))
     body = (await target.run()).response.body
     if cut:
         with pytest.raises(ExchangeBrokenError):
-            [piece async for piece in body]
+            [chunk async for chunk in body]
     body.abort()
     body.abort()
 
@@ -127,12 +129,12 @@
     assert (target.health.score(0.0) < 1) is cut
 
 
-async def test_a_cancelled_exchange_frees_its_slot_for_who_waits():
+async def test_cancelled_exchange_releases_its_slot_to_a_waiting_request():
     target = Target()
     target.sender.next_faults = [Fault.HANGS]
     outcomes = []
 
-    async def waits():
+    async def wait_for_slot():
         outcomes.append(await target.run())
 
     async with anyio.create_task_group() as tasks:
@@ -140,7 +142,7 @@
             async with anyio.create_task_group() as hanging:
                 hanging.start_soon(target.run)
                 await anyio.wait_all_tasks_blocked()
-                tasks.start_soon(waits)
+                tasks.start_soon(wait_for_slot)
                 await anyio.lowlevel.checkpoint()
                 assert target.admission.queued == 1
                 scope.cancel()
@@ -149,7 +151,7 @@
     assert target.admission.in_flight == 0
 
 
-async def test_a_shed_request_is_not_run_and_its_answer_is_given_up():
+async def test_shed_request_is_not_run_and_its_response_is_aborted():
     target = Target()
     stream = Stream()
     target.response = Response(503, (("Radishwind-Shed", "1"),), stream)
@@ -161,7 +163,7 @@
     assert target.pipeline.load_report().service_ms == 0
 
 
-async def test_a_failing_server_is_told_as_cold():
+async def test_failing_server_is_reported_as_cold():
     target = Target()
     target.response = Response(500, (), b"")
     for _ in range(10):
@@ -169,17 +171,17 @@
     assert target.pipeline.load_report().warm_fraction < 0.2
 
 
-async def test_what_waited_is_not_sent_to_a_server_that_drains_meanwhile():
+async def test_waiting_request_is_not_sent_to_a_server_that_drains_meanwhile():
     target = Target()
     outcomes = []
 
-    async def waits():
+    async def wait_for_slot():
         outcomes.append(await target.run())
 
     target.response = Response(200, (), Stream())
     held = await target.run()
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(waits)
+        tasks.start_soon(wait_for_slot)
         await anyio.lowlevel.checkpoint()
         target.server.record_health(ServerState.DRAINING, None)
         held.response.body.abort()
@@ -189,7 +191,7 @@
     assert target.pipeline.load_report().leaving
 
 
-async def test_a_crash_makes_a_suspect_that_runs_alone_until_cleared():
+async def test_crash_suspect_runs_alone_until_cleared():
     target = Target(slots=2)
     target.sender.next_faults = [Fault.ANSWER_LOST, Fault.REFUSED]
     broken, refused = await target.run("/bad"), await target.run("/other")
@@ -202,7 +204,7 @@
         tasks.start_soon(target.run, "/other")
         await anyio.lowlevel.checkpoint()
         assert target.admission.queued == 1
-        assert [p async for p in alone.response.body] == [b"piece"]
+        assert [chunk async for chunk in alone.response.body] == [b"piece"]
     target.response = Response(200, (), b"ok", 2)
     await target.run("/bad")
     again = [t for t in target.sender.sent if t[1].path == "/bad"]
@@ -212,7 +214,7 @@
     assert target.admission.in_flight == 1
 
 
-async def test_drained_returns_when_a_probe_was_the_last_to_hold_a_slot():
+async def test_wait_drained_returns_if_a_probe_held_the_last_slot():
     target = Target()
     probe = Ticket("probe", 9.0, 0.0, lambda: None)
     target.admission.offer(probe, 0.0)
--- a/src/radishwind/target/tests/test_registered_server.py
+++ b/src/radishwind/target/tests/test_registered_server.py
@@ -1,4 +1,4 @@
-"""Which incarnation of the server counts, and that leaving is for good."""
+"""Which incarnation of the server is current, and leaving is permanent."""
 
 import pytest
 from tests.support.registered import code
@@ -11,9 +11,16 @@
 from radishwind.target.server_process import ServerProcess
 
 
-def told(incarnation, order=1, leaving=False, service="s", slots=6, cold_s=0.0):
+def heartbeat(
+    incarnation,
+    sequence=1,
+    leaving=False,
+    service="s",
+    slots=6,
+    warmup_left_s=0.0,
+):
     return Registration(
-        incarnation, service, HERE, slots, leaving, cold_s, order
+        incarnation, service, HERE, slots, leaving, warmup_left_s, sequence
     )
 
 
@@ -27,74 +34,74 @@
     return registered(clock)
 
 
-def test_nothing_is_sent_before_the_first_heartbeat(server):
+def test_no_requests_before_the_first_heartbeat(server):
     assert code(server) is ResultCode.SERVER_UNANNOUNCED
-    assert server.register(told("i-1"))
+    assert server.register(heartbeat("i-1"))
     assert code(server) is None
     assert (server.incarnation, server.slots) == ("i-1", 6)
 
 
-def test_a_late_heartbeat_of_an_earlier_incarnation_changes_nothing(server):
-    server.register(told("i-1", 7))
-    server.register(told("i-2", 1))
+def test_late_heartbeat_of_an_earlier_incarnation_is_ignored(server):
+    server.register(heartbeat("i-1", 7))
+    server.register(heartbeat("i-2", 1))
 
-    assert not server.register(told("i-1", 9))
+    assert not server.register(heartbeat("i-1", 9))
     assert server.incarnation == "i-2"
 
 
-def test_a_late_heartbeat_does_not_end_a_drain(server):
-    server.register(told("i-1", 3))
-    server.register(told("i-1", 4, leaving=True))
+def test_late_heartbeat_does_not_end_a_drain(server):
+    server.register(heartbeat("i-1", 3))
+    server.register(heartbeat("i-1", 4, leaving=True))
 
-    server.register(told("i-1", 2))
+    server.register(heartbeat("i-1", 2))
 
     assert code(server) is ResultCode.LEAVING
 
 
-def test_one_that_deregisters_first_gets_nothing_new(server):
-    server.register(told("i-1", 3))
+def test_deregistered_process_gets_no_new_requests(server):
+    server.register(heartbeat("i-1", 3))
     server.mark_leaving(ServerProcess("i-1"))
 
-    server.register(told("i-1", 9))
+    server.register(heartbeat("i-1", 9))
 
     assert code(server) is ResultCode.LEAVING
 
 
-def test_a_record_of_before_a_restart_binds(server):
+def test_leaving_record_holds_after_a_restart_of_the_node(server):
     server.mark_leaving(ServerProcess("i-1"))
 
-    assert not server.register(told("i-1", 5))
+    assert not server.register(heartbeat("i-1", 5))
     assert code(server) is ResultCode.SERVER_UNANNOUNCED
 
 
-def test_a_new_incarnation_takes_work_after_one_that_left(server):
-    server.register(told("i-1"))
+def test_new_incarnation_gets_requests_after_one_that_left(server):
+    server.register(heartbeat("i-1"))
     server.mark_leaving(ServerProcess("i-1"))
-    server.register(told("i-2"))
+    server.register(heartbeat("i-2"))
 
     assert code(server) is None
 
 
-def test_the_incarnation_that_answers_is_believed(server):
-    server.register(told("i-1"))
+def test_answering_incarnation_overrides_heartbeats(server):
+    server.register(heartbeat("i-1"))
 
     server.record_answering_incarnation("i-1", "i-2")
-    server.register(told("i-1", 9))
+    server.register(heartbeat("i-1", 9))
 
     assert server.incarnation == "i-2"
 
 
-def test_one_that_answers_but_left_gets_nothing(server):
+def test_answering_incarnation_that_left_gets_no_requests(server):
     server.mark_leaving(ServerProcess("i-2"))
-    server.register(told("i-1"))
+    server.register(heartbeat("i-1"))
 
     server.record_answering_incarnation("i-1", "i-2")
 
     assert code(server) is ResultCode.LEAVING
 
 
-def test_a_server_that_takes_no_connection_is_down_until_it_does(server):
-    server.register(told("i-1"))
+def test_unreachable_server_is_down_until_it_is_reachable(server):
+    server.register(heartbeat("i-1"))
 
     server.mark_unreachable()
     assert code(server) is ResultCode.SERVER_DOWN
@@ -104,16 +111,16 @@
     assert code(server) is None
 
 
-def test_a_cold_server_is_told_as_such(server, clock):
-    server.register(told("i-1", cold_s=3.0))
+def test_cold_server_is_reported_as_cold(server, clock):
+    server.register(heartbeat("i-1", warmup_left_s=3.0))
 
     assert server.warm_fraction(clock.monotonic()) < 1
     clock.advance(3.1)
     assert server.warm_fraction(clock.monotonic()) == 1.0
 
 
-def test_an_address_used_by_another_service_is_told(server):
-    server.register(told("i-1", service="s"))
-    server.register(told("i-9", service="other"))
+def test_service_follows_the_latest_registration(server):
+    server.register(heartbeat("i-1", service="s"))
+    server.register(heartbeat("i-9", service="other"))
 
     assert server.service == "other"
--- a/src/radishwind/target/tests/test_server_processes.py
+++ b/src/radishwind/target/tests/test_server_processes.py
@@ -1,4 +1,4 @@
-"""A server may start again under the incarnation that it had."""
+"""A server may restart under the same incarnation."""
 
 import pytest
 from tests.support.registered import code
@@ -14,9 +14,11 @@
 FIRST, SECOND, THIRD = 1_000_000, 1_060_000, 1_120_000
 
 
-def told(started_ms, order=1, leaving=False, incarnation="i-1", cold_s=0.0):
+def heartbeat(
+    started_ms, sequence=1, leaving=False, incarnation="i-1", warmup_left_s=0.0
+):
     return Registration(
-        incarnation, "s", HERE, 6, leaving, cold_s, order, started_ms
+        incarnation, "s", HERE, 6, leaving, warmup_left_s, sequence, started_ms
     )
 
 
@@ -30,103 +32,103 @@
     return registered(clock)
 
 
-def test_a_later_life_comes_back_after_the_one_before_left(server):
-    server.register(told(FIRST, 9))
-    server.register(told(FIRST, 10, leaving=True))
+def test_later_process_is_accepted_after_the_previous_one_left(server):
+    server.register(heartbeat(FIRST, 9))
+    server.register(heartbeat(FIRST, 10, leaving=True))
     assert code(server) is ResultCode.LEAVING
 
-    assert server.register(told(SECOND, 1))
+    assert server.register(heartbeat(SECOND, 1))
 
     assert code(server) is None
     assert server.process == ServerProcess("i-1", SECOND)
 
 
-def test_its_heartbeats_count_anew(server, clock):
-    server.register(told(FIRST, 500))
-    server.register(told(SECOND, 1, cold_s=3.0))
+def test_sequence_restarts_with_a_new_process(server, clock):
+    server.register(heartbeat(FIRST, 500))
+    server.register(heartbeat(SECOND, 1, warmup_left_s=3.0))
     assert server.warm_fraction(clock.monotonic()) < 1.0
 
-    server.register(told(SECOND, 2, cold_s=0.0))
+    server.register(heartbeat(SECOND, 2, warmup_left_s=0.0))
 
     assert server.warm_fraction(clock.monotonic()) == 1.0
 
 
 @pytest.mark.parametrize("leaving", [False, True])
-def test_what_the_former_life_says_late_changes_nothing(server, leaving):
-    server.register(told(FIRST, 5))
-    server.register(told(SECOND, 1))
+def test_late_heartbeat_of_the_previous_process_is_ignored(server, leaving):
+    server.register(heartbeat(FIRST, 5))
+    server.register(heartbeat(SECOND, 1))
 
-    server.register(told(FIRST, 6, leaving=leaving))
+    server.register(heartbeat(FIRST, 6, leaving=leaving))
 
     assert server.process == ServerProcess("i-1", SECOND)
     assert code(server) is None
 
 
-def test_a_former_life_that_was_never_heard_of_is_late_as_well(server):
-    server.register(told(SECOND, 3))
+def test_late_heartbeat_of_an_unknown_earlier_process_is_ignored(server):
+    server.register(heartbeat(SECOND, 3))
 
-    server.register(told(FIRST, 90))
+    server.register(heartbeat(FIRST, 90))
 
     assert server.process == ServerProcess("i-1", SECOND)
 
 
-def test_a_clock_that_stepped_back_shuts_nobody_out_for_good(server, clock):
-    server.register(told(SECOND, 30))
+def test_process_is_accepted_after_the_clock_stepped_back(server, clock):
+    server.register(heartbeat(SECOND, 30))
     clock.advance(ACCEPT_OLDER_AFTER_S + 0.1)
 
-    assert server.register(told(FIRST, 3))
+    assert server.register(heartbeat(FIRST, 3))
     assert server.process == ServerProcess("i-1", FIRST)
 
-    # Should it have been a late word after all, the later life comes back.
-    assert server.register(told(SECOND, 31))
+    # If that heartbeat was merely late, the later process is accepted again.
+    assert server.register(heartbeat(SECOND, 31))
     assert server.process == ServerProcess("i-1", SECOND)
 
 
-def test_a_later_life_that_leaves_at_once_gets_nothing(server):
-    server.register(told(FIRST, 5))
+def test_later_process_that_leaves_at_once_gets_no_requests(server):
+    server.register(heartbeat(FIRST, 5))
 
-    server.register(told(SECOND, 1, leaving=True))
+    server.register(heartbeat(SECOND, 1, leaving=True))
 
     assert code(server) is ResultCode.LEAVING
-    assert not server.register(told(SECOND, 0))
-    assert server.register(told(THIRD, 1))
+    assert not server.register(heartbeat(SECOND, 0))
+    assert server.register(heartbeat(THIRD, 1))
 
 
-def test_the_end_of_a_registration_that_names_no_start_is_the_present_ones(
+def test_deregistration_without_start_time_applies_to_the_current_process(
     server,
 ):
-    server.register(told(FIRST, 5))
+    server.register(heartbeat(FIRST, 5))
 
     server.mark_leaving(ServerProcess("i-1"))
 
     assert code(server) is ResultCode.LEAVING
-    assert server.register(told(SECOND, 1))
+    assert server.register(heartbeat(SECOND, 1))
 
 
-def test_a_record_binds_one_life(server):
+def test_leaving_record_applies_to_one_process(server):
     server.mark_leaving(ServerProcess.from_key(ServerProcess("i-1", FIRST).key))
 
-    assert not server.register(told(FIRST, 8))
-    assert server.register(told(SECOND, 1))
+    assert not server.register(heartbeat(FIRST, 8))
+    assert server.register(heartbeat(SECOND, 1))
 
 
-def test_a_record_without_start_binds_whoever_has_the_incarnation(server):
+def test_leaving_record_without_start_time_applies_to_the_incarnation(server):
     server.mark_leaving(ServerProcess.from_key("i-1"))
 
-    assert not server.register(told(FIRST, 8))
+    assert not server.register(heartbeat(FIRST, 8))
 
 
-def test_one_known_by_its_answers_is_the_one_that_tells_its_start(server):
-    server.register(told(0, 1))
+def test_process_known_by_its_responses_may_state_its_start_time_later(server):
+    server.register(heartbeat(0, 1))
 
-    assert not server.register(told(FIRST, 2))
+    assert not server.register(heartbeat(FIRST, 2))
 
     assert server.process == ServerProcess("i-1", FIRST)
     assert server.process_count == 1
 
 
 @pytest.mark.parametrize(
-    "life",
+    "process",
     [
         ServerProcess("i-1"),
         ServerProcess("i-1", 5),
@@ -135,15 +137,15 @@
         ServerProcess("a@5"),
     ],
 )
-def test_a_key_names_its_life(life):
-    assert ServerProcess.from_key(life.key) == life
+def test_key_identifies_its_process(process):
+    assert ServerProcess.from_key(process.key) == process
 
 
-def test_one_known_by_its_answers_that_leaves_may_start_again(server):
-    server.register(told(0, 0))
+def test_process_known_by_its_responses_may_leave_and_restart(server):
+    server.register(heartbeat(0, 0))
 
-    server.register(told(FIRST, 3, leaving=True))
+    server.register(heartbeat(FIRST, 3, leaving=True))
 
     assert code(server) is ResultCode.LEAVING
-    assert not server.register(told(FIRST, 4))
-    assert server.register(told(SECOND, 1))
+    assert not server.register(heartbeat(FIRST, 4))
+    assert server.register(heartbeat(SECOND, 1))
--- a/src/radishwind/target/tests/test_verifying_exchange.py
+++ b/src/radishwind/target/tests/test_verifying_exchange.py
@@ -1,4 +1,4 @@
-"""Only a whole answer of the server itself to this request is handed on."""
+"""Only a complete, authentic response to this request is forwarded."""
 
 from collections.abc import AsyncIterator
 
@@ -29,57 +29,57 @@
 VIEW = ServerView(Address("10.0.0.1", 80), instance="i-1")
 
 
-class Watch:
+class Recorder:
     def __init__(self):
-        self.heard = []
+        self.methods_called = []
 
     def __getattr__(self, name):
-        return lambda *args: self.heard.append(name)
+        return lambda *args: self.methods_called.append(name)
 
 
-class Pieces(BodyStream):
-    def __init__(self, *pieces):
-        self.pieces = pieces
+class Chunks(BodyStream):
+    def __init__(self, *chunks):
+        self.chunks = chunks
         self.aborted = False
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
-        for piece in self.pieces:
-            if isinstance(piece, Exception):
-                raise piece
-            yield piece
+        for chunk in self.chunks:
+            if isinstance(chunk, Exception):
+                raise chunk
+            yield chunk
 
     def abort(self):
         self.aborted = True
 
 
 class Server(Sender):
-    def __init__(self, answer):
-        self.answer = answer
-        self.asked = []
+    def __init__(self, response):
+        self.response = response
+        self.requests = []
 
     async def send(self, address, request, connect_timeout_s):
-        self.asked.append(request)
-        if isinstance(self.answer, Exception):
-            raise self.answer
-        return self.answer
+        self.requests.append(request)
+        if isinstance(self.response, Exception):
+            raise self.response
+        return self.response
 
     async def close(self):
         pass
 
 
 class Setup:
-    def __init__(self, answer):
+    def __init__(self, response):
         self.clock = ManualClock()
-        self.pulse = LoadMonitor(self.clock)
-        self.watch = Watch()
+        self.monitor = LoadMonitor(self.clock)
+        self.recorder = Recorder()
         self.replaced = []
-        self.server = Server(answer)
+        self.server = Server(response)
         self.exchange = VerifyingExchange(
             clock=self.clock,
             sender=self.server,
             dialect=PlatformDialect(),
-            recorder=self.watch,
-            monitor=self.pulse,
+            recorder=self.recorder,
+            monitor=self.monitor,
             on_replaced=lambda *args: self.replaced.append(args),
         )
 
@@ -89,44 +89,44 @@
         return await self.exchange.send(call, VIEW, False)
 
 
-async def test_a_whole_answer_goes_on_without_fields_of_one_connection():
+async def test_complete_response_is_forwarded_without_hop_by_hop_fields():
     fields = (
         *OWN,
         ("Transfer-Encoding", "chunked"),
         ("Server-Load", "1,0,6,500"),
     )
-    setup = Setup(Response(200, fields, Pieces(b"a", b"b")))
+    setup = Setup(Response(200, fields, Chunks(b"a", b"b")))
 
     outcome = await setup.send()
 
     assert isinstance(outcome, Done)
     assert outcome.response.body == b"ab"
     assert outcome.response.headers == OWN
-    assert setup.pulse.load.pace == 5.0
-    assert setup.watch.heard == ["record_answer"]
+    assert setup.monitor.load.pace == 5.0
+    assert setup.recorder.methods_called == ["record_answer"]
 
 
 @pytest.mark.parametrize(
-    ("answer", "code"),
+    ("response", "code"),
     [
         (Response(200, (("Attempt-Id", "other"), OWN[1]), b"x"),
          ResultCode.ANSWER_MISMATCH),
         (Response(200, (OWN[0],), b"x"), ResultCode.ANSWER_MISMATCH),
-        (Response(200, OWN, Pieces(b"a", ExchangeBrokenError("cut"))),
+        (Response(200, OWN, Chunks(b"a", ExchangeBrokenError("cut"))),
          ResultCode.EXCHANGE_BROKEN),
         (ExchangeBrokenError("reset"), ResultCode.EXCHANGE_BROKEN),
         (TimeoutError(), ResultCode.EXCHANGE_TIMEOUT),
     ],
 )  # fmt: skip
-async def test_anything_else_may_have_run(answer, code):
-    outcome = await Setup(answer).send()
+async def test_unverified_response_has_an_unknown_outcome(response, code):
+    outcome = await Setup(response).send()
 
     assert isinstance(outcome, Unknown)
     assert outcome.code is code
 
 
 @pytest.mark.parametrize(
-    ("answer", "code"),
+    ("response", "code"),
     [
         (Response(503, (("Not-Executed", "1"),), b""), ResultCode.SERVER_SHED),
         (Response(421, (("Instance-Id", "i-2"),), b""),
@@ -134,21 +134,21 @@
         (ConnectFailedError("refused"), ResultCode.CONNECT_FAILED),
     ],
 )  # fmt: skip
-async def test_not_run_is_told_only_where_the_server_says_so(answer, code):
-    outcome = await Setup(answer).send()
+async def test_not_run_only_if_the_server_states_so(response, code):
+    outcome = await Setup(response).send()
 
     assert isinstance(outcome, NotRun)
     assert outcome.code is code
 
 
-async def test_a_refusal_without_that_word_is_the_servers_own_answer():
+async def test_refusal_without_not_executed_field_is_forwarded():
     outcome = await Setup(Response(503, (OWN[0],), b"")).send()
 
     assert isinstance(outcome, Done)
     assert outcome.response.status == 503
 
 
-async def test_another_incarnation_is_told():
+async def test_other_incarnation_is_reported():
     setup = Setup(Response(421, (("Instance-Id", "i-2"),), b""))
 
     await setup.send()
