--- a/src/radishwind/retries/__init__.py
+++ b/src/radishwind/retries/__init__.py
@@ -1,4 +1,4 @@
-"""Whether a call gets another attempt."""
+"""Retry policies and retry budgets."""
 
 from radishwind.retries.budget import BudgetedRetryPolicy
 from radishwind.retries.policy import CappedRetryPolicy
--- a/src/radishwind/retries/budget.py
+++ b/src/radishwind/retries/budget.py
@@ -1,4 +1,4 @@
-"""Retries from a budget that is a share of first attempts."""
+"""Retries within a budget that is a share of the first attempts."""
 
 from typing import TYPE_CHECKING
 
@@ -12,19 +12,19 @@
 if TYPE_CHECKING:
     from radishwind.entry.call import Call
 
-#: Attempts of one call at most, whatever the budget.
+#: Maximum number of attempts of one call, whatever the budget.
 MAX_ATTEMPTS = 4
 
-#: Retries that a service with few requests may make (per s); it is a floor,
-#: not added to the share.
-FLOOR_PER_S = 0.2
+#: Minimum rate of retries of a service with few requests (1/s); it is not added
+#: to the share.
+MIN_RETRIES_PER_S = 0.2
 
-#: Retries saved up at most, for a burst of refusals.
-MAX_SAVED = 10.0
+#: Capacity of the budget of a service (retries), for a burst of refusals.
+BUDGET_CAPACITY = 10.0
 
-#: Refusals by the target's node or by the connection: nothing of the request
-#: ran, so another attempt multiplies no work at the levels below.
-_NOTHING_RAN = frozenset(
+#: Refusals by the node of the target or by the connection: the request did not
+#: run, so that a retry multiplies no work at the levels below.
+_NOT_STARTED = frozenset(
     {
         ResultCode.NO_TARGET,
         ResultCode.OVERLOADED,
@@ -35,7 +35,7 @@
     }
 )
 
-#: Refusals that hold at any target.
+#: Refusals that any other target would repeat.
 _FINAL = frozenset(
     {
         ResultCode.DEADLINE_PASSED,
@@ -46,10 +46,10 @@
 
 
 class BudgetedRetryPolicy(RetryPolicy):
-    """Repeats what may be repeated, within the share that the rules give."""
+    """Retries calls that are safe to retry, within the share of the rules."""
 
     def __init__(self) -> None:
-        self._buckets = TokenBucketTable(FLOOR_PER_S, MAX_SAVED)
+        self._buckets = TokenBucketTable(MIN_RETRIES_PER_S, BUDGET_CAPACITY)
 
     def record_first_attempt(self, call: "Call", now: float) -> None:
         self._buckets.deposit(call.service, call.rules.retry_share, now)
@@ -61,22 +61,23 @@
             return False
         if not is_safe_to_retry(call, outcome):
             return False
-        if not _at_this_level(call, outcome):
+        if not _may_retry_at_depth(call, outcome):
             return False
         return call.rules.retry_share > 0 and self._buckets.try_spend(
             call.service
         )
 
 
-def _at_this_level(call: "Call", outcome: Outcome) -> bool:
-    """Returns whether this level of a nested call may repeat the attempt.
+def _may_retry_at_depth(call: "Call", outcome: Outcome) -> bool:
+    """Returns whether this level of a nested call may retry the attempt.
 
-    Work that ran, or may have, has made calls of its own: only the outermost
-    level repeats it, else each level would multiply the levels below.
+    A request that ran, or may have, has sent calls of its own. Only the
+    outermost level retries it; otherwise the attempts would multiply from level
+    to level.
     """
     if isinstance(outcome, NotRun):
         if outcome.code in _FINAL:
             return False
-        if outcome.code in _NOTHING_RAN:
+        if outcome.code in _NOT_STARTED:
             return True
     return call.depth == 0
--- a/src/radishwind/retries/fleet.py
+++ b/src/radishwind/retries/fleet.py
@@ -1,8 +1,9 @@
-"""A budget of repeats that all nodes share without asking one another.
+"""A retry budget of the whole fleet, kept without coordination.
 
-All nodes together may repeat a share of the requests and a fixed slack in a
-window of time. Each takes the share of its own requests, and of the slack its
-part by the number of nodes, so that their sum holds whatever each one knows.
+In any time window all nodes together may send retries up to a share of the
+requests plus a fixed slack. Each node uses the share of its own requests and an
+equal part of the slack, so that the sum stays within the bound whatever each
+node knows. Hedges count as retries.
 """
 
 import collections
@@ -20,37 +21,41 @@
 if TYPE_CHECKING:
     from radishwind.entry.call import Call
 
-#: The part of what is allowed that is used; the rest covers what other nodes
-#: count otherwise.
-USED_PART = 0.5
+#: Fraction of the allowed retries that is used; the rest is a margin for
+#: requests that other nodes count differently.
+USED_FRACTION = 0.5
 
-#: The part of what is allowed that is kept for nested calls where a service
-#: gets such: their callers don't come back, and each that fails costs the run
-#: that waits for it. A caller outside may come again, which takes no repeat.
-NESTED_PART = 0.6
+#: Fraction of the budget of a service that is reserved for nested calls if the
+#: service receives such. The sender of a nested call does not retry, and each
+#: failed call fails the request that waits for it; an external caller may retry
+#: by itself, at no cost to the budget.
+NESTED_FRACTION = 0.6
 
-#: Nodes that are taken to share the slack at least: one that just started
-#: knows of itself only.
-LEAST_NODES = 8
+#: Minimum number of nodes among which the slack is divided: a node that has
+#: just started knows only of itself.
+MIN_NODES = 8
 
-#: Attempts of one call, with those that were refused before any server.
-MOST_ATTEMPTS = 6
+#: Maximum number of attempts of one call, including those that were refused
+#: before they reached a server.
+MAX_ATTEMPTS = 6
 
-#: Windows are counted in so many steps.
+#: Number of steps in which a window slides.
 _STEPS = 10
 
-#: Refusals that hold at any target.
+#: Refusals that any other target would repeat.
 _FINAL = frozenset({ResultCode.DEADLINE_PASSED, ResultCode.QUARANTINED})
 
-#: Refusals by the server itself, which count as arrivals there.
-_ARRIVED = frozenset({ResultCode.SERVER_SHED, ResultCode.SERVER_REPLACED})
+#: Refusals by the server itself, which has therefore received the request.
+_SERVER_REFUSALS = frozenset(
+    {ResultCode.SERVER_SHED, ResultCode.SERVER_REPLACED}
+)
 
-#: A request is not sent again with less than this left (s).
-LEAST_LEFT_S = 0.03
+#: A call with less time than this to its deadline (s) is not retried.
+MIN_TIME_LEFT_S = 0.03
 
 
 class _Window:
-    """Counts in a window that slides by steps."""
+    """A counter over a time window that slides in steps."""
 
     __slots__ = ("_counts", "_step_s", "_steps")
 
@@ -76,84 +81,91 @@
 
 
 class FleetRetryBudget:
-    """Counts requests and repeats by service."""
+    """Counts requests and retries by service and limits the retries."""
 
     def __init__(
         self,
         share: float,
         slack: float,
         window_s: float,
-        nodes: Callable[[], int],
+        node_count: Callable[[], int],
     ) -> None:
-        """Makes a budget.
+        """Creates a budget.
 
         Args:
-          share: repeats as a share of requests, over all nodes.
-          slack: repeats beyond it, over all nodes, in one window.
-          window_s: the window (s).
-          nodes: returns how many nodes share the budget, rather too many.
+          share: allowed retries as a share of requests, for the whole fleet.
+          slack: further retries allowed in one window, for the whole fleet.
+          window_s: length of the window (s).
+          node_count: returns the number of nodes that share the budget; it
+            must rather be too high than too low.
         """
-        self._nodes = nodes
-        self._share = share * USED_PART
-        self._slack = slack * USED_PART
+        self._node_count = node_count
+        self._share = share * USED_FRACTION
+        self._slack = slack * USED_FRACTION
         self._window_s = window_s
         self._requests: dict[str, _Window] = {}
-        self._repeats: dict[str, _Window] = {}
+        self._retries: dict[str, _Window] = {}
         self._nested: dict[str, _Window] = {}
 
     def record_request(self, service: str, now: float) -> None:
-        """Counts a caller's request for `service`."""
+        """Counts a request of an external caller for `service`."""
         self._window(self._requests, service).add(now)
 
-    def record_nested(self, service: str, now: float, repeated: float) -> None:
-        """Counts a call of a run, which adds nothing to what is allowed.
+    def record_nested(
+        self, service: str, now: float, retry_probability: float
+    ) -> None:
+        """Counts a nested call, which does not add to the allowed retries.
 
         Args:
-          service: that is called.
+          service: the service called.
           now: monotonic time (s).
-          repeated: how likely the run was a repeat, whose calls are repeats.
+          retry_probability: probability that the request that sent the call is
+            a retry; nested calls of a retry count as retries.
         """
         self._window(self._nested, service).add(now)
-        if repeated:
-            self._window(self._repeats, service).add(now, repeated)
+        if retry_probability:
+            self._window(self._retries, service).add(now, retry_probability)
 
     def try_spend(
         self, service: str, now: float, *, nested: bool = False
     ) -> bool:
-        """Takes one repeat; returns whether there was one left."""
+        """Takes one retry of the budget; returns `False` if none is left."""
         requests = self._window(self._requests, service).total(now)
-        repeats = self._window(self._repeats, service)
+        retries = self._window(self._retries, service)
         allowed = self._share * requests + self._slack / max(
-            LEAST_NODES, self._nodes()
+            MIN_NODES, self._node_count()
         )
         if not nested and self._window(self._nested, service).total(now):
-            allowed *= 1 - NESTED_PART
-        if repeats.total(now) + 1 > allowed:
+            allowed *= 1 - NESTED_FRACTION
+        if retries.total(now) + 1 > allowed:
             return False
-        repeats.add(now)
+        retries.add(now)
         return True
 
-    def _window(self, kind: dict[str, _Window], service: str) -> _Window:
-        window = kind.get(service)
+    def _window(self, windows: dict[str, _Window], service: str) -> _Window:
+        window = windows.get(service)
         if window is None:
-            window = kind[service] = _Window(self._window_s)
+            window = windows[service] = _Window(self._window_s)
         return window
 
 
 class FleetRetryPolicy(RetryPolicy):
-    """Repeats within the shared budget; a refusal before any server is free."""
+    """Retries within the fleet's budget.
+
+    A retry after a refusal that came before any server is free.
+    """
 
     def __init__(
         self,
         budget: FleetRetryBudget,
         retry_fraction: Callable[[], float] = float,
     ) -> None:
-        """Wires the policy.
+        """Creates a policy.
 
         Args:
-          budget: that all nodes share.
-          retry_fraction: returns the part of what runs at the server beside
-            that is a repeat; by default none is.
+          budget: the budget that all nodes share.
+          retry_fraction: returns the fraction of the requests running at the
+            local server that are retries; 0 by default.
         """
         self._budget = budget
         self._retry_fraction = retry_fraction
@@ -169,14 +181,14 @@
     def should_retry(
         self, call: "Call", outcome: Outcome, attempts: int, now: float
     ) -> bool:
-        if attempts >= MOST_ATTEMPTS or now + LEAST_LEFT_S >= call.deadline:
+        if attempts >= MAX_ATTEMPTS or now + MIN_TIME_LEFT_S >= call.deadline:
             return False
         if not is_at_hand(call.request.body):
             return False
         if isinstance(outcome, NotRun):
             if outcome.code in _FINAL:
                 return False
-            if outcome.code not in _ARRIVED:
+            if outcome.code not in _SERVER_REFUSALS:
                 return True
             return self._spend(call, now)
         if not call.idempotent:
--- a/src/radishwind/retries/policy.py
+++ b/src/radishwind/retries/policy.py
@@ -1,4 +1,4 @@
-"""The interface of the retry policy, and the simplest that is safe."""
+"""Interface of retry policies, and the simplest safe policy."""
 
 import abc
 from typing import TYPE_CHECKING
@@ -13,10 +13,10 @@
 
 
 class RetryPolicy(abc.ABC):
-    """Decides after each attempt whether there is another."""
+    """Decides after each attempt whether the call is retried."""
 
     def record_first_attempt(self, call: "Call", now: float) -> None:  # noqa: B027
-        """Notes that the first attempt of `call` begins.
+        """Records that the first attempt of `call` begins.
 
         Args:
           call: the call.
@@ -27,18 +27,22 @@
     def should_retry(
         self, call: "Call", outcome: Outcome, attempts: int, now: float
     ) -> bool:
-        """Returns whether to try again.
+        """Returns whether to start another attempt.
 
         Args:
           call: the call.
-          outcome: of the attempt that just ended.
-          attempts: how many there were.
+          outcome: the outcome of the latest attempt.
+          attempts: number of attempts so far.
           now: monotonic time (s).
         """
 
 
 def is_safe_to_retry(call: "Call", outcome: Outcome) -> bool:
-    """Returns whether another attempt breaks no promise."""
+    """Returns whether a retry can't cause more than one run by mistake.
+
+    A request that may have run is safe to retry only if it is idempotent. A
+    streamed body can't be sent twice.
+    """
     if isinstance(outcome, Done):
         return False
     if isinstance(call.request.body, BodyStream):
@@ -47,14 +51,14 @@
 
 
 class CappedRetryPolicy(RetryPolicy):
-    """Tries up to `most` attempts, without a budget."""
+    """Retries up to `max_attempts` attempts, without a budget."""
 
-    def __init__(self, most: int = 3) -> None:
-        self._most = most
+    def __init__(self, max_attempts: int = 3) -> None:
+        self._max_attempts = max_attempts
 
     def should_retry(
         self, call: "Call", outcome: Outcome, attempts: int, now: float
     ) -> bool:
-        if attempts >= self._most or now >= call.deadline:
+        if attempts >= self._max_attempts or now >= call.deadline:
             return False
         return is_safe_to_retry(call, outcome)
--- a/src/radishwind/retries/tests/test_bodies.py
+++ b/src/radishwind/retries/tests/test_bodies.py
@@ -1,4 +1,4 @@
-"""A body that was begun is not at hand for another node."""
+"""A streamed body can be sent to another node only while it is unread."""
 
 from collections.abc import AsyncIterator
 
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("is_unread", [True, False])
-def test_an_upload_goes_elsewhere_only_while_nothing_of_it_was_read(is_unread):
+def test_upload_is_retried_only_while_it_is_unread(is_unread):
     retries = FleetRetryPolicy(FleetRetryBudget(0.2, 20.0, 10.0, lambda: 1))
     request = Request("POST", "/", (), Upload(is_unread), 100_000)
     call = Call("c", "s", request, ServiceRules(), False, 9.0, 9_000, "")
--- a/src/radishwind/retries/tests/test_budget.py
+++ b/src/radishwind/retries/tests/test_budget.py
@@ -11,9 +11,9 @@
 from radishwind.outcomes import NotRun
 from radishwind.outcomes import Unknown
 from radishwind.retries import BudgetedRetryPolicy
+from radishwind.retries.budget import BUDGET_CAPACITY
 from radishwind.retries.budget import MAX_ATTEMPTS
-from radishwind.retries.budget import MAX_SAVED
-from radishwind.retries.token_buckets import FIRST_SAVED
+from radishwind.retries.token_buckets import INITIAL_TOKENS
 
 FULL = NotRun(ResultCode.OVERLOADED, "full", 1.0)
 SHED = NotRun(ResultCode.SERVER_SHED, "shed", 1.0)
@@ -35,11 +35,11 @@
     )
 
 
-def again(call, outcome, attempts=1, now=0.0):
-    """Returns the decision of a budget that has a token."""
-    budget = BudgetedRetryPolicy()
-    budget.record_first_attempt(call, now)
-    return budget.should_retry(call, outcome, attempts, now)
+def should_retry(call, outcome, attempts=1, now=0.0):
+    """Returns the decision of a policy whose budget has a token."""
+    policy = BudgetedRetryPolicy()
+    policy.record_first_attempt(call, now)
+    return policy.should_retry(call, outcome, attempts, now)
 
 
 @pytest.mark.parametrize(
@@ -55,84 +55,84 @@
         (NotRun(ResultCode.QUARANTINED, "suspect"), True, False),
     ],
 )
-def test_what_is_repeated(outcome, idempotent, expected):
-    assert again(call_with(idempotent=idempotent), outcome) is expected
+def test_which_outcomes_are_retried(outcome, idempotent, expected):
+    assert should_retry(call_with(idempotent=idempotent), outcome) is expected
 
 
 @pytest.mark.parametrize("depth", [1, 25])
-def test_work_that_may_have_run_is_repeated_at_the_outermost_level(depth):
-    assert not again(call_with(depth), BROKEN)
-    assert not again(call_with(depth), SHED)
-    assert again(call_with(depth), FULL)
-    assert again(call_with(depth), NO_CONNECTION)
+def test_possible_runs_are_retried_only_at_the_outermost_level(depth):
+    assert not should_retry(call_with(depth), BROKEN)
+    assert not should_retry(call_with(depth), SHED)
+    assert should_retry(call_with(depth), FULL)
+    assert should_retry(call_with(depth), NO_CONNECTION)
 
 
 def test_limits_of_one_call():
     call = call_with()
 
-    assert not again(call, FULL, attempts=MAX_ATTEMPTS)
-    assert not again(call, FULL, now=call.deadline)
-    assert not again(call_with(share=0.0), FULL)
+    assert not should_retry(call, FULL, attempts=MAX_ATTEMPTS)
+    assert not should_retry(call, FULL, now=call.deadline)
+    assert not should_retry(call_with(share=0.0), FULL)
 
 
-def test_half_refusing_causes_no_storm():
-    budget = BudgetedRetryPolicy()
+def test_refusals_of_half_the_targets_cause_no_retry_storm():
+    policy = BudgetedRetryPolicy()
     call = call_with()
     calls, retries = 10_000, 0
 
     for number in range(calls):
         now = number * 0.003
-        budget.record_first_attempt(call, now)
+        policy.record_first_attempt(call, now)
         attempts = 1
         # Every second target refuses: half of all attempts.
-        while (number + attempts) % 2 and budget.should_retry(
+        while (number + attempts) % 2 and policy.should_retry(
             call, FULL, attempts, now
         ):
             attempts += 1
             retries += 1
 
-    assert retries / calls <= 0.1 + MAX_SAVED / calls
+    assert retries / calls <= 0.1 + BUDGET_CAPACITY / calls
 
 
-def test_seldom_called_service_may_retry_too():
-    budget = BudgetedRetryPolicy()
+def test_service_with_few_requests_may_retry():
+    policy = BudgetedRetryPolicy()
     call = call_with()
 
     for number in range(10):
         now = number * 60.0
-        budget.record_first_attempt(call, now)
-        assert budget.should_retry(call, FULL, 1, now)
+        policy.record_first_attempt(call, now)
+        assert policy.should_retry(call, FULL, 1, now)
 
 
-def test_services_have_budgets_of_their_own():
-    budget = BudgetedRetryPolicy()
-    budget.record_first_attempt(call_with(service="a"), 0.0)
+def test_services_have_separate_budgets():
+    policy = BudgetedRetryPolicy()
+    policy.record_first_attempt(call_with(service="a"), 0.0)
     spent = sum(
-        budget.should_retry(call_with(service="a"), FULL, 1, 0.0)
+        policy.should_retry(call_with(service="a"), FULL, 1, 0.0)
         for _ in range(20)
     )
     assert spent < 20
 
-    budget.record_first_attempt(call_with(service="b"), 0.0)
+    policy.record_first_attempt(call_with(service="b"), 0.0)
 
-    assert budget.should_retry(call_with(service="b"), FULL, 1, 0.0)
+    assert policy.should_retry(call_with(service="b"), FULL, 1, 0.0)
 
 
 @given(
     gaps_s=st.lists(st.floats(0.0, 0.4), min_size=1, max_size=200),
     share=st.floats(0.01, 0.5),
 )
-def test_retries_never_exceed_the_share_and_what_was_saved(gaps_s, share):
-    # Gaps short enough that the floor stays below the share.
-    budget = BudgetedRetryPolicy()
+def test_retries_never_exceed_the_share_and_the_initial_tokens(gaps_s, share):
+    # The gaps are so short that the minimum rate stays below the share.
+    policy = BudgetedRetryPolicy()
     call = call_with(share=max(share, 0.1))
     now, retries = 0.0, 0
     for gap_s in gaps_s:
         now += gap_s
-        budget.record_first_attempt(call, now)
+        policy.record_first_attempt(call, now)
         retries += sum(
-            budget.should_retry(call, FULL, 1, now) for _ in range(3)
+            policy.should_retry(call, FULL, 1, now) for _ in range(3)
         )
 
-    most = len(gaps_s) * call.rules.retry_share + FIRST_SAVED
-    assert retries <= most + 1e-6
+    allowed = len(gaps_s) * call.rules.retry_share + INITIAL_TOKENS
+    assert retries <= allowed + 1e-6
--- a/src/radishwind/retries/token_buckets.py
+++ b/src/radishwind/retries/token_buckets.py
@@ -1,42 +1,43 @@
-"""Token buckets for each service; retries and hedges are paid from them."""
+"""Token buckets by service, which limit retries and hedges."""
 
 import msgspec
 
-#: Tokens that a service has before it has earned any.
-FIRST_SAVED = 3.0
+#: Initial tokens of a service.
+INITIAL_TOKENS = 3.0
 
-#: Services whose budget is kept; the longest unused is forgotten.
+#: Services whose bucket is kept; the least recently used is evicted.
 MAX_SERVICES = 256
 
 
 class _Bucket(msgspec.Struct):
-    """Tokens earned by a share of events, at least by a floor over time.
+    """A token bucket, filled by events and at a minimum rate.
 
     Attributes:
-      tokens: saved now.
-      earned: when the last were earned (monotonic s).
+      tokens: current number of tokens.
+      deposited_at: time of the latest deposit (monotonic s).
     """
 
     tokens: float
-    earned: float
+    deposited_at: float
 
     def deposit(
-        self, share: float, floor_per_s: float, most: float, now: float
+        self, share: float, min_rate_per_s: float, capacity: float, now: float
     ) -> None:
-        """Adds the tokens of one event.
+        """Adds the tokens for one event.
 
         Args:
-          share: tokens for each event.
-          floor_per_s: tokens for each second, where that is more (1/s).
-          most: tokens saved at most.
+          share: tokens per event.
+          min_rate_per_s: minimum rate (1/s), applied to the time since the
+            latest deposit.
+          capacity: maximum number of tokens.
           now: monotonic time (s).
         """
-        gained = max(share, (now - self.earned) * floor_per_s)
-        self.tokens = min(most, self.tokens + gained)
-        self.earned = now
+        gained = max(share, (now - self.deposited_at) * min_rate_per_s)
+        self.tokens = min(capacity, self.tokens + gained)
+        self.deposited_at = now
 
     def try_spend(self) -> bool:
-        """Takes a token; returns whether there was one."""
+        """Takes a token; returns `False` if there is none."""
         if self.tokens < 1:
             return False
         self.tokens -= 1
@@ -46,27 +47,29 @@
 class TokenBucketTable:
     """A token bucket for each service used recently."""
 
-    def __init__(self, floor_per_s: float, most: float) -> None:
-        """Makes an empty table.
+    def __init__(self, min_rate_per_s: float, capacity: float) -> None:
+        """Creates an empty table.
 
         Args:
-          floor_per_s: tokens that a service earns at least (1/s); 0 for none.
-          most: tokens that a service saves at most.
+          min_rate_per_s: minimum rate of a service (1/s); 0 for none.
+          capacity: maximum number of tokens of a service.
         """
-        self._floor_per_s = floor_per_s
-        self._most = most
+        self._min_rate_per_s = min_rate_per_s
+        self._capacity = capacity
         self._buckets: dict[str, _Bucket] = {}
 
     def deposit(self, service: str, share: float, now: float) -> None:
-        """Adds the tokens of one first attempt of `service`."""
-        bucket = self._buckets.pop(service, None) or _Bucket(FIRST_SAVED, now)
+        """Adds the tokens for one first attempt of `service`."""
+        bucket = self._buckets.pop(service, None) or _Bucket(
+            INITIAL_TOKENS, now
+        )
         self._buckets[service] = bucket
         if len(self._buckets) > MAX_SERVICES:
             del self._buckets[next(iter(self._buckets))]
-        floor_per_s = self._floor_per_s if share > 0 else 0.0
-        bucket.deposit(share, floor_per_s, self._most, now)
+        min_rate_per_s = self._min_rate_per_s if share > 0 else 0.0
+        bucket.deposit(share, min_rate_per_s, self._capacity, now)
 
     def try_spend(self, service: str) -> bool:
-        """Takes a token of `service`; returns whether there was one."""
+        """Takes a token of `service`; returns `False` if there is none."""
         bucket = self._buckets.get(service)
         return bucket is not None and bucket.try_spend()
