--- a/src/radishwind/hedging/__init__.py
+++ b/src/radishwind/hedging/__init__.py
@@ -1,4 +1,4 @@
-"""Whether a slow call gets a second attempt beside the first."""
+"""Hedging policies: a second, concurrent attempt of a slow call."""
 
 from radishwind.hedging.policy import HedgePolicy
 from radishwind.hedging.policy import NoHedging
--- a/src/radishwind/hedging/forecast.py
+++ b/src/radishwind/hedging/forecast.py
@@ -1,4 +1,4 @@
-"""Hedges idempotent calls that would miss their aim where they run."""
+"""Hedges idempotent calls whose first attempt is forecast to be late."""
 
 import abc
 from typing import TYPE_CHECKING
@@ -13,40 +13,41 @@
     from radishwind.entry.call import Call
     from radishwind.membership.directory import Member
 
-#: Looks at a call that is late are so far apart (s): load moves in 100 ms.
-LOOK_S = 0.025
+#: Interval between checks of a late call (s); load changes within 100 ms.
+CHECK_INTERVAL_S = 0.025
 
-#: The part of the aim in which the first attempt is left alone.
-LEAST_PART = 0.25
+#: Fraction of the time to the aim that passes before the first check.
+MIN_DELAY_FRACTION = 0.25
 
-#: A hedge must be expected to answer so much earlier than the first attempt,
-#: as a part of the aim; less is not worth another run.
-LEAST_GAIN = 0.15
+#: A hedge must be expected to respond earlier than the first attempt by at
+#: least this fraction of the time from its start to the aim; a smaller gain is
+#: not worth another run.
+MIN_GAIN_FRACTION = 0.15
 
 
 class LatencyForecast(abc.ABC):
-    """Says when attempts are expected to answer."""
+    """Forecasts when attempts respond."""
 
     @abc.abstractmethod
     def remaining_s(
         self, name: str, work: str, began: float, now: float
     ) -> float:
-        """Returns how long a running attempt will still take (s).
+        """Returns the expected remaining time of a running attempt (s).
 
         Args:
-          name: its target.
-          work: the kind of work.
-          began: when it began (monotonic s).
+          name: the name of its target.
+          work: the route of its call.
+          began: its start (monotonic s).
           now: monotonic time (s).
         """
 
     @abc.abstractmethod
     def cost_s(self, member: "Member", now: float, work: str = "") -> float:
-        """Returns how long a new attempt at `member` would take (s)."""
+        """Returns the expected time of a new attempt at `member` (s)."""
 
 
 class ForecastHedgePolicy(HedgePolicy):
-    """Starts a second attempt where it meets the aim and the first does not."""
+    """Hedges a call if the hedge is in time and the first attempt is not."""
 
     def __init__(
         self, budget: FleetRetryBudget, forecast: LatencyForecast
@@ -59,24 +60,25 @@
             return None
         if call.max_server_attempts < 2:
             return None
-        return max(LOOK_S, LEAST_PART * (call.aim - now))
+        return max(CHECK_INTERVAL_S, MIN_DELAY_FRACTION * (call.aim - now))
 
     def recheck_s(self, call: "Call") -> float:
-        return LOOK_S
+        return CHECK_INTERVAL_S
 
     def hold_off_s(
         self, call: "Call", running: tuple[str, float], now: float
     ) -> float:
-        """Waits for as long as the first attempt is expected to take.
+        """Returns the expected remaining time of the first attempt.
 
-        Weighing each call each 25 ms costs a choice among all targets: at 19 us
-        a target and 44 of them some 0.8 ms each time (worked out).
+        Each check of a call chooses among all targets. At 19 us per target and
+        44 targets this takes about 0.8 ms (calculated), too much for each call
+        every 25 ms.
         """
         name, began = running
         first_s = self._forecast.remaining_s(name, call.route, began, now)
-        if now + first_s > self._until(call, now):
+        if now + first_s > self._due(call, now):
             return 0.0
-        return max(LOOK_S, first_s)
+        return max(CHECK_INTERVAL_S, first_s)
 
     def is_worthwhile(
         self,
@@ -88,18 +90,18 @@
         name, began = running
         first_s = self._forecast.remaining_s(name, call.route, began, now)
         other_s = self._forecast.cost_s(other, now, call.route)
-        until = self._until(call, now)
-        if now + first_s <= until:
+        due = self._due(call, now)
+        if now + first_s <= due:
             return False
-        gain_s = LEAST_GAIN * (call.aim - began)
-        return now + other_s < until and other_s + gain_s < first_s
+        gain_s = MIN_GAIN_FRACTION * (call.aim - began)
+        return now + other_s < due and other_s + gain_s < first_s
 
-    def _until(self, call: "Call", now: float) -> float:
-        """Returns by when an answer is wanted: the aim, then the deadline."""
+    def _due(self, call: "Call", now: float) -> float:
+        """Returns when a response is due: the aim, or the deadline after it."""
         return call.aim if now < call.aim else call.deadline
 
     def try_spend(self, call: "Call", now: float) -> bool:
-        # What is kept for nested calls saves lost ones, not late ones.
+        # The reserve for nested calls is for failed calls, not for late ones.
         return self._budget.try_spend(call.service, now)
 
     def finished(
@@ -110,4 +112,4 @@
         outcome: Outcome | None,
         load: LoadReport | None,
     ) -> None:
-        """Learns nothing; the forecast does."""
+        """Does nothing: the forecast learns from the end of attempts itself."""
--- a/src/radishwind/hedging/policy.py
+++ b/src/radishwind/hedging/policy.py
@@ -1,4 +1,4 @@
-"""The interface of the hedging policy."""
+"""Interface of hedging policies, and the policy without hedges."""
 
 import abc
 from typing import TYPE_CHECKING
@@ -12,29 +12,31 @@
 
 
 class HedgePolicy(abc.ABC):
-    """Decides when a second attempt begins beside one without an answer."""
+    """Decides when to hedge a call whose first attempt has not responded."""
 
     @abc.abstractmethod
     def delay_s(self, call: "Call", now: float) -> float | None:
-        """Returns how long to wait for the first attempt (s).
+        """Returns the delay of the hedge after the first attempt (s).
 
-        `None` where the call gets no hedge. Called once per call, as its
-        first attempt begins.
+        Called once per call, when its first attempt begins. `None` if the call
+        gets no hedge.
         """
 
     def recheck_s(self, call: "Call") -> float | None:
-        """Returns when to look at `call` again (s); `None` for as before."""
+        """Returns the time until the next check of `call` (s).
+
+        `None` for the delay of the previous check.
+        """
         return None
 
     def hold_off_s(
         self, call: "Call", running: tuple[str, float], now: float
     ) -> float:
-        """Returns how long the first attempt is left alone (s); 0 for no more.
+        """Returns how long to wait before a hedge is considered (s); 0 for now.
 
         Args:
           call: the call.
-          running: the target of the first attempt, and its beginning
-            (monotonic s).
+          running: the target and the start (monotonic s) of the first attempt.
           now: monotonic time (s).
         """
         return 0.0
@@ -46,20 +48,19 @@
         other: "Member",
         now: float,
     ) -> bool:
-        """Returns whether a hedge is worth its price now.
+        """Returns whether a hedge is worth its cost now.
 
         Args:
           call: the call.
-          running: the target of the first attempt, and its beginning
-            (monotonic s).
-          other: the target that the hedge would go to.
+          running: the target and the start (monotonic s) of the first attempt.
+          other: the target of the hedge.
           now: monotonic time (s).
         """
         return True
 
     @abc.abstractmethod
     def try_spend(self, call: "Call", now: float) -> bool:
-        """Returns whether the hedge, now due, may begin; it is then paid."""
+        """Takes a due hedge from the budget; returns `False` if it is empty."""
 
     @abc.abstractmethod
     def finished(
@@ -70,19 +71,19 @@
         outcome: Outcome | None,
         load: LoadReport | None,
     ) -> None:
-        """Notes that an attempt of `call` ended.
+        """Records the end of an attempt of `call`.
 
         Args:
           call: the call.
           now: monotonic time (s).
-          elapsed_s: how long the attempt took (s).
-          outcome: what became of it; `None` if it was cancelled by us.
-          load: the target's report, where the answer carried one.
+          elapsed_s: duration of the attempt (s).
+          outcome: its outcome; `None` if this node cancelled it.
+          load: the load report of the target, if the response had one.
         """
 
 
 class NoHedging(HedgePolicy):
-    """Hedges nothing."""
+    """Never hedges."""
 
     def delay_s(self, call: "Call", now: float) -> float | None:
         return None
--- a/src/radishwind/hedging/quantile.py
+++ b/src/radishwind/hedging/quantile.py
@@ -1,4 +1,4 @@
-"""Hedges after a quantile of the answer time, from a budget."""
+"""Hedges calls after a quantile of the response time, within a budget."""
 
 from typing import TYPE_CHECKING
 
@@ -16,88 +16,96 @@
 if TYPE_CHECKING:
     from radishwind.entry.call import Call
 
-#: Answer times in one window of the histogram; a window gives one quantile.
-WINDOW = 256
+#: Response times in one window of the histogram; each window gives a quantile.
+WINDOW_SIZE = 256
 
-#: Answer times in the first window; each one after is twice as long, up to
-#: `WINDOW`, so that a service with few calls need not wait for its delay.
-FIRST_WINDOW = 32
+#: Response times in the first window. Each further window is twice as long, up
+#: to `WINDOW_SIZE`, so that a service with few calls gets a delay early.
+FIRST_WINDOW_SIZE = 32
 
-#: Weight of the newest window's quantile in the delay.
+#: Weight of the quantile of the latest window in the delay.
 WINDOW_WEIGHT = 0.5
 
-#: Weight of one answer in the share of answers that tell of overload.
+#: Weight of one response in the fraction that indicates overload.
 OVERLOAD_WEIGHT = 0.02
 
-#: No hedges of a service while more than this share of its answers tell that
-#: the target is full: a second attempt would take the slot of a first one.
-#: One full target of several is no reason, since hedges go to another.
-OVERLOAD_SHARE = 0.5
+#: A service gets no hedges while more than this fraction of its responses
+#: indicate a full target: a hedge would take the slot of a first attempt. One
+#: full target of several is no obstacle, since hedges go to other targets.
+MAX_OVERLOAD_FRACTION = 0.5
 
-#: Hedges saved up at most, for a burst of slow answers.
-MAX_SAVED = 10.0
+#: Capacity of the budget of a service (hedges), for a burst of slow responses.
+BUDGET_CAPACITY = 10.0
 
-#: Part of the share that the quantile aims at; the rest keeps the budget from
-#: running dry, so that the slowest calls find it.
-AIM = 0.8
+#: Fraction of the allowed share at which the quantile aims. The rest keeps the
+#: budget from being exhausted, so that the slowest calls find a token.
+TARGET_SHARE_FRACTION = 0.8
 
-#: Services whose answer times are kept, about 22 KB each.
+#: Services whose response times are kept, about 22 KB each.
 MAX_SERVICES = 64
 
 _MAX_US = 60_000_000
-_DIGITS = 2
+_SIGNIFICANT_DIGITS = 2
 _OVERLOAD_CODES = frozenset({ResultCode.OVERLOADED, ResultCode.SERVER_SHED})
 
 
-class _AnswerTimes:
-    """Answer times of one service, and the quantile to hedge after."""
+class _ResponseTimes:
+    """Response times of one service, and the delay of its hedges."""
 
-    __slots__ = ("_histogram", "_recorded", "_window", "delay_s", "overload")
+    __slots__ = (
+        "_count",
+        "_histogram",
+        "_window_size",
+        "delay_s",
+        "overload_fraction",
+    )
 
     def __init__(self) -> None:
         self.delay_s: float | None = None
-        self.overload = 0.0
-        self._recorded = 0
-        self._window = FIRST_WINDOW
-        self._histogram = HdrHistogram(1, _MAX_US, _DIGITS)
+        self.overload_fraction = 0.0
+        self._count = 0
+        self._window_size = FIRST_WINDOW_SIZE
+        self._histogram = HdrHistogram(1, _MAX_US, _SIGNIFICANT_DIGITS)
 
     @property
-    def overloaded(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Whether most targets are full."""
-        return self.overload > OVERLOAD_SHARE
+        return self.overload_fraction > MAX_OVERLOAD_FRACTION
 
-    def note_overload(self, told: bool) -> None:
-        """Takes whether an answer told of overload."""
-        self.overload += OVERLOAD_WEIGHT * (told - self.overload)
+    def record_overload(self, indicated: bool) -> None:
+        """Records whether a response indicated overload."""
+        self.overload_fraction += OVERLOAD_WEIGHT * (
+            indicated - self.overload_fraction
+        )
 
     def record(self, elapsed_s: float, share: float) -> None:
-        """Takes one answer time (s); hedges are to be `share` of calls."""
+        """Records a response time; `share` of the calls may be hedged."""
         value_us = min(_MAX_US, max(1, int(elapsed_s * 1e6)))
         self._histogram.record_value(value_us)
-        self._recorded += 1
-        if self._recorded < self._window:
+        self._count += 1
+        if self._count < self._window_size:
             return
-        percent = 100 * (1 - AIM * share)
+        percent = 100 * (1 - TARGET_SHARE_FRACTION * share)
         newest_us = self._histogram.get_value_at_percentile(percent)
         newest_s = newest_us / 1e6
-        before_s = newest_s if self.delay_s is None else self.delay_s
-        self.delay_s = before_s + WINDOW_WEIGHT * (newest_s - before_s)
-        # A new one costs less than a reset.
-        self._histogram = HdrHistogram(1, _MAX_US, _DIGITS)
-        self._recorded = 0
-        self._window = min(WINDOW, 2 * self._window)
+        previous_s = newest_s if self.delay_s is None else self.delay_s
+        self.delay_s = previous_s + WINDOW_WEIGHT * (newest_s - previous_s)
+        # A new histogram costs less than a reset.
+        self._histogram = HdrHistogram(1, _MAX_US, _SIGNIFICANT_DIGITS)
+        self._count = 0
+        self._window_size = min(WINDOW_SIZE, 2 * self._window_size)
 
 
 class QuantileHedgePolicy(HedgePolicy):
     """Hedges idempotent calls that are slower than most of their service.
 
-    The quantile is chosen so that a little less than the share that the rules
-    allow reaches it; the budget holds the share in any case.
+    The quantile is such that slightly fewer calls than the allowed share are
+    slower; the budget enforces the share in any case.
     """
 
     def __init__(self) -> None:
-        self._services: dict[str, _AnswerTimes] = {}
-        self._buckets = TokenBucketTable(0.0, MAX_SAVED)
+        self._services: dict[str, _ResponseTimes] = {}
+        self._buckets = TokenBucketTable(0.0, BUDGET_CAPACITY)
 
     def delay_s(self, call: "Call", now: float) -> float | None:
         share = call.rules.hedge_share
@@ -105,7 +113,7 @@
             return None
         self._buckets.deposit(call.service, share, now)
         times = self._services.get(call.service)
-        if times is None or times.delay_s is None or times.overloaded:
+        if times is None or times.delay_s is None or times.is_overloaded:
             return None
         if now + times.delay_s >= call.deadline:
             return None
@@ -113,7 +121,7 @@
 
     def try_spend(self, call: "Call", now: float) -> bool:
         times = self._services.get(call.service)
-        if times is None or times.overloaded:
+        if times is None or times.is_overloaded:
             return False
         return self._buckets.try_spend(call.service)
 
@@ -129,14 +137,14 @@
             return
         times = self._times(call.service)
         if outcome is not None:
-            times.note_overload(_tells_overload(outcome, load))
+            times.record_overload(_indicates_overload(outcome, load))
         if outcome is None or isinstance(outcome, Done):
             times.record(elapsed_s, call.rules.hedge_share)
 
-    def _times(self, service: str) -> _AnswerTimes:
+    def _times(self, service: str) -> _ResponseTimes:
         times = self._services.get(service)
         if times is None:
-            times = self._services[service] = _AnswerTimes()
+            times = self._services[service] = _ResponseTimes()
             if len(self._services) > MAX_SERVICES:
                 del self._services[next(iter(self._services))]
         return times
@@ -148,7 +156,7 @@
     return not isinstance(call.request.body, BodyStream)
 
 
-def _tells_overload(outcome: Outcome, load: LoadReport | None) -> bool:
+def _indicates_overload(outcome: Outcome, load: LoadReport | None) -> bool:
     if isinstance(outcome, NotRun) and outcome.code in _OVERLOAD_CODES:
         return True
     return load is not None and load.queued > 0
--- a/src/radishwind/hedging/tests/test_quantile.py
+++ b/src/radishwind/hedging/tests/test_quantile.py
@@ -7,11 +7,11 @@
 from radishwind.core.codes import ResultCode
 from radishwind.entry.call import Call
 from radishwind.hedging import QuantileHedgePolicy
-from radishwind.hedging.quantile import AIM
-from radishwind.hedging.quantile import FIRST_WINDOW
-from radishwind.hedging.quantile import MAX_SAVED
+from radishwind.hedging.quantile import BUDGET_CAPACITY
+from radishwind.hedging.quantile import FIRST_WINDOW_SIZE
 from radishwind.hedging.quantile import MAX_SERVICES
-from radishwind.hedging.quantile import WINDOW
+from radishwind.hedging.quantile import TARGET_SHARE_FRACTION
+from radishwind.hedging.quantile import WINDOW_SIZE
 from radishwind.http.types import BodyStream
 from radishwind.http.types import Request
 from radishwind.http.types import Response
@@ -43,10 +43,10 @@
 )
 
 
-def learned(windows=2, load=None):
+def trained_policy(windows=2, load=None):
     policy = QuantileHedgePolicy()
     rng = random.Random(1)
-    for _ in range(windows * WINDOW):
+    for _ in range(windows * WINDOW_SIZE):
         policy.delay_s(CALL, 0.0)
         policy.finished(CALL, 0.0, rng.expovariate(100.0), OK, load)
     return policy
@@ -56,30 +56,30 @@
     assert QuantileHedgePolicy().delay_s(CALL, 0.0) is None
 
 
-def test_delay_is_the_quantile_that_the_share_asks_for():
-    delay_s = learned(20).delay_s(CALL, 0.0)
+def test_delay_is_the_quantile_of_the_share():
+    delay_s = trained_policy(20).delay_s(CALL, 0.0)
 
     rng = random.Random(2)
     times = [rng.expovariate(100.0) for _ in range(10_000)]
     later = sum(t > delay_s for t in times) / len(times)
-    assert later == pytest.approx(AIM * 0.05, abs=0.015)
+    assert later == pytest.approx(TARGET_SHARE_FRACTION * 0.05, abs=0.015)
 
 
-def test_a_service_with_few_calls_gets_a_delay_early():
+def test_service_with_few_calls_gets_a_delay_early():
     policy = QuantileHedgePolicy()
 
-    for _ in range(FIRST_WINDOW):
+    for _ in range(FIRST_WINDOW_SIZE):
         assert policy.delay_s(CALL, 0.0) is None
         policy.finished(CALL, 0.0, 0.01, OK, None)
 
     assert policy.delay_s(CALL, 0.0) == pytest.approx(0.01, rel=0.02)
 
 
-def test_delay_follows_a_change():
-    policy = learned()
+def test_delay_follows_a_change_of_response_times():
+    policy = trained_policy()
     before_s = policy.delay_s(CALL, 0.0)
 
-    for _ in range(4 * WINDOW):
+    for _ in range(4 * WINDOW_SIZE):
         policy.finished(CALL, 0.0, 0.5, OK, None)
 
     assert policy.delay_s(CALL, 0.0) > 5 * before_s
@@ -94,14 +94,14 @@
         {"deadline": 0.001},
     ],
 )
-def test_calls_that_get_no_hedge(change):
+def test_calls_that_are_not_hedged(change):
     call = dataclasses.replace(CALL, **change)
 
-    assert learned().delay_s(call, 0.0) is None
+    assert trained_policy().delay_s(call, 0.0) is None
 
 
-def test_budget_holds_the_share_whatever_the_delay():
-    policy = learned()
+def test_budget_enforces_the_share_whatever_the_delay():
+    policy = trained_policy()
     calls = 2_000
 
     hedges = 0
@@ -109,11 +109,11 @@
         policy.delay_s(CALL, 0.0)
         hedges += policy.try_spend(CALL, 0.0)
 
-    assert 0 < hedges <= 0.05 * calls + MAX_SAVED
+    assert 0 < hedges <= 0.05 * calls + BUDGET_CAPACITY
 
 
 def test_no_hedges_while_most_targets_are_full():
-    policy = learned(load=FULL)
+    policy = trained_policy(load=FULL)
     assert policy.delay_s(CALL, 0.0) is None
     assert not policy.try_spend(CALL, 0.0)
 
@@ -123,8 +123,8 @@
     assert policy.delay_s(CALL, 0.0) is not None
 
 
-def test_refusals_tell_of_overload():
-    policy = learned()
+def test_refusals_indicate_overload():
+    policy = trained_policy()
     refused = NotRun(ResultCode.SERVER_SHED, "shed", 1.0)
 
     for _ in range(100):
@@ -133,8 +133,8 @@
     assert policy.delay_s(CALL, 0.0) is None
 
 
-def test_one_full_target_of_three_is_no_reason():
-    policy = learned()
+def test_one_full_target_of_three_does_not_stop_hedges():
+    policy = trained_policy()
 
     for number in range(300):
         load = FULL if number % 3 == 0 else None
@@ -143,7 +143,7 @@
     assert policy.delay_s(CALL, 0.0) is not None
 
 
-def test_services_kept_are_bounded():
+def test_number_of_services_kept_is_bounded():
     policy = QuantileHedgePolicy()
 
     for number in range(MAX_SERVICES + 5):
