--- a/src/radishwind/probing/__init__.py
+++ b/src/radishwind/probing/__init__.py
@@ -1,4 +1,4 @@
-"""Measures the server beside: real answers first, probes only into silence."""
+"""Active health checks of the local server, within a time budget."""
 
 from radishwind.probing.budget import ProbeBudget
 from radishwind.probing.health import HealthEstimator
--- a/src/radishwind/probing/health.py
+++ b/src/radishwind/probing/health.py
@@ -1,78 +1,79 @@
-"""How well the server does, by real answers first and probes second."""
+"""Estimates the health of the server by its responses and by probes."""
 
-#: The share that the newest answer has in the estimate.
+#: Weight of the latest result in the estimate.
 _SMOOTHING = 0.2
 
-#: After this time without news half of the distrust is gone (s), so that a
-#: server that was bad gets a little work to show that it is well again.
+#: Half-life of the failure rate without further results (s), so that a failing
+#: server gets some requests again by which it can prove its recovery.
 HALF_LIFE_S = 5.0
 
-#: Real answers younger than this make a probe needless (s).
-SILENCE_S = 1.0
+#: No probe is needed within this time after a response to a request (s).
+QUIET_AFTER_S = 1.0
 
-#: A probe's good word counts only if no real failure is younger (s).
-OUTWEIGHS_S = 10.0
+#: A successful probe counts only if no request failed within this time (s).
+FAILURE_PRECEDENCE_S = 10.0
 
 
 class HealthEstimator:
-    """Keeps the recent share of failures.
+    """Keeps an exponentially weighted failure rate of the server.
 
-    Probes can lower the trust in a server that nobody asks anything; they
-    never raise it against recent real failures, since health endpoints lie.
+    A failed probe lowers the score of a server without requests. A successful
+    probe does not raise it against recent failures of requests, since health
+    endpoints can report a failing server as healthy.
     """
 
     def __init__(self) -> None:
-        self._failing = 0.0
+        self._failure_rate = 0.0
         self._updated = 0.0
-        self._last_answer = -OUTWEIGHS_S
-        self._last_failure = -OUTWEIGHS_S
-        self._last_check_failed = False
+        self._last_response = -FAILURE_PRECEDENCE_S
+        self._last_failure = -FAILURE_PRECEDENCE_S
+        self._last_result_failed = False
 
     @property
-    def last_check_failed(self) -> bool:
-        """Whether the last news was bad, so that a probe helps soon."""
-        return self._last_check_failed
+    def last_result_failed(self) -> bool:
+        """Whether the latest result was a failure; a probe is due soon then."""
+        return self._last_result_failed
 
     def is_quiet(self, now: float) -> bool:
-        """Returns whether there was no recent real answer."""
-        return now - self._last_answer >= SILENCE_S
+        """Returns whether there was no recent response to a request."""
+        return now - self._last_response >= QUIET_AFTER_S
 
     def record_response(self, ok: bool, now: float) -> None:
-        """Takes what became of a real request."""
-        self._last_answer = now
+        """Records whether a request succeeded."""
+        self._last_response = now
         if not ok:
             self._last_failure = now
-        self._last_check_failed = not ok
+        self._last_result_failed = not ok
         self._update(0.0 if ok else 1.0, now)
 
     def record_probe(self, ok: bool, now: float) -> None:
-        """Takes what became of a probe."""
+        """Records whether a probe succeeded."""
         if not ok:
-            self._last_check_failed = True
+            self._last_result_failed = True
             self._update(1.0, now)
             return
-        self._last_check_failed = False
-        if now - self._last_failure >= OUTWEIGHS_S:
+        self._last_result_failed = False
+        if now - self._last_failure >= FAILURE_PRECEDENCE_S:
             self._update(0.0, now)
 
     def reset(self, now: float) -> None:
-        """Forgets what the server did before a new start."""
-        self._failing = 0.0
+        """Resets the estimate after a restart of the server."""
+        self._failure_rate = 0.0
         self._updated = now
-        self._last_failure = now - OUTWEIGHS_S
-        self._last_check_failed = False
+        self._last_failure = now - FAILURE_PRECEDENCE_S
+        self._last_result_failed = False
 
     def score(self, now: float) -> float:
-        """Returns 1 for a server that does well to 0 for one that fails."""
-        return 1.0 - self._failing_at(now)
+        """Returns the health from 0 (all requests fail) to 1 (none fails)."""
+        return 1.0 - self._failure_rate_at(now)
 
     def _update(self, failed: float, now: float) -> None:
-        failing = self._failing_at(now)
-        self._failing = failing + _SMOOTHING * (failed - failing)
+        failure_rate = self._failure_rate_at(now)
+        self._failure_rate = failure_rate + _SMOOTHING * (failed - failure_rate)
         self._updated = now
 
-    def _failing_at(self, now: float) -> float:
-        if not self._failing:
+    def _failure_rate_at(self, now: float) -> float:
+        if not self._failure_rate:
             return 0.0
-        faded: float = 0.5 ** ((now - self._updated) / HALF_LIFE_S)
-        return self._failing * faded
+        weight: float = 0.5 ** ((now - self._updated) / HALF_LIFE_S)
+        return self._failure_rate * weight
--- a/src/radishwind/probing/policy.py
+++ b/src/radishwind/probing/policy.py
@@ -1,4 +1,4 @@
-"""Whether to probe now."""
+"""Decides when the local server is probed."""
 
 import enum
 
@@ -7,15 +7,18 @@
 from radishwind.probing.budget import ProbeBudget
 from radishwind.probing.health import HealthEstimator
 
-#: Time between probes of a silent server (s).
-CALM_INTERVAL_S = 2.0
+#: Interval between probes of a server without requests (s).
+NORMAL_INTERVAL_S = 2.0
 
-#: Time between probes of a server in doubt (s).
-DOUBT_INTERVAL_S = 0.25
+#: Interval between probes of a server in an uncertain state (s).
+FAST_INTERVAL_S = 0.25
 
 
 class ProbeDecision(enum.Enum):
-    """What to do, and why not to probe."""
+    """Whether to probe, and the reason if not.
+
+    The names appear in the status of the node, in lower case.
+    """
 
     PROBE = "probe"
     TRAFFIC = "real answers tell enough"
@@ -25,12 +28,12 @@
 
 
 class Occupancy(msgspec.Struct, frozen=True):
-    """How busy the server is.
+    """The utilization of the server.
 
     Attributes:
-      slots: slots in all.
-      in_flight: slots in use.
-      queued: requests waiting.
+      slots: number of slots.
+      in_flight: number of slots in use.
+      queued: number of queued requests.
     """
 
     slots: int
@@ -39,31 +42,37 @@
 
 
 class ProbePolicy:
-    """Probes only into silence or doubt, a free slot and a filled budget."""
+    """Allows a probe if it is useful, a slot is free and the budget suffices.
+
+    A probe is useful if there was no recent response to a request or the latest
+    result was a failure.
+    """
 
     def __init__(self, budget: ProbeBudget, health: HealthEstimator) -> None:
         self._budget = budget
         self._health = health
-        self._last = -CALM_INTERVAL_S
+        self._last_probe = -NORMAL_INTERVAL_S
 
     def decide(
-        self, occupancy: Occupancy, in_doubt: bool, now: float
+        self, occupancy: Occupancy, is_uncertain: bool, now: float
     ) -> ProbeDecision:
         """Returns whether to probe, and the reason if not.
 
         Args:
-          occupancy: of the server, as of now.
-          in_doubt: whether the server is cold or draining, so that its state
-            is worth asking for more often.
+          occupancy: the current utilization of the server.
+          is_uncertain: whether the server is in slow start or draining, so that
+            its state may change soon.
           now: monotonic time (s).
         """
-        doubt = in_doubt or self._health.last_check_failed
+        uncertain = is_uncertain or self._health.last_result_failed
         if (
             not self._health.is_quiet(now)
-            and not self._health.last_check_failed
+            and not self._health.last_result_failed
         ):
             return ProbeDecision.TRAFFIC
-        if now - self._last < (DOUBT_INTERVAL_S if doubt else CALM_INTERVAL_S):
+        if now - self._last_probe < (
+            FAST_INTERVAL_S if uncertain else NORMAL_INTERVAL_S
+        ):
             return ProbeDecision.WAIT
         if occupancy.queued or occupancy.in_flight >= occupancy.slots:
             return ProbeDecision.FULL
@@ -72,7 +81,7 @@
         return ProbeDecision.PROBE
 
     def record_probe(self, cost_s: float, ok: bool, now: float) -> None:
-        """Takes what a probe cost (s) and whether it found the server well."""
-        self._last = now
+        """Records the duration of a probe (s) and whether it succeeded."""
+        self._last_probe = now
         self._budget.spend(cost_s, now)
         self._health.record_probe(ok, now)
--- a/src/radishwind/probing/prober.py
+++ b/src/radishwind/probing/prober.py
@@ -1,4 +1,4 @@
-"""The task that probes the server beside; one probe at a time."""
+"""The task that probes the local server, one probe at a time."""
 
 import collections
 from collections.abc import Callable
@@ -24,30 +24,30 @@
 from radishwind.target.backend_server import ServerState
 from radishwind.target.backend_server import ServerView
 
-#: How often the policy is asked (s).
+#: Interval at which the policy is evaluated (s).
 POLL_INTERVAL_S = 0.25
 
-#: How long a probe may take (s); it costs no more than that.
+#: Timeout of a probe (s), and so the maximum cost of a probe.
 PROBE_TIMEOUT_S = 0.5
 
-#: The caller that a probe's slot is charged to.
+#: Caller name to which the slot of a probe is charged.
 CALLER = "radishwind-probe"
 
-_GOOD_STATUSES = range(200, 400)
+_HEALTHY_STATUSES = range(200, 400)
 
 
 class _Health(msgspec.Struct, frozen=True):
-    """The part of a health answer that is understood."""
+    """The evaluated fields of a health response."""
 
     state: ServerState | None = None
     warm: float | None = None
 
 
 class Prober:
-    """Asks the server's health endpoint when the policy says so.
+    """Probes the health endpoint of the server when the policy allows.
 
-    A probe holds a slot like a request, so it never joins a full server.
-    `on_connect_failed` is called when the server takes no connection.
+    A probe holds a slot like a request, so that it never adds to a full server.
+    `on_connect_failed` is called if the server accepts no connection.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self._server = server
         self._admission = admission
         self._on_connect_failed = on_connect_failed
-        self._began = clock.monotonic()
+        self._started_at = clock.monotonic()
         self._budget = ProbeBudget()
         self._policy = ProbePolicy(self._budget, health)
         self._decisions: collections.Counter[ProbeDecision] = (
@@ -73,7 +73,7 @@
         )
 
     def set_budget_share(self, share: float) -> None:
-        """Takes the share of slot time that probing may cost."""
+        """Sets the share of slot time that probes may use."""
         now = self._clock.monotonic()
         self._budget.set_rate(share, self._admission.slots, now)
 
@@ -84,41 +84,45 @@
             await anyio.sleep(POLL_INTERVAL_S)
 
     async def tick(self) -> None:
-        """Probes once if the policy says so."""
+        """Probes once if the policy allows."""
         view = self._server.view
         if view is None or not view.health_path or not self._server.listed:
             return
         now = self._clock.monotonic()
-        in_doubt = self._server.draining or self._server.warm_fraction(now) < 1
+        is_uncertain = (
+            self._server.draining or self._server.warm_fraction(now) < 1
+        )
         occupancy = Occupancy(
             self._admission.slots,
             self._admission.in_flight,
             self._admission.queued,
         )
-        decision = self._policy.decide(occupancy, in_doubt, now)
+        decision = self._policy.decide(occupancy, is_uncertain, now)
         self._decisions[decision] += 1
         if decision is ProbeDecision.PROBE:
             await self._probe(view)
 
     async def _probe(self, view: ServerView) -> None:
-        began = self._clock.monotonic()
-        ticket = Ticket(CALLER, began + PROBE_TIMEOUT_S, began, lambda: None)
-        self._admission.offer(ticket, began)
+        started_at = self._clock.monotonic()
+        ticket = Ticket(
+            CALLER, started_at + PROBE_TIMEOUT_S, started_at, lambda: None
+        )
+        self._admission.offer(ticket, started_at)
         health = None
         try:
             if ticket.admitted:
-                health = await self._ask(view)
+                health = await self._send_probe(view)
         finally:
             now = self._clock.monotonic()
             self._admission.release(ticket, now, 0.0)
         if ticket.refused is not None:
             return
-        self._policy.record_probe(now - began, health is not None, now)
+        self._policy.record_probe(now - started_at, health is not None, now)
         if health is not None and health.state is not None:
             self._server.record_health(health.state, health.warm)
 
-    async def _ask(self, view: ServerView) -> _Health | None:
-        """Returns what the server tells; `None` if it does not do well."""
+    async def _send_probe(self, view: ServerView) -> _Health | None:
+        """Returns the health response; `None` if the server is unhealthy."""
         fields = (("Host", str(view.address)),)
         request = Request("GET", view.health_path, fields)
         try:
@@ -136,17 +140,19 @@
             health = msgspec.json.decode(body, type=_Health)
         except msgspec.MsgspecError:
             health = _Health()
-        good = health.state is not None or response.status in _GOOD_STATUSES
-        return health if good else None
+        is_healthy = (
+            health.state is not None or response.status in _HEALTHY_STATUSES
+        )
+        return health if is_healthy else None
 
     @property
     def cost_s(self) -> float:
-        """What probing cost since the start (s)."""
+        """Duration of all probes since the start (s)."""
         return self._budget.spent_s
 
     def status(self) -> dict[str, Any]:
-        """Returns what probing cost, and why it was not done."""
-        elapsed_s = max(1e-9, self._clock.monotonic() - self._began)
+        """Returns the cost of probes and the number of each decision."""
+        elapsed_s = max(1e-9, self._clock.monotonic() - self._started_at)
         slot_s = elapsed_s * max(1, self._admission.slots)
         return {
             "probes": self._decisions[ProbeDecision.PROBE],
--- a/src/radishwind/probing/tests/test_probing.py
+++ b/src/radishwind/probing/tests/test_probing.py
@@ -1,3 +1,5 @@
+"""Probes cost little, join no full server and yield to real responses."""
+
 import msgspec
 import pytest
 from tests.support.direct import DirectSender
@@ -28,7 +30,7 @@
     return ProbePolicy(budget, health), budget, health
 
 
-def test_real_answers_make_probes_needless():
+def test_no_probe_after_a_recent_response():
     policy, _, health = make_policy()
     health.record_response(True, 9.5)
     assert policy.decide(FREE, False, 10.0) is ProbeDecision.TRAFFIC
@@ -36,13 +38,13 @@
 
 
 @pytest.mark.parametrize("busy", [Occupancy(9, 9, 0), Occupancy(9, 8, 1)])
-def test_no_probe_joins_a_full_server(busy):
+def test_no_probe_of_a_full_server(busy):
     policy, _, _ = make_policy()
     assert policy.decide(busy, True, 10.0) is ProbeDecision.FULL
 
 
 @pytest.mark.parametrize("cost_s", [0.006, 0.2, 0.5])
-def test_the_cost_of_probes_stays_in_the_budget(cost_s):
+def test_cost_of_probes_stays_within_the_budget(cost_s):
     policy, budget, _ = make_policy()
     now = 10.0
     while now < 1000.0:
@@ -52,27 +54,27 @@
     assert 0 < budget.spent_s <= 0.01 * 9 * 990 + 0.09 + cost_s
 
 
-def test_a_share_of_nothing_allows_no_probe():
+def test_no_probe_with_a_share_of_zero():
     policy, _, _ = make_policy(share=0.0)
     assert policy.decide(FREE, True, 1e6) is ProbeDecision.BUDGET
 
 
-def test_real_failures_outweigh_probes_that_find_all_well():
+def test_failures_of_requests_take_precedence_over_successful_probes():
     health = HealthEstimator()
     for _ in range(10):
         health.record_response(False, 100.0)
-    failing = health.score(100.0)
+    score_after_failures = health.score(100.0)
     for _ in range(20):
         health.record_probe(True, 100.5)
 
-    assert failing < 0.2
+    assert score_after_failures < 0.2
     assert health.score(100.5) < 0.3
     for _ in range(20):
         health.record_response(True, 101.0)
     assert health.score(101.0) > 0.95
 
 
-def test_distrust_fades_so_that_the_server_is_tried_again():
+def test_failure_rate_decays_so_that_the_server_is_tried_again():
     health = HealthEstimator()
     for _ in range(30):
         health.record_response(False, 0.0)
@@ -80,18 +82,18 @@
     assert health.score(15.0) > 0.8
 
 
-class Beside:
-    """A prober with a server whose health answer is set by the test."""
+class ProbedServer:
+    """A prober with a server whose health response is set by the test."""
 
     def __init__(self):
         self.clock, self.sender = ManualClock(), DirectSender()
         self.clock.advance(100.0)
         self.server = BackendServer("a", None)
         self.server.set_listed(True)
-        told = Announcement("a", str(ADDRESS), health_path="/healthz")
-        self.server.accept_announcement(told, 100.0)
+        announcement = Announcement("a", str(ADDRESS), health_path="/healthz")
+        self.server.accept_announcement(announcement, 100.0)
         self.health = HealthEstimator()
-        self.gone = []
+        self.connect_failures = []
         self.admission = FairAdmission(AdmissionLimits(1, 10, 0, 8, 1.0))
         self.prober = Prober(
             clock=self.clock,
@@ -99,7 +101,7 @@
             server=self.server,
             admission=self.admission,
             health=self.health,
-            on_connect_failed=lambda: self.gone.append(True),
+            on_connect_failed=lambda: self.connect_failures.append(True),
         )
         self.prober.set_budget_share(0.1)
         self.status = 200
@@ -114,38 +116,38 @@
 
 
 @pytest.mark.anyio
-async def test_a_draining_health_answer_means_leaving():
-    beside = Beside()
-    beside.answer = {"state": "draining", "warm": 1.0}
-    await beside.prober.tick()
-
-    assert beside.server.draining
-    assert beside.admission.in_flight == 0
-    status = beside.prober.status()
+async def test_health_response_can_announce_draining():
+    probed = ProbedServer()
+    probed.answer = {"state": "draining", "warm": 1.0}
+    await probed.prober.tick()
+
+    assert probed.server.draining
+    assert probed.admission.in_flight == 0
+    status = probed.prober.status()
     assert status["probes"] == 1
     assert status["cost_s"] == pytest.approx(0.006)
 
 
 @pytest.mark.anyio
-async def test_a_failed_probe_into_silence_lowers_trust():
-    beside = Beside()
-    beside.sender.faults[ADDRESS] = Fault.REFUSED
-    await beside.prober.tick()
-    assert beside.health.score(beside.clock.monotonic()) < 1.0
-    assert beside.gone == [True]
+async def test_failed_probe_lowers_the_score_without_requests():
+    probed = ProbedServer()
+    probed.sender.faults[ADDRESS] = Fault.REFUSED
+    await probed.prober.tick()
+    assert probed.health.score(probed.clock.monotonic()) < 1.0
+    assert probed.connect_failures == [True]
 
 
 @pytest.mark.anyio
-async def test_json_without_a_state_does_not_outweigh_a_bad_status():
-    beside = Beside()
-    beside.status, beside.answer = 500, {"error": "no database"}
-    await beside.prober.tick()
-    assert beside.health.score(beside.clock.monotonic()) < 1.0
+async def test_json_without_a_state_does_not_override_an_error_status():
+    probed = ProbedServer()
+    probed.status, probed.answer = 500, {"error": "no database"}
+    await probed.prober.tick()
+    assert probed.health.score(probed.clock.monotonic()) < 1.0
 
 
 @pytest.mark.anyio
-async def test_the_prober_leaves_a_full_server_alone():
-    beside = Beside()
-    beside.admission.offer(Ticket("c", 999.0, 110.0, lambda: None), 110.0)
-    await beside.prober.tick()
-    assert beside.sender.sent == []
+async def test_prober_sends_nothing_to_a_full_server():
+    probed = ProbedServer()
+    probed.admission.offer(Ticket("c", 999.0, 110.0, lambda: None), 110.0)
+    await probed.prober.tick()
+    assert probed.sender.sent == []
