--- a/src/radishwind/membership/anti_entropy.py
+++ b/src/radishwind/membership/anti_entropy.py
@@ -3,15 +3,15 @@
 from collections.abc import Iterable
 
 from radishwind.membership.membership_table import MembershipTable
-from radishwind.membership.messages import GroupLeaves
+from radishwind.membership.messages import GroupDigests
 from radishwind.membership.messages import SyncGroups
 from radishwind.membership.messages import SyncLeaves
 from radishwind.membership.messages import SyncNewer
 from radishwind.membership.messages import SyncPage
-from radishwind.membership.records import member_newer
+from radishwind.membership.records import is_newer_member
+from radishwind.membership.records import is_newer_rumor
 from radishwind.membership.records import MemberRecord
 from radishwind.membership.records import Rumor
-from radishwind.membership.records import rumor_newer
 
 #: Groups told in one answer, so that it stays within a message.
 _MAX_GROUPS_TOLD = 16
@@ -27,7 +27,7 @@
         self,
         own_name: str,
         table: MembershipTable,
-        page_bytes: int,
+        page_payload_bytes: int,
         max_pages: int,
     ) -> None:
         """Makes a syncer.
@@ -35,12 +35,12 @@
         Args:
           own_name: the name of this node.
           table: the facts to make equal.
-          page_bytes: facts carried by one page (bytes).
+          page_payload_bytes: facts carried by one page (bytes).
           max_pages: pages sent at most after one opening.
         """
         self._own_name = own_name
         self._table = table
-        self._page_bytes = page_bytes
+        self._page_bytes = page_payload_bytes
         self._max_pages = max_pages
         self._pages_left = 0
         self._wanted: tuple[int, ...] = ()
@@ -52,7 +52,7 @@
 
     def open(self, revision: int) -> SyncGroups:
         """Returns the message that opens anti-entropy."""
-        groups = self._table.digests.groups()
+        groups = self._table.digests.group_digests()
         return SyncGroups(self._own_name, revision, (), (), groups)
 
     def answer_groups(self, message: SyncGroups, revision: int) -> SyncLeaves:
@@ -63,7 +63,7 @@
         start = len(message.sender) % max(1, len(groups))
         turned = groups[start:] + groups[:start]
         told = [
-            GroupLeaves(group, digests.leaves(group))
+            GroupDigests(group, digests.leaf_digests(group))
             for group in turned[:_MAX_GROUPS_TOLD]
         ]
         return SyncLeaves(self._own_name, revision, (), (), tuple(told))
@@ -126,7 +126,7 @@
         """Returns the first leaves whose facts fit a page, and the facts."""
         by_leaf: dict[int, list[MemberRecord | Rumor]] = {}
         wanted = frozenset(leaves)
-        for leaf, fact in self._table.records_in_leaves(wanted, now):
+        for leaf, fact in self._table.entries_in_leaves(wanted, now):
             by_leaf.setdefault(leaf, []).append(fact)
         fitting: list[int] = []
         facts: list[MemberRecord | Rumor] = []
@@ -144,14 +144,14 @@
 
 
 def _size(facts: Iterable[MemberRecord | Rumor]) -> int:
-    return sum(fact.size_bytes() for fact in facts)
+    return sum(fact.estimated_bytes() for fact in facts)
 
 
 def _news(fact: MemberRecord, theirs: MemberRecord | None) -> bool:
     if theirs is None:
         return not fact.is_gone
-    return member_newer(fact, theirs)
+    return is_newer_member(fact, theirs)
 
 
 def _rumor_news(fact: Rumor, theirs: Rumor | None) -> bool:
-    return theirs is None or rumor_newer(fact, theirs)
+    return theirs is None or is_newer_rumor(fact, theirs)
--- a/src/radishwind/membership/contact_records.py
+++ b/src/radishwind/membership/contact_records.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from radishwind.http.types import Address
-from radishwind.membership.records import Count
+from radishwind.membership.records import NonNegativeInt
 
 CONTACTS_KEY_PREFIX = "/radishwind/contacts/"
 
@@ -30,7 +30,7 @@
     """
 
     address: str
-    confirmed_ms: Count
+    confirmed_ms: NonNegativeInt
 
 
 class ContactRecord(msgspec.Struct, frozen=True):
--- a/src/radishwind/membership/digest_tree.py
+++ b/src/radishwind/membership/digest_tree.py
@@ -1,56 +1,56 @@
-"""Digests of a table of facts, so that equal tables are told by a few bytes.
+"""Digests that tell two equal tables from different ones in a few bytes.
 
-The facts fall by the hash of their key into leaves, and the leaves into
-groups; the digest of a leaf or group is the exclusive or of the hashes of its
-facts, so that it can be kept up to date one fact at a time.
+Entries fall into leaves by the hash of their key, and leaves into groups. The
+digest of a leaf or a group is the exclusive or of the hashes of its entries,
+so it can be updated one entry at a time.
 """
 
 import xxhash
 
-GROUPS = 32
+GROUP_COUNT = 32
 LEAVES_PER_GROUP = 32
-LEAVES = GROUPS * LEAVES_PER_GROUP
+LEAF_COUNT = GROUP_COUNT * LEAVES_PER_GROUP
 
 
 def leaf_of(key: str) -> int:
-    """Returns the leaf that the fact of `key` falls into."""
-    return xxhash.xxh32_intdigest(key.encode()) % LEAVES
+    """Returns the leaf of the entry with `key`."""
+    return xxhash.xxh32_intdigest(key.encode()) % LEAF_COUNT
 
 
 class DigestTree:
     """Digests of all leaves and groups."""
 
     def __init__(self) -> None:
-        self._leaves = [0] * LEAVES
-        self._groups = [0] * GROUPS
+        self._leaf_digests = [0] * LEAF_COUNT
+        self._group_digests = [0] * GROUP_COUNT
 
     def toggle(self, key: str, version: str) -> None:
-        """Adds the fact of `key` with `version`, or takes it out again."""
+        """Adds the entry of `key` with `version`, or removes it again."""
         leaf = leaf_of(key)
         value = xxhash.xxh32_intdigest(f"{key}\n{version}".encode())
-        self._leaves[leaf] ^= value
-        self._groups[leaf // LEAVES_PER_GROUP] ^= value
+        self._leaf_digests[leaf] ^= value
+        self._group_digests[leaf // LEAVES_PER_GROUP] ^= value
 
-    def groups(self) -> tuple[int, ...]:
+    def group_digests(self) -> tuple[int, ...]:
         """Returns the digests of all groups."""
-        return tuple(self._groups)
+        return tuple(self._group_digests)
 
-    def leaves(self, group: int) -> tuple[int, ...]:
+    def leaf_digests(self, group: int) -> tuple[int, ...]:
         """Returns the digests of the leaves of `group`."""
         first = group * LEAVES_PER_GROUP
-        return tuple(self._leaves[first : first + LEAVES_PER_GROUP])
+        return tuple(self._leaf_digests[first : first + LEAVES_PER_GROUP])
 
-    def differing_groups(self, theirs: tuple[int, ...]) -> list[int]:
-        """Returns the groups whose digest differs from `theirs`."""
-        pairs = zip(self._groups, theirs, strict=True)
-        return [n for n, (own, their) in enumerate(pairs) if own != their]
+    def differing_groups(self, remote: tuple[int, ...]) -> list[int]:
+        """Returns the groups whose digest differs from the one in `remote`."""
+        pairs = zip(self._group_digests, remote, strict=True)
+        return [n for n, (own, other) in enumerate(pairs) if own != other]
 
     def differing_leaves(
-        self, group: int, theirs: tuple[int, ...]
+        self, group: int, remote: tuple[int, ...]
     ) -> list[int]:
-        """Returns the leaves of `group` whose digest differs from `theirs`."""
+        """Returns the leaves of `group` whose digest differs from `remote`."""
         first = group * LEAVES_PER_GROUP
-        pairs = zip(self.leaves(group), theirs, strict=True)
+        pairs = zip(self.leaf_digests(group), remote, strict=True)
         return [
-            first + n for n, (own, their) in enumerate(pairs) if own != their
+            first + n for n, (own, other) in enumerate(pairs) if own != other
         ]
--- a/src/radishwind/membership/dissemination_queue.py
+++ b/src/radishwind/membership/dissemination_queue.py
@@ -94,9 +94,9 @@
             if fact is None:
                 self.forget(key)
                 continue
-            size += fact.size_bytes()
+            size += fact.estimated_bytes()
             if size > limit_bytes:
-                return taken, size - fact.size_bytes()
+                return taken, size - fact.estimated_bytes()
             taken.append(key)
         return taken, size
 
--- a/src/radishwind/membership/envelope.py
+++ b/src/radishwind/membership/envelope.py
@@ -4,7 +4,7 @@
 
 from radishwind.membership.messages import Message
 from radishwind.membership.messages import MessageError
-from radishwind.membership.records import Count
+from radishwind.membership.records import NonNegativeInt
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
@@ -16,7 +16,7 @@
       message: the message.
     """
 
-    number: Count
+    number: NonNegativeInt
     is_answer: bool
     message: Message
 
--- a/src/radishwind/membership/gossip.py
+++ b/src/radishwind/membership/gossip.py
@@ -75,7 +75,7 @@
             own.name, self.table, options, rng
         )
         self._syncer = AntiEntropy(
-            own.name, self.table, options.page_bytes, options.sync_pages
+            own.name, self.table, options.page_payload_bytes, options.sync_pages
         )
         self._audience = PushPeerSelector(own.name, self.table, options, rng)
         self._rumor_listeners: list[RumorListener] = []
@@ -203,7 +203,7 @@
         answer = self._answer(message, now)
         return answer, self._outbox.flush()
 
-    def handle_answer(
+    def handle_reply(
         self, call: OutgoingMessage, answer: Message, now: float
     ) -> list[OutgoingMessage]:
         """Takes the answer to a call."""
@@ -249,7 +249,7 @@
         if not isinstance(message, Ping):
             return Ack(self._name, self.revision)
         members, rumors = self._spreader.take_piggyback(
-            self._options.message_bytes, now
+            self._options.message_payload_bytes, now
         )
         extra: tuple[MemberRecord, ...] = (self.own_record,)
         if (
@@ -264,7 +264,7 @@
 
     def _take(self, message: Message, now: float) -> None:
         if message.sender in self.table.members:
-            self.table.revisions[message.sender] = message.revision
+            self.table.config_revisions[message.sender] = message.revision
         for member in message.members:
             self._take_member(member, now)
         for rumor in message.rumors:
@@ -364,7 +364,7 @@
         if not peers:
             return
         members, rumors = self._spreader.take_pushes(
-            self._options.message_bytes, len(peers), now
+            self._options.message_payload_bytes, len(peers), now
         )
         if not members and not rumors:
             return
--- a/src/radishwind/membership/gossip_options.py
+++ b/src/radishwind/membership/gossip_options.py
@@ -31,8 +31,8 @@
       forget_after_s: how long dead members are kept (s); longer than a
         partition between regions may last, so that its sides find each other
         again.
-      message_bytes: facts carried by one message (bytes).
-      page_bytes: facts carried by one page of anti-entropy (bytes).
+      message_payload_bytes: facts carried by one message (bytes).
+      page_payload_bytes: facts carried by one page of anti-entropy (bytes).
       max_members: members remembered at most.
       max_rumors: rumors remembered at most.
     """
@@ -53,7 +53,7 @@
     return_window_s: float = 30.0
     refute_grace_s: float = 10.0
     forget_after_s: float = 7_200.0
-    message_bytes: int = 6_000
-    page_bytes: int = 30_000
+    message_payload_bytes: int = 6_000
+    page_payload_bytes: int = 30_000
     max_members: int = 20_000
     max_rumors: int = 1_024
--- a/src/radishwind/membership/messages.py
+++ b/src/radishwind/membership/messages.py
@@ -7,13 +7,13 @@
 
 from radishwind.core.codes import ResultCode
 from radishwind.core.errors import RadishwindError
-from radishwind.membership.digest_tree import GROUPS
-from radishwind.membership.digest_tree import LEAVES
+from radishwind.membership.digest_tree import GROUP_COUNT
+from radishwind.membership.digest_tree import LEAF_COUNT
 from radishwind.membership.digest_tree import LEAVES_PER_GROUP
 from radishwind.membership.records import AddressText
-from radishwind.membership.records import Count
 from radishwind.membership.records import MAX_NAME_CHARS
 from radishwind.membership.records import MemberRecord
+from radishwind.membership.records import NonNegativeInt
 from radishwind.membership.records import Rumor
 
 #: The control path of all of them.
@@ -24,7 +24,7 @@
 
 _Name: TypeAlias = Annotated[str, msgspec.Meta(max_length=MAX_NAME_CHARS)]
 _Digest: TypeAlias = Annotated[int, msgspec.Meta(ge=0, lt=2**32)]
-_Leaf: TypeAlias = Annotated[int, msgspec.Meta(ge=0, lt=LEAVES)]
+_Leaf: TypeAlias = Annotated[int, msgspec.Meta(ge=0, lt=LEAF_COUNT)]
 
 
 class MessageError(RadishwindError):
@@ -44,7 +44,7 @@
     """
 
     sender: _Name
-    revision: Count = 0
+    revision: NonNegativeInt = 0
     members: tuple[MemberRecord, ...] = ()
     rumors: tuple[Rumor, ...] = ()
 
@@ -81,14 +81,14 @@
 
     groups: Annotated[
         tuple[_Digest, ...],
-        msgspec.Meta(min_length=GROUPS, max_length=GROUPS),
-    ] = (0,) * GROUPS
+        msgspec.Meta(min_length=GROUP_COUNT, max_length=GROUP_COUNT),
+    ] = (0,) * GROUP_COUNT
 
 
-class GroupLeaves(msgspec.Struct, frozen=True, array_like=True):
+class GroupDigests(msgspec.Struct, frozen=True, array_like=True):
     """The digests of the leaves of one group."""
 
-    group: Annotated[int, msgspec.Meta(ge=0, lt=GROUPS)]
+    group: Annotated[int, msgspec.Meta(ge=0, lt=GROUP_COUNT)]
     leaves: Annotated[
         tuple[_Digest, ...],
         msgspec.Meta(min_length=LEAVES_PER_GROUP, max_length=LEAVES_PER_GROUP),
@@ -98,7 +98,7 @@
 class SyncLeaves(_Message, frozen=True, array_like=True, tag="leaves"):
     """Answers `SyncGroups` with the leaves of the groups that differ."""
 
-    differing: tuple[GroupLeaves, ...] = ()
+    differing: tuple[GroupDigests, ...] = ()
 
 
 class SyncPage(_Message, frozen=True, array_like=True, tag="page"):
--- a/src/radishwind/membership/probe_sender.py
+++ b/src/radishwind/membership/probe_sender.py
@@ -61,7 +61,7 @@
         if fact is None:
             return
         members, rumors = self._spreader.take_piggyback(
-            self._options.message_bytes, now
+            self._options.message_payload_bytes, now
         )
         if fact.liveness is not Liveness.ALIVE:
             members = unique_members((fact, self._own, *members))
--- a/src/radishwind/membership/records.py
+++ b/src/radishwind/membership/records.py
@@ -1,7 +1,8 @@
-"""What nodes tell of each other, and which of two facts is the newer one.
+"""Member records and rumors, and which of two versions is the newer one.
 
-Facts form a join semilattice: merging is the maximum of a total order, so it
-is commutative, associative and idempotent, and a table only ever moves up.
+Both form a join semilattice: merging takes the maximum of a total order, so
+it is commutative, associative and idempotent, and an entry of a table is only
+ever replaced by a newer one.
 """
 
 import enum
@@ -10,11 +11,11 @@
 
 import msgspec
 
-#: Bounds of what a peer may send; longer values make a message malformed.
+#: Bounds on what a peer may send; a message that exceeds them is malformed.
 MAX_NAME_CHARS = 63
 MAX_ADDRESS_CHARS = 64
-MAX_VALUE_CHARS = 512
-MAX_TTL_MS = 7 * 86_400_000
+MAX_RUMOR_VALUE_CHARS = 512
+MAX_RUMOR_TTL_MS = 7 * 86_400_000
 _MAX_INT = 2**53
 
 _Name: TypeAlias = Annotated[
@@ -32,16 +33,22 @@
     ),
 ]
 _Key: TypeAlias = Annotated[str, msgspec.Meta(max_length=160)]
-_Value: TypeAlias = Annotated[str, msgspec.Meta(max_length=MAX_VALUE_CHARS)]
-Count: TypeAlias = Annotated[int, msgspec.Meta(ge=0, le=_MAX_INT)]
+_Value: TypeAlias = Annotated[
+    str, msgspec.Meta(max_length=MAX_RUMOR_VALUE_CHARS)
+]
+NonNegativeInt: TypeAlias = Annotated[int, msgspec.Meta(ge=0, le=_MAX_INT)]
 
-#: JSON around the values of a member's fact and of a rumor (bytes, about).
+#: Approximate length of the JSON around the values of a member record and of
+#: a rumor (bytes).
 _MEMBER_OVERHEAD_BYTES = 36
 _RUMOR_OVERHEAD_BYTES = 44
 
 
 class AdvertisedState(enum.IntEnum):
-    """What a member says of itself; each change raises its incarnation."""
+    """Lifecycle state that a member advertises of itself.
+
+    Each change raises the member's incarnation.
+    """
 
     SERVING = 0
     DRAINING = 1
@@ -50,7 +57,7 @@
 
 
 class Liveness(enum.IntEnum):
-    """What peers believe of one incarnation of a member."""
+    """State of one incarnation of a member as its peers detect it."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -58,87 +65,96 @@
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One incarnation of a member and what is believed of it.
+    """One incarnation of a member, with its liveness.
 
     Attributes:
-      name: the name of the target it stands beside; unique.
-      service: the service of that target.
-      failure_domain: where it stands.
-      address: its peer listener, `HOST:PORT`.
-      incarnation: raised by the member alone, at each start (wall-clock ms),
-        change of `advertised` and refutation.
-      advertised: what it says of itself.
-      liveness: what peers believe; only higher in the same incarnation.
+      name: name of the target that the node runs beside; unique.
+      service: service of that target.
+      failure_domain: failure domain in which the node runs.
+      address: peer listener, `HOST:PORT`.
+      incarnation: raised only by the member itself: at each start (to the
+        wall-clock time in ms), change of `advertised` or `service`, and
+        refutation.
+      advertised: lifecycle state that the member advertises.
+      liveness: state as peers detect it; within one incarnation it can only
+        get worse.
     """
 
     name: _Name
     service: _Name
     failure_domain: _Name
     address: AddressText
-    incarnation: Count
+    incarnation: NonNegativeInt
     advertised: AdvertisedState = AdvertisedState.SERVING
     liveness: Liveness = Liveness.ALIVE
 
     @property
     def is_gone(self) -> bool:
-        """Whether it left or is believed dead."""
+        """Whether the member left or is considered dead."""
         return (
             self.liveness is Liveness.DEAD
             or self.advertised is AdvertisedState.LEFT
         )
 
-    def size_bytes(self) -> int:
-        """Returns about how long it is on the wire (bytes)."""
+    def estimated_bytes(self) -> int:
+        """Returns the approximate encoded size (bytes)."""
         strings = len(self.name) + len(self.service)
         strings += len(self.failure_domain) + len(self.address)
         return strings + _MEMBER_OVERHEAD_BYTES
 
 
 class Rumor(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """A small fact on a topic.
+    """Small versioned value of a key in a topic.
 
     Attributes:
-      topic: the kind of fact.
-      key: what it is about, unique in the topic.
-      version: grows with each change of the key.
+      topic: the kind of value.
+      key: identifies the value within its topic.
+      version: grows with each change of the value.
       value: JSON.
-      ttl_ms: time left until it is forgotten when it was sent (ms).
+      ttl_ms: remaining time to live at the time of sending (ms).
     """
 
     topic: _Name
     key: _Key
-    version: Count
+    version: NonNegativeInt
     value: _Value
-    ttl_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_TTL_MS)]
+    ttl_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_RUMOR_TTL_MS)]
 
-    def size_bytes(self) -> int:
-        """Returns about how long it is on the wire (bytes)."""
+    def estimated_bytes(self) -> int:
+        """Returns the approximate encoded size (bytes)."""
         strings = len(self.topic) + len(self.key) + len(self.value)
         return strings + self.value.count('"') + _RUMOR_OVERHEAD_BYTES
 
 
-def member_newer(new: MemberRecord, old: MemberRecord) -> bool:
-    """Returns whether `new` replaces `old`; both are of one name.
+def is_newer_member(new: MemberRecord, old: MemberRecord) -> bool:
+    """Returns whether `new` supersedes `old`; both have the same name.
 
-    The incarnation decides, then the liveness. The rest only makes the order
-    total where two processes were given one name.
+    The higher incarnation wins, then the worse liveness. The other fields only
+    make the order total if two processes were given the same name.
     """
     if new.incarnation != old.incarnation:
         return new.incarnation > old.incarnation
     if new.liveness is not old.liveness:
         return new.liveness > old.liveness
-    return _tie(new) > _tie(old)
+    return _tie_breaker(new) > _tie_breaker(old)
 
 
-def rumor_newer(new: Rumor, old: Rumor) -> bool:
-    """Returns whether `new` replaces `old`; both are of one topic and key."""
+def is_newer_rumor(new: Rumor, old: Rumor) -> bool:
+    """Returns whether `new` supersedes `old`; both have the same key."""
     return (new.version, new.value) > (old.version, old.value)
 
 
-def unique_members(facts: tuple[MemberRecord, ...]) -> tuple[MemberRecord, ...]:
-    """Returns the last fact of each member."""
-    return tuple({fact.name: fact for fact in facts}.values())
+def unique_members(
+    records: tuple[MemberRecord, ...],
+) -> tuple[MemberRecord, ...]:
+    """Returns the last record of each member."""
+    return tuple({record.name: record for record in records}.values())
 
 
-def _tie(fact: MemberRecord) -> tuple[int, str, str, str]:
-    return (fact.advertised, fact.address, fact.service, fact.failure_domain)
+def _tie_breaker(record: MemberRecord) -> tuple[int, str, str, str]:
+    return (
+        record.advertised,
+        record.address,
+        record.service,
+        record.failure_domain,
+    )
--- a/src/radishwind/membership/rumor_bus.py
+++ b/src/radishwind/membership/rumor_bus.py
@@ -8,8 +8,8 @@
 
 from radishwind.core.clock import Clock
 from radishwind.membership.gossip import Gossip
-from radishwind.membership.records import MAX_TTL_MS
-from radishwind.membership.records import MAX_VALUE_CHARS
+from radishwind.membership.records import MAX_RUMOR_TTL_MS
+from radishwind.membership.records import MAX_RUMOR_VALUE_CHARS
 from radishwind.membership.records import Rumor
 
 #: Takes the key and the value of a fact that is new to this node.
@@ -91,12 +91,12 @@
     topic: str, key: str, version: int, value: bytes, ttl_s: float
 ) -> Rumor:
     """Returns the fact, or raises `ValueError` if peers would refuse it."""
-    ttl_ms = min(MAX_TTL_MS, int(ttl_s * 1000))
+    ttl_ms = min(MAX_RUMOR_TTL_MS, int(ttl_s * 1000))
     raw = (topic, key, version, value.decode(), ttl_ms)
     try:
         return msgspec.convert(raw, Rumor)
     except msgspec.ValidationError as exc:
         raise ValueError(
-            f"expected a value of at most {MAX_VALUE_CHARS} characters and "
-            f"fields in bounds: {exc}"
+            f"expected a value of at most {MAX_RUMOR_VALUE_CHARS} characters "
+            f"and fields within bounds: {exc}"
         ) from exc
--- a/src/radishwind/membership/tests/test_gossip.py
+++ b/src/radishwind/membership/tests/test_gossip.py
@@ -245,7 +245,7 @@
     other = next(n for n in net.nodes if member_record(n).name != probe.member)
     answer, _ = net.nodes[other].receive(probe.message, 1.0)
 
-    asked = net.nodes[0].handle_answer(probe, answer, 1.0)
+    asked = net.nodes[0].handle_reply(probe, answer, 1.0)
 
     assert {c.purpose for c in asked} == {MessagePurpose.REQUEST_PROBE}
 
--- a/src/radishwind/membership/tests/test_records.py
+++ b/src/radishwind/membership/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Facts only move up, whatever the order in which they arrive."""
+"""Merging converges on the newest entries, in whatever order they arrive."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -13,12 +13,12 @@
 from radishwind.membership.messages import MessageError
 from radishwind.membership.messages import Ping
 from radishwind.membership.records import AdvertisedState
+from radishwind.membership.records import is_newer_member
 from radishwind.membership.records import Liveness
-from radishwind.membership.records import member_newer
 from radishwind.membership.records import MemberRecord
 from radishwind.membership.records import Rumor
 
-FACTS = st.builds(
+MEMBER_RECORDS = st.builds(
     MemberRecord,
     st.sampled_from(["a", "b"]),
     st.sampled_from(["s", "t"]),
@@ -38,65 +38,70 @@
 )
 
 
-def held_after(facts):
+def merged_table(records):
     table = MembershipTable(10, 10)
-    # A table learns of the living only; here both names are known before.
+    # A table doesn't add unknown members that are gone; so that the order
+    # doesn't matter here, both names are known beforehand.
     for name in ("a", "b"):
         table.merge_member(MemberRecord(name, "-", "-", "0:0", 0))
-    for fact in facts:
-        table.merge_member(fact)
-    return table.members, table.digests.groups()
+    for record in records:
+        table.merge_member(record)
+    return table.members, table.digests.group_digests()
 
 
-@given(st.lists(FACTS, max_size=6).flatmap(lambda f: st.permutations(f + f)))
-def test_merging_is_commutative_and_idempotent(facts):
-    assert held_after(facts) == held_after(sorted(set(facts), key=repr))
+@given(
+    st.lists(MEMBER_RECORDS, max_size=6).flatmap(
+        lambda f: st.permutations(f + f)
+    )
+)
+def test_merging_members_is_commutative_and_idempotent(records):
+    assert merged_table(records) == merged_table(sorted(set(records), key=repr))
 
 
-@given(st.lists(FACTS, max_size=8))
-def test_merging_is_monotone(facts):
+@given(st.lists(MEMBER_RECORDS, max_size=8))
+def test_merging_members_is_monotone(records):
     table = MembershipTable(10, 10)
-    for fact in facts:
-        old = table.members.get(fact.name)
-        news = table.merge_member(fact)
-        new = table.members.get(fact.name)
-        assert news == (new != old)
-        assert old is None or new == old or member_newer(new, old)
+    for record in records:
+        old = table.members.get(record.name)
+        was_stored = table.merge_member(record)
+        new = table.members.get(record.name)
+        assert was_stored == (new != old)
+        assert old is None or new == old or is_newer_member(new, old)
 
 
 @given(st.lists(RUMORS, max_size=6).flatmap(lambda r: st.permutations(r + r)))
-def test_rumours_merge_in_any_order(rumors):
-    def held(facts):
+def test_merging_rumors_is_commutative_and_idempotent(rumors):
+    def held(merged):
         table = MembershipTable(10, 10)
-        for fact in facts:
-            table.merge_rumor(fact, 0.0)
-        return set(table.rumors()), table.digests.groups()
+        for rumor in merged:
+            table.merge_rumor(rumor, 0.0)
+        return set(table.rumors()), table.digests.group_digests()
 
     assert held(rumors) == held(set(rumors))
 
 
-@given(st.lists(FACTS, max_size=6))
-def test_digest_is_that_of_a_table_built_anew(facts):
+@given(st.lists(MEMBER_RECORDS, max_size=6))
+def test_incremental_digests_equal_those_of_a_rebuilt_table(records):
     table = MembershipTable(10, 10)
-    for fact in facts:
-        table.merge_member(fact)
+    for record in records:
+        table.merge_member(record)
     rebuilt = MembershipTable(10, 10)
-    for fact in table.members.values():
-        rebuilt.merge_member(fact)
+    for record in table.members.values():
+        rebuilt.merge_member(record)
 
-    assert table.digests.groups() == rebuilt.digests.groups()
+    assert table.digests.group_digests() == rebuilt.digests.group_digests()
 
 
-def test_rumours_are_bounded_and_the_soonest_to_end_goes():
+def test_rumor_count_is_bounded_and_the_first_to_expire_is_evicted():
     table = MembershipTable(10, 3)
     for number in range(5):
-        fact = Rumor("t", str(number), 1, "", 1_000 * (number + 1))
-        table.merge_rumor(fact, 0.0)
+        rumor = Rumor("t", str(number), 1, "", 1_000 * (number + 1))
+        table.merge_rumor(rumor, 0.0)
 
-    assert {f.key for f in table.rumors()} == {"2", "3", "4"}
+    assert {rumor.key for rumor in table.rumors()} == {"2", "3", "4"}
 
 
-def test_members_are_bounded():
+def test_member_count_is_bounded():
     table = MembershipTable(3, 3)
     for number in range(5):
         table.merge_member(member_record(number))
@@ -105,7 +110,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_bytes_that_are_no_message_are_refused(data):
+def test_arbitrary_bytes_are_rejected(data):
     with pytest.raises(MessageError):
         decode_message(data)
 
@@ -120,7 +125,7 @@
         max_leaves=20,
     )
 )
-def test_any_json_is_refused_or_handled(value):
+def test_arbitrary_json_is_rejected_or_handled(value):
     node = GossipNet().add(0)
     try:
         message = decode_message(msgspec.json.encode(value))
@@ -132,13 +137,13 @@
 @pytest.mark.parametrize(
     "address", ["", "host", "h:99999", "h:1\n", "h h:1", "http://h:1", ":1"]
 )
-def test_address_that_cannot_be_dialled_is_malformed(address):
-    fact = MemberRecord("a", "s", "d", address, 1)
+def test_message_with_an_invalid_address_is_malformed(address):
+    record = MemberRecord("a", "s", "d", address, 1)
 
     with pytest.raises(MessageError):
-        decode_message(encode_message(Ping("x", members=(fact,))))
+        decode_message(encode_message(Ping("x", members=(record,))))
 
 
-def test_message_beyond_the_bound_is_refused():
+def test_message_above_the_size_limit_is_rejected():
     with pytest.raises(MessageError, match="at most"):
         decode_message(b" " * 100_000)
--- a/src/radishwind/node/membership_tasks.py
+++ b/src/radishwind/node/membership_tasks.py
@@ -287,7 +287,7 @@
 
     def _take_answer(self, call: OutgoingMessage, answer: Message) -> None:
         self._finder.mark_reachable(call.address)
-        self._start(self.gossip.handle_answer(call, answer, self._now()))
+        self._start(self.gossip.handle_reply(call, answer, self._now()))
         self._wake_if_due_sooner()
 
     def _received(self, message: Message) -> Message:
--- a/src/radishwind/routes/feed.py
+++ b/src/radishwind/routes/feed.py
@@ -21,7 +21,7 @@
 from radishwind.http.types import whole_body
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
-from radishwind.membership.records import MAX_VALUE_CHARS
+from radishwind.membership.records import MAX_RUMOR_VALUE_CHARS
 from radishwind.membership.rumor_bus import RumorBus
 from radishwind.outcomes import problem
 from radishwind.peers.client import PeerClient
@@ -252,7 +252,7 @@
 
     def _tell_emptied(self) -> None:
         told = self._emptied.domains
-        value = encode_rumor(told, MAX_VALUE_CHARS)
+        value = encode_rumor(told, MAX_RUMOR_VALUE_CHARS)
         self._rumor_bus.publish(
             EMPTIED_TOPIC, "domains", told.revision, value, _RUMOR_S
         )
--- a/src/radishwind/sidecar/options.py
+++ b/src/radishwind/sidecar/options.py
@@ -68,7 +68,7 @@
     sync_period_s=8.0,
     sync_retry_s=0.3,
     forget_after_s=120.0,
-    message_bytes=DATAGRAM_FACTS_BYTES,
+    message_payload_bytes=DATAGRAM_FACTS_BYTES,
 )
 
 #: A node alone looks for others within a second of the store's return.
--- a/tests/support/gossip_net.py
+++ b/tests/support/gossip_net.py
@@ -211,7 +211,7 @@
 
         def back() -> None:
             if node is not None and self.nodes.get(number) is node:
-                self.send(number, node.handle_answer(call, answer, self.now))
+                self.send(number, node.handle_reply(call, answer, self.now))
 
         self._later(number, self.latency_s, back)
 
