--- a/src/radishwind/membership/anti_entropy.py
+++ b/src/radishwind/membership/anti_entropy.py
@@ -58,7 +58,7 @@
     def answer_groups(self, message: SyncGroups, revision: int) -> SyncLeaves:
         """Returns the leaves of some of the groups that differ."""
         digests = self._table.digests
-        groups = digests.differing_groups(message.groups)
+        groups = digests.differing_groups(message.group_digests)
         # Not always the first ones, so that many who ask at once differ.
         start = len(message.sender) % max(1, len(groups))
         turned = groups[start:] + groups[:start]
@@ -72,14 +72,14 @@
         """Notes the leaves in which the tables differ, to be exchanged."""
         digests = self._table.digests
         leaves: list[int] = []
-        for item in message.differing:
-            leaves += digests.differing_leaves(item.group, item.leaves)
+        for item in message.differing_groups:
+            leaves += digests.differing_leaves(item.group, item.leaf_digests)
         self._wanted = tuple(leaves)
         self._pages_left = self._max_pages
 
     def note_covered(self, message: SyncNewer) -> None:
         """Notes the leaves that a page and its answer have exchanged."""
-        done = frozenset(message.covered)
+        done = frozenset(message.covered_leaves)
         self._wanted = tuple(n for n in self._wanted if n not in done)
 
     def give_up(self) -> None:
--- a/src/radishwind/membership/envelope.py
+++ b/src/radishwind/membership/envelope.py
@@ -1,4 +1,4 @@
-"""A message of membership as a datagram, with what pairs it to its answer."""
+"""Envelope of a gossip datagram, which pairs requests with replies."""
 
 import msgspec
 
@@ -8,16 +8,17 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """A message and its place in an exchange, as a msgpack array.
+    """A message with the exchange it belongs to, encoded as a msgpack array.
 
     Attributes:
-      number: names the question; 0 where no answer is wanted.
-      is_answer: whether it answers the question `number`.
+      exchange_id: identifies the request and its reply; 0 if no reply is
+        wanted.
+      is_reply: whether this is the reply of the exchange `exchange_id`.
       message: the message.
     """
 
-    number: NonNegativeInt
-    is_answer: bool
+    exchange_id: NonNegativeInt
+    is_reply: bool
     message: Message
 
 
@@ -26,17 +27,17 @@
 
 
 def encode_envelope(envelope: Envelope) -> bytes:
-    """Returns `envelope` as the content of a datagram."""
+    """Returns `envelope` encoded as the payload of a datagram."""
     return _encoder.encode(envelope)
 
 
 def decode_envelope(data: bytes) -> Envelope:
-    """Returns the envelope in `data`.
+    """Returns the envelope decoded from `data`.
 
     Raises:
-      MessageError: there is none.
+      MessageError: `data` isn't an envelope.
     """
     try:
         return _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
-        raise MessageError(f"expected an envelope: {exc}") from exc
+        raise MessageError(f"expected a gossip envelope: {exc}") from exc
--- a/src/radishwind/membership/gossip.py
+++ b/src/radishwind/membership/gossip.py
@@ -88,7 +88,7 @@
             failure_detector=self.failure_detector,
             spreader=self._spreader,
             outbox=self._outbox,
-            revision=lambda: self.revision,
+            config_revision=lambda: self.config_revision,
         )
         self._conflict_until = now
         self._next_probe = now + rng.random() * options.probe_period_s
@@ -97,7 +97,7 @@
         self._next_sweep = self._next_push = self._next_hint = now
         self._due = now
         self.name_conflicts = 0
-        self.revision = 0
+        self.config_revision = 0
         self.table.merge_member(own)
         self._spreader.add(own.name)
 
@@ -156,12 +156,14 @@
         own = Address.parse(self.own_record.address)
         others = [address for address in contacts if address != own]
         self._rng.shuffle(others)
-        push = Push(self._name, self.revision, (self.own_record,))
+        push = Push(self._name, self.config_revision, (self.own_record,))
         for address in others[:_JOIN_CONTACTS]:
             self._outbox.send_to_address(address, push, MessagePurpose.NOTIFY)
         for address in others[:1]:
             self._outbox.send_to_address(
-                address, self._syncer.open(self.revision), MessagePurpose.JOIN
+                address,
+                self._syncer.open(self.config_revision),
+                MessagePurpose.JOIN,
             )
         return self._outbox.flush()
 
@@ -239,15 +241,15 @@
         about_sender = self.table.members.get(message.sender)
         self._take(message, now)
         if isinstance(message, SyncGroups):
-            return self._syncer.answer_groups(message, self.revision)
+            return self._syncer.answer_groups(message, self.config_revision)
         if isinstance(message, SyncPage):
-            return self._syncer.answer_page(message, self.revision, now)
+            return self._syncer.answer_page(message, self.config_revision, now)
         if isinstance(message, PingRequest):
             self._pings.probe_for(message)
         elif isinstance(message, RelayedAck):
-            self.failure_detector.answered(message.target)
+            self.failure_detector.answered(message.member)
         if not isinstance(message, Ping):
-            return Ack(self._name, self.revision)
+            return Ack(self._name, self.config_revision)
         members, rumors = self._spreader.take_piggyback(
             self._options.message_payload_bytes, now
         )
@@ -259,12 +261,15 @@
             # So that it hears what is believed of it, and refutes.
             extra += (self.table.members[message.sender],)
         return Ack(
-            self._name, self.revision, unique_members(extra + members), rumors
+            self._name,
+            self.config_revision,
+            unique_members(extra + members),
+            rumors,
         )
 
     def _take(self, message: Message, now: float) -> None:
         if message.sender in self.table.members:
-            self.table.config_revisions[message.sender] = message.revision
+            self.table.config_revisions[message.sender] = message.config_revision
         for member in message.members:
             self._take_member(member, now)
         for rumor in message.rumors:
@@ -336,14 +341,14 @@
     def _open_sync(self) -> None:
         exclude = frozenset((self._name,))
         for peer in self.table.sample(self._rng, 1, exclude):
-            message = self._syncer.open(self.revision)
+            message = self._syncer.open(self.config_revision)
             self._outbox.send(peer, message, MessagePurpose.SYNC_GROUPS)
 
     def _next_page(self, address: Address, now: float) -> None:
         if not self._syncer.differs:
             return
         self._sync_soon(now)
-        page = self._syncer.next_page(self.revision, now)
+        page = self._syncer.next_page(self.config_revision, now)
         if page is not None:
             self._outbox.send_to_address(
                 address, page, MessagePurpose.SYNC_PAGE
@@ -355,7 +360,7 @@
     def _push_own(self) -> None:
         """Tells what this node says of itself, whatever the byte rate."""
         self._spreader.pushed(self._name)
-        push = Push(self._name, self.revision, (self.own_record,))
+        push = Push(self._name, self.config_revision, (self.own_record,))
         for peer in self._audience.choose(self.own_record.failure_domain):
             self._outbox.send(peer, push, MessagePurpose.NOTIFY)
 
@@ -368,6 +373,6 @@
         )
         if not members and not rumors:
             return
-        push = Push(self._name, self.revision, members, rumors)
+        push = Push(self._name, self.config_revision, members, rumors)
         for peer in peers:
             self._outbox.send(peer, push, MessagePurpose.NOTIFY)
--- a/src/radishwind/membership/gossip_directory.py
+++ b/src/radishwind/membership/gossip_directory.py
@@ -140,7 +140,7 @@
 
     def _revision(self, name: str) -> int:
         if name == self._gossip.own_record.name:
-            return self._gossip.revision
+            return self._gossip.config_revision
         return self._gossip.table.config_revisions.get(name, 0)
 
     def _changed(
--- a/src/radishwind/membership/messages.py
+++ b/src/radishwind/membership/messages.py
@@ -1,4 +1,4 @@
-"""The messages of membership, as JSON arrays on the peer listener."""
+"""Gossip messages, encoded as JSON arrays for the peer listener."""
 
 from typing import Annotated
 from typing import TypeAlias
@@ -16,10 +16,10 @@
 from radishwind.membership.records import NonNegativeInt
 from radishwind.membership.records import Rumor
 
-#: The control path of all of them.
+#: Name of the control path that receives every gossip message.
 GOSSIP_CONTROL_NAME = "gossip"
 
-#: The most a message may be (bytes); pages of anti-entropy are the longest.
+#: Largest accepted message (bytes); anti-entropy pages are the largest ones.
 MAX_MESSAGE_BYTES = 48 * 1024
 
 _Name: TypeAlias = Annotated[str, msgspec.Meta(max_length=MAX_NAME_CHARS)]
@@ -28,89 +28,91 @@
 
 
 class MessageError(RadishwindError):
-    """A message of a peer cannot be read."""
+    """A message from a peer cannot be decoded."""
 
     code = ResultCode.PEER_MALFORMED
 
 
-class _Message(msgspec.Struct, frozen=True, array_like=True):
-    """What every message carries.
+class _GossipMessage(msgspec.Struct, frozen=True, array_like=True):
+    """Fields that every message carries.
 
     Attributes:
-      sender: the name of the sender.
-      revision: the configuration revision the sender has in force.
-      members: facts on members.
-      rumors: facts on topics.
+      sender: name of the sending member.
+      config_revision: configuration revision that the sender applies.
+      members: piggybacked member records.
+      rumors: piggybacked rumors.
     """
 
     sender: _Name
-    revision: NonNegativeInt = 0
+    config_revision: NonNegativeInt = 0
     members: tuple[MemberRecord, ...] = ()
     rumors: tuple[Rumor, ...] = ()
 
 
-class Ping(_Message, frozen=True, array_like=True, tag="ping"):
-    """Asks the member `target` whether it is there."""
+class Ping(_GossipMessage, frozen=True, array_like=True, tag="ping"):
+    """Probes the member `recipient`."""
 
-    target: _Name = ""
+    recipient: _Name = ""
 
 
-class Ack(_Message, frozen=True, array_like=True, tag="ack"):
-    """Answers any message that has no answer of its own."""
+class Ack(_GossipMessage, frozen=True, array_like=True, tag="ack"):
+    """Acknowledges a message that has no reply type of its own."""
 
 
-class PingRequest(_Message, frozen=True, array_like=True, tag="ping-request"):
-    """Asks a third member to ping `target` at `address`."""
+class PingRequest(
+    _GossipMessage, frozen=True, array_like=True, tag="ping-request"
+):
+    """Asks a third member to ping `member` at `address` (indirect probe)."""
 
-    target: _Name = ""
+    member: _Name = ""
     address: AddressText = ""
 
 
-class RelayedAck(_Message, frozen=True, array_like=True, tag="relayed"):
-    """Tells that `target` answered the ping that was asked for."""
+class RelayedAck(_GossipMessage, frozen=True, array_like=True, tag="relayed"):
+    """Reports that `member` replied to the requested indirect probe."""
 
-    target: _Name = ""
+    member: _Name = ""
 
 
-class Push(_Message, frozen=True, array_like=True, tag="push"):
-    """Passes new facts on."""
+class Push(_GossipMessage, frozen=True, array_like=True, tag="push"):
+    """Disseminates new member records and rumors."""
 
 
-class SyncGroups(_Message, frozen=True, array_like=True, tag="groups"):
-    """Opens anti-entropy with the digests of all groups."""
+class SyncGroups(_GossipMessage, frozen=True, array_like=True, tag="groups"):
+    """Starts anti-entropy with the digests of all groups."""
 
-    groups: Annotated[
+    group_digests: Annotated[
         tuple[_Digest, ...],
         msgspec.Meta(min_length=GROUP_COUNT, max_length=GROUP_COUNT),
     ] = (0,) * GROUP_COUNT
 
 
 class GroupDigests(msgspec.Struct, frozen=True, array_like=True):
-    """The digests of the leaves of one group."""
+    """Digests of the leaves of one group."""
 
     group: Annotated[int, msgspec.Meta(ge=0, lt=GROUP_COUNT)]
-    leaves: Annotated[
+    leaf_digests: Annotated[
         tuple[_Digest, ...],
         msgspec.Meta(min_length=LEAVES_PER_GROUP, max_length=LEAVES_PER_GROUP),
     ]
 
 
-class SyncLeaves(_Message, frozen=True, array_like=True, tag="leaves"):
-    """Answers `SyncGroups` with the leaves of the groups that differ."""
+class SyncLeaves(_GossipMessage, frozen=True, array_like=True, tag="leaves"):
+    """Replies to `SyncGroups` with the leaf digests of differing groups."""
 
-    differing: tuple[GroupDigests, ...] = ()
+    differing_groups: tuple[GroupDigests, ...] = ()
 
 
-class SyncPage(_Message, frozen=True, array_like=True, tag="page"):
-    """Carries the sender's facts of `leaves` and asks for newer ones."""
+class SyncPage(_GossipMessage, frozen=True, array_like=True, tag="page"):
+    """Carries the sender's entries of `leaves` and asks for newer ones."""
 
     leaves: tuple[_Leaf, ...] = ()
 
 
-class SyncNewer(_Message, frozen=True, array_like=True, tag="newer"):
-    """Answers `SyncPage` with newer facts of the leaves `covered`."""
+class SyncNewer(_GossipMessage, frozen=True, array_like=True, tag="newer"):
+    """Replies to `SyncPage` with newer entries of `covered_leaves`."""
 
-    covered: tuple[_Leaf, ...] = ()
+    covered_leaves: tuple[_Leaf, ...] = ()
 
 
 Message: TypeAlias = (
@@ -130,15 +132,15 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Returns `message` as JSON."""
+    """Returns `message` encoded as JSON."""
     return _encoder.encode(message)
 
 
 def decode_message(data: bytes) -> Message:
-    """Returns the message in `data`.
+    """Returns the message decoded from `data`.
 
     Raises:
-      MessageError: it is too long or not a message.
+      MessageError: `data` is too long or isn't a gossip message.
     """
     if len(data) > MAX_MESSAGE_BYTES:
         raise MessageError(
@@ -147,4 +149,4 @@
     try:
         return _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
-        raise MessageError(f"expected a message: {exc}") from exc
+        raise MessageError(f"expected a gossip message: {exc}") from exc
--- a/src/radishwind/membership/outbox.py
+++ b/src/radishwind/membership/outbox.py
@@ -1,4 +1,4 @@
-"""Collects the messages that one step of the state machine wants sent."""
+"""Collects the messages produced by one step of the gossip state machine."""
 
 from radishwind.http.types import Address
 from radishwind.membership.messages import Message
@@ -6,40 +6,40 @@
 from radishwind.membership.outgoing_message import OutgoingMessage
 from radishwind.membership.records import MemberRecord
 
-_TIMEOUT_S = 2.0
+_DEFAULT_TIMEOUT_S = 2.0
 
 
 class Outbox:
-    """The calls of the step in progress, in order."""
+    """Messages of the current step, in order."""
 
     def __init__(self) -> None:
-        self._calls: list[OutgoingMessage] = []
+        self._messages: list[OutgoingMessage] = []
 
     def send(
         self,
-        to: MemberRecord,
+        recipient: MemberRecord,
         message: Message,
         purpose: MessagePurpose,
         requester: str = "",
-        timeout_s: float = _TIMEOUT_S,
+        timeout_s: float = _DEFAULT_TIMEOUT_S,
     ) -> None:
-        """Adds a message to a member."""
-        address = Address.parse(to.address)
-        self._calls.append(
+        """Adds a message to the member `recipient`."""
+        address = Address.parse(recipient.address)
+        self._messages.append(
             OutgoingMessage(
-                address, message, timeout_s, purpose, to.name, requester
+                address, message, timeout_s, purpose, recipient.name, requester
             )
         )
 
     def send_to_address(
         self, address: Address, message: Message, purpose: MessagePurpose
     ) -> None:
-        """Adds a message to whoever is at `address`."""
-        self._calls.append(
-            OutgoingMessage(address, message, _TIMEOUT_S, purpose)
+        """Adds a message to an address whose member isn't known."""
+        self._messages.append(
+            OutgoingMessage(address, message, _DEFAULT_TIMEOUT_S, purpose)
         )
 
     def flush(self) -> list[OutgoingMessage]:
-        """Returns the calls and empties the outbox."""
-        calls, self._calls = self._calls, []
-        return calls
+        """Returns the collected messages and empties the outbox."""
+        messages, self._messages = self._messages, []
+        return messages
--- a/src/radishwind/membership/probe_sender.py
+++ b/src/radishwind/membership/probe_sender.py
@@ -32,7 +32,7 @@
         failure_detector: FailureDetector,
         spreader: DisseminationQueue,
         outbox: Outbox,
-        revision: Callable[[], int],
+        config_revision: Callable[[], int],
     ) -> None:
         """Wires the sender.
 
@@ -44,7 +44,7 @@
           failure_detector: says who is to be probed.
           spreader: gives facts that ride on pings.
           outbox: takes the messages.
-          revision: returns the configuration revision in force here.
+          config_revision: returns the configuration revision in force here.
         """
         self._name = own_name
         self._options = options
@@ -53,7 +53,7 @@
         self._failure_detector = failure_detector
         self._spreader = spreader
         self._outbox = outbox
-        self._revision = revision
+        self._config_revision = config_revision
 
     def probe(self, now: float) -> None:
         """ProbeSender the member whose turn it is."""
@@ -67,7 +67,9 @@
             members = unique_members((fact, self._own, *members))
         self._outbox.send(
             fact,
-            Ping(self._name, self._revision(), members, rumors, fact.name),
+            Ping(
+                self._name, self._config_revision(), members, rumors, fact.name
+            ),
             MessagePurpose.PROBE,
             timeout_s=self._options.probe_timeout_s,
         )
@@ -78,7 +80,7 @@
         if fact is None:
             return
         told = (fact, self._own)
-        ping = Ping(self._name, self._revision(), told, (), fact.name)
+        ping = Ping(self._name, self._config_revision(), told, (), fact.name)
         self._outbox.send(fact, ping, MessagePurpose.REJOIN)
 
     def ask_others(self, call: OutgoingMessage, now: float) -> None:
@@ -93,16 +95,21 @@
         )
         for helper in helpers:
             request = PingRequest(
-                self._name, self._revision(), (), (), name, str(call.address)
+                self._name,
+                self._config_revision(),
+                (),
+                (),
+                name,
+                str(call.address),
             )
             self._outbox.send(helper, request, MessagePurpose.REQUEST_PROBE)
 
     def probe_for(self, message: PingRequest) -> None:
         """ProbeSender the member that a peer asked to ping."""
-        fact = self._table.members.get(message.target)
+        fact = self._table.members.get(message.member)
         if fact is None or message.sender not in self._table.members:
             return
-        ping = Ping(self._name, self._revision(), (fact,), (), fact.name)
+        ping = Ping(self._name, self._config_revision(), (fact,), (), fact.name)
         self._outbox.send(
             fact,
             ping,
@@ -117,7 +124,9 @@
         if answer.sender != call.member or requester is None:
             return
         facts = (self._table.members[call.member],)
-        told = RelayedAck(self._name, self._revision(), facts, (), call.member)
+        told = RelayedAck(
+            self._name, self._config_revision(), facts, (), call.member
+        )
         self._outbox.send(requester, told, MessagePurpose.NOTIFY)
 
     @property
--- a/src/radishwind/membership/tests/test_gossip_directory.py
+++ b/src/radishwind/membership/tests/test_gossip_directory.py
@@ -133,8 +133,8 @@
 
 
 def test_members_tell_state_and_revision(setup):
-    setup.node.revision = 8
-    setup.node.receive(Ping(member_record(1).name, revision=7), 0.0)
+    setup.node.config_revision = 8
+    setup.node.receive(Ping(member_record(1).name, config_revision=7), 0.0)
     setup.hear(member_record(2), liveness=Liveness.DEAD)
 
     members = setup.directory.members()
--- a/src/radishwind/node/gossip_datagrams.py
+++ b/src/radishwind/node/gossip_datagrams.py
@@ -124,15 +124,15 @@
             envelope = decode_envelope(data)
         except MessageError:
             return False
-        if envelope.is_answer:
+        if envelope.is_reply:
             return self._take_answer(envelope, sender)
         answer = self._receive(envelope.message)
-        if envelope.number:
-            self._send(Envelope(envelope.number, True, answer), sender)
+        if envelope.exchange_id:
+            self._send(Envelope(envelope.exchange_id, True, answer), sender)
         return True
 
     def _take_answer(self, envelope: Envelope, sender: Address) -> bool:
-        question = self._questions.get(envelope.number)
+        question = self._questions.get(envelope.exchange_id)
         if question is None:
             # Late, or to an earlier start of this node.
             return True
--- a/src/radishwind/node/membership_tasks.py
+++ b/src/radishwind/node/membership_tasks.py
@@ -191,7 +191,7 @@
 
     def note_revision(self, revision: int) -> None:
         """Tells peers by and by which configuration is in force here."""
-        self.gossip.revision = revision
+        self.gossip.config_revision = revision
 
     def members_by_state(self) -> dict[str, int]:
         """Returns how many members are known, by state."""
