--- a/src/radishwind/membership/anti_entropy.py
+++ b/src/radishwind/membership/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: what two tables tell each other so that they become equal."""
+"""Anti-entropy: two nodes compare digests and exchange what differs."""
 
 from collections.abc import Iterable
 
@@ -13,14 +13,14 @@
 from radishwind.membership.records import MemberRecord
 from radishwind.membership.records import Rumor
 
-#: Groups told in one answer, so that it stays within a message.
-_MAX_GROUPS_TOLD = 16
+#: Groups whose leaf digests one reply carries, so that it fits a message.
+_MAX_GROUPS_PER_REPLY = 16
 
 
 class AntiEntropy:
-    """Makes and answers the messages of anti-entropy.
+    """Creates the messages of anti-entropy and the replies to them.
 
-    The side that opened it keeps which leaves are still to be exchanged.
+    The initiator tracks which leaves remain to be exchanged.
     """
 
     def __init__(
@@ -30,128 +30,153 @@
         page_payload_bytes: int,
         max_pages: int,
     ) -> None:
-        """Makes a syncer.
+        """Initializes anti-entropy with no round in progress.
 
         Args:
-          own_name: the name of this node.
-          table: the facts to make equal.
-          page_payload_bytes: facts carried by one page (bytes).
-          max_pages: pages sent at most after one opening.
+          own_name: name of this node.
+          table: table to synchronize.
+          page_payload_bytes: bound on the entries in one page (bytes).
+          max_pages: maximum number of pages in one round.
         """
         self._own_name = own_name
         self._table = table
-        self._page_bytes = page_payload_bytes
+        self._page_payload_bytes = page_payload_bytes
         self._max_pages = max_pages
         self._pages_left = 0
-        self._wanted: tuple[int, ...] = ()
+        self._differing_leaves: tuple[int, ...] = ()
 
     @property
-    def differs(self) -> bool:
-        """Whether leaves are left in which the tables differ."""
-        return bool(self._wanted)
-
-    def open(self, revision: int) -> SyncGroups:
-        """Returns the message that opens anti-entropy."""
-        groups = self._table.digests.group_digests()
-        return SyncGroups(self._own_name, revision, (), (), groups)
+    def has_differences(self) -> bool:
+        """Whether differing leaves remain to be exchanged."""
+        return bool(self._differing_leaves)
+
+    def first_message(self, config_revision: int) -> SyncGroups:
+        """Returns the message that starts a round."""
+        group_digests = self._table.digests.group_digests()
+        return SyncGroups(
+            self._own_name, config_revision, (), (), group_digests
+        )
 
-    def answer_groups(self, message: SyncGroups, revision: int) -> SyncLeaves:
-        """Returns the leaves of some of the groups that differ."""
+    def reply_to_groups(
+        self, message: SyncGroups, config_revision: int
+    ) -> SyncLeaves:
+        """Returns the leaf digests of some of the differing groups."""
         digests = self._table.digests
         groups = digests.differing_groups(message.group_digests)
-        # Not always the first ones, so that many who ask at once differ.
+        # Starts at a varying group, so that nodes that ask at the same time
+        # are sent different groups.
         start = len(message.sender) % max(1, len(groups))
-        turned = groups[start:] + groups[:start]
-        told = [
+        rotated = groups[start:] + groups[:start]
+        differing = [
             GroupDigests(group, digests.leaf_digests(group))
-            for group in turned[:_MAX_GROUPS_TOLD]
+            for group in rotated[:_MAX_GROUPS_PER_REPLY]
         ]
-        return SyncLeaves(self._own_name, revision, (), (), tuple(told))
+        return SyncLeaves(
+            self._own_name, config_revision, (), (), tuple(differing)
+        )
 
     def start_pages(self, message: SyncLeaves) -> None:
-        """Notes the leaves in which the tables differ, to be exchanged."""
+        """Records the leaves in which the two tables differ."""
         digests = self._table.digests
         leaves: list[int] = []
         for item in message.differing_groups:
             leaves += digests.differing_leaves(item.group, item.leaf_digests)
-        self._wanted = tuple(leaves)
+        self._differing_leaves = tuple(leaves)
         self._pages_left = self._max_pages
 
-    def note_covered(self, message: SyncNewer) -> None:
-        """Notes the leaves that a page and its answer have exchanged."""
-        done = frozenset(message.covered_leaves)
-        self._wanted = tuple(n for n in self._wanted if n not in done)
+    def finish_page(self, message: SyncNewer) -> None:
+        """Drops the leaves that a page and its reply have exchanged."""
+        exchanged = frozenset(message.covered_leaves)
+        self._differing_leaves = tuple(
+            n for n in self._differing_leaves if n not in exchanged
+        )
 
-    def give_up(self) -> None:
-        """Forgets the leaves left; the next opening finds them again."""
-        self._wanted = ()
+    def abort(self) -> None:
+        """Drops the remaining leaves; the next round finds them again."""
+        self._differing_leaves = ()
 
-    def next_page(self, revision: int, now: float) -> SyncPage | None:
-        """Returns a page with the own facts of as many leaves as fit.
+    def next_page(self, config_revision: int, now: float) -> SyncPage | None:
+        """Returns a page with this node's entries of as many leaves as fit.
 
-        `None` where no leaf is left or the bound of pages is reached.
+        Returns:
+          The page; `None` if no leaf remains or this round has sent
+          `max_pages`.
         """
-        if not self._wanted or self._pages_left == 0:
+        if not self._differing_leaves or self._pages_left == 0:
             return None
         self._pages_left -= 1
-        fitting, members, rumors = self._facts_that_fit(self._wanted, now)
+        fitting, members, rumors = self._entries_that_fit(
+            self._differing_leaves, now
+        )
         return SyncPage(
-            self._own_name, revision, tuple(members), tuple(rumors), fitting
+            self._own_name,
+            config_revision,
+            tuple(members),
+            tuple(rumors),
+            fitting,
         )
 
-    def answer_page(
-        self, page: SyncPage, revision: int, now: float
+    def reply_to_page(
+        self, page: SyncPage, config_revision: int, now: float
     ) -> SyncNewer:
-        """Returns the facts of the leaves of `page` that are newer here."""
-        covered, members, rumors = self._facts_that_fit(page.leaves, now)
-        their_members = {fact.name: fact for fact in page.members}
-        their_rumors = {(f.topic, f.key): f for f in page.rumors}
+        """Returns the entries of the leaves of `page` that are newer here."""
+        covered, members, rumors = self._entries_that_fit(page.leaves, now)
+        remote_members = {m.name: m for m in page.members}
+        remote_rumors = {(r.topic, r.key): r for r in page.rumors}
         newer_members = tuple(
-            fact
-            for fact in members
-            if _news(fact, their_members.get(fact.name))
+            member
+            for member in members
+            if _is_member_wanted(member, remote_members.get(member.name))
         )
         newer_rumors = tuple(
-            fact
-            for fact in rumors
-            if _rumor_news(fact, their_rumors.get((fact.topic, fact.key)))
+            rumor
+            for rumor in rumors
+            if _is_rumor_wanted(
+                rumor, remote_rumors.get((rumor.topic, rumor.key))
+            )
         )
         return SyncNewer(
-            self._own_name, revision, newer_members, newer_rumors, covered
+            self._own_name,
+            config_revision,
+            newer_members,
+            newer_rumors,
+            covered,
         )
 
-    def _facts_that_fit(
+    def _entries_that_fit(
         self, leaves: tuple[int, ...], now: float
     ) -> tuple[tuple[int, ...], list[MemberRecord], list[Rumor]]:
-        """Returns the first leaves whose facts fit a page, and the facts."""
+        """Returns the first leaves that fit a page, and their entries."""
         by_leaf: dict[int, list[MemberRecord | Rumor]] = {}
         wanted = frozenset(leaves)
-        for leaf, fact in self._table.entries_in_leaves(wanted, now):
-            by_leaf.setdefault(leaf, []).append(fact)
+        for leaf, entry in self._table.entries_in_leaves(wanted, now):
+            by_leaf.setdefault(leaf, []).append(entry)
         fitting: list[int] = []
-        facts: list[MemberRecord | Rumor] = []
+        entries: list[MemberRecord | Rumor] = []
         size = 0
         for leaf in dict.fromkeys(leaves):
             held = by_leaf.get(leaf, [])
-            size += _size(held)
-            if size > self._page_bytes and fitting:
+            size += _estimated_bytes(held)
+            if size > self._page_payload_bytes and fitting:
                 break
             fitting.append(leaf)
-            facts += held
-        members = [f for f in facts if isinstance(f, MemberRecord)]
-        rumors = [f for f in facts if isinstance(f, Rumor)]
+            entries += held
+        members = [e for e in entries if isinstance(e, MemberRecord)]
+        rumors = [e for e in entries if isinstance(e, Rumor)]
         return tuple(fitting), members, rumors
 
 
-def _size(facts: Iterable[MemberRecord | Rumor]) -> int:
-    return sum(fact.estimated_bytes() for fact in facts)
+def _estimated_bytes(entries: Iterable[MemberRecord | Rumor]) -> int:
+    return sum(entry.estimated_bytes() for entry in entries)
 
 
-def _news(fact: MemberRecord, theirs: MemberRecord | None) -> bool:
-    if theirs is None:
-        return not fact.is_gone
-    return is_newer_member(fact, theirs)
+def _is_member_wanted(
+    member: MemberRecord, remote: MemberRecord | None
+) -> bool:
+    if remote is None:
+        return not member.is_gone
+    return is_newer_member(member, remote)
 
 
-def _rumor_news(fact: Rumor, theirs: Rumor | None) -> bool:
-    return theirs is None or is_newer_rumor(fact, theirs)
+def _is_rumor_wanted(rumor: Rumor, remote: Rumor | None) -> bool:
+    return remote is None or is_newer_rumor(rumor, remote)
--- a/src/radishwind/membership/gossip_directory.py
+++ b/src/radishwind/membership/gossip_directory.py
@@ -103,7 +103,7 @@
             return True
         # Where regions meet again each believes the other dead, for a moment:
         # a death is not acted on before its member had time to refute it.
-        since = self._gossip.failure_detector.dead_since(fact.name)
+        since = self._gossip.failure_detector.gone_since(fact.name)
         if since is None:
             return False
         until = since + self._refute_grace_s
--- a/src/radishwind/membership/gossip_options.py
+++ b/src/radishwind/membership/gossip_options.py
@@ -1,40 +1,42 @@
-"""The constants of membership, with units."""
+"""Constants of the gossip protocol."""
 
 import msgspec
 
 
 class GossipOptions(msgspec.Struct, frozen=True):
-    """How a node detects failures and spreads facts.
+    """Options of failure detection and dissemination.
 
     Attributes:
-      probe_period_s: one member is probed in each period (s).
-      probe_timeout_s: how long the answer to a probe may take (s).
-      indirect_probes: how many others are asked when a probe fails.
-      suspicion_periods: how long a member stays suspected before it is
-        believed dead (probe periods), times the decimal logarithm of the
-        number of members where that is more than one.
-      push_delay_s: new facts are collected this long, then pushed (s).
-      fanout: how many members new facts are pushed to.
+      probe_period_s: protocol period; one member is probed in each (s).
+      probe_timeout_s: how long to wait for the reply to a probe (s).
+      indirect_probes: number of members asked to probe a member that didn't
+        reply.
+      suspicion_periods: how long a member stays suspect before it is declared
+        dead (probe periods); multiplied by the decimal logarithm of the
+        number of members if that exceeds one.
+      push_delay_s: how long new updates are batched before a push (s).
+      fanout: number of members to which updates are pushed.
       cross_domain_pushes: expected number of members in other failure domains
-        that all nodes of one domain together push an update to.
-      push_rate_bytes_per_s: the rate of pushed facts over long times (bytes/s).
-      push_burst_bytes: what may be pushed at once beyond the rate (bytes).
-      sync_period_s: time between anti-entropy with a random member (s).
-      sync_retry_s: the same while a difference was found (s).
-      sync_pages: pages exchanged at most in one anti-entropy.
-      rejoin_period_s: one of those that are gone is tried in each period (s).
+        to which all nodes of one domain together push an update.
+      push_rate_bytes_per_s: long-term rate of pushed updates (bytes/s).
+      push_burst_bytes: token bucket size of pushed updates (bytes).
+      sync_period_s: time between anti-entropy rounds with a random member (s).
+      sync_retry_s: the same while the last round found a difference (s).
+      sync_pages: maximum number of pages in one anti-entropy round.
+      rejoin_period_s: one member that is gone is probed in each period (s).
       return_window_s: how long a member that left as planned is still sent
         rejoin probes (s): restarted while the store is unavailable, it cannot
         find its peers by itself.
-      refute_grace_s: how long a member believed dead on hearsay may still be
-        used where no other is left (s).
+      refute_grace_s: how long a member that other nodes declared dead may
+        still be used if no other member is left (s).
       forget_after_s: how long dead members are kept (s); longer than a
         partition between regions may last, so that its sides find each other
         again.
-      message_payload_bytes: facts carried by one message (bytes).
-      page_payload_bytes: facts carried by one page of anti-entropy (bytes).
-      max_members: members remembered at most.
-      max_rumors: rumors remembered at most.
+      message_payload_bytes: bound on the updates in one message (bytes).
+      page_payload_bytes: bound on the entries in one anti-entropy page
+        (bytes).
+      max_members: maximum number of members held.
+      max_rumors: maximum number of rumors held.
     """
 
     probe_period_s: float = 1.0
--- a/src/radishwind/membership/probe_sender.py
+++ b/src/radishwind/membership/probe_sender.py
@@ -1,4 +1,4 @@
-"""The messages by which a node finds out whether others are there."""
+"""Sends direct, indirect and rejoin probes."""
 
 from collections.abc import Callable
 import random
@@ -20,7 +20,7 @@
 
 
 class ProbeSender:
-    """Puts pings, and what others are asked to ping, into the outbox."""
+    """Puts pings, ping requests and relayed acks into the outbox."""
 
     def __init__(
         self,
@@ -30,105 +30,121 @@
         rng: random.Random,
         table: MembershipTable,
         failure_detector: FailureDetector,
-        spreader: DisseminationQueue,
+        dissemination: DisseminationQueue,
         outbox: Outbox,
         config_revision: Callable[[], int],
     ) -> None:
-        """Wires the sender.
+        """Initializes the sender.
 
         Args:
-          own_name: of this node.
-          options: of membership.
-          rng: chooses who is asked to help.
-          table: the facts.
-          failure_detector: says who is to be probed.
-          spreader: gives facts that ride on pings.
-          outbox: takes the messages.
-          config_revision: returns the configuration revision in force here.
+          own_name: name of this node.
+          options: options of the gossip protocol.
+          rng: selects the members that are asked for indirect probes.
+          table: the known members.
+          failure_detector: selects the members to probe.
+          dissemination: provides updates to piggyback on pings.
+          outbox: collects the messages to send.
+          config_revision: returns the configuration revision that this node
+            applies.
         """
-        self._name = own_name
+        self._own_name = own_name
         self._options = options
         self._rng = rng
         self._table = table
         self._failure_detector = failure_detector
-        self._spreader = spreader
+        self._dissemination = dissemination
         self._outbox = outbox
         self._config_revision = config_revision
 
-    def probe(self, now: float) -> None:
-        """ProbeSender the member whose turn it is."""
-        fact = self._failure_detector.next()
-        if fact is None:
+    def send_probe(self, now: float) -> None:
+        """Pings the next member in the probe order."""
+        record = self._failure_detector.next_member()
+        if record is None:
             return
-        members, rumors = self._spreader.take_piggyback(
+        members, rumors = self._dissemination.take_piggyback(
             self._options.message_payload_bytes, now
         )
-        if fact.liveness is not Liveness.ALIVE:
-            members = unique_members((fact, self._own, *members))
+        if record.liveness is not Liveness.ALIVE:
+            # Lets the member see that it is suspected, and refute.
+            members = unique_members((record, self._own_record, *members))
         self._outbox.send(
-            fact,
+            record,
             Ping(
-                self._name, self._config_revision(), members, rumors, fact.name
+                self._own_name,
+                self._config_revision(),
+                members,
+                rumors,
+                record.name,
             ),
             MessagePurpose.PROBE,
             timeout_s=self._options.probe_timeout_s,
         )
 
-    def try_rejoin(self, now: float) -> None:
-        """Asks one that is gone, and says who asks: it may know nobody."""
-        fact = self._failure_detector.random_dead(now)
-        if fact is None:
+    def send_rejoin_probe(self, now: float) -> None:
+        """Pings a member that is gone.
+
+        The ping carries the own record too, since a member that was restarted
+        may know no other node.
+        """
+        record = self._failure_detector.random_rejoin_candidate(now)
+        if record is None:
             return
-        told = (fact, self._own)
-        ping = Ping(self._name, self._config_revision(), told, (), fact.name)
-        self._outbox.send(fact, ping, MessagePurpose.REJOIN)
+        members = (record, self._own_record)
+        ping = Ping(
+            self._own_name, self._config_revision(), members, (), record.name
+        )
+        self._outbox.send(record, ping, MessagePurpose.REJOIN)
 
-    def ask_others(self, call: OutgoingMessage, now: float) -> None:
-        """Asks others to ping a member that did not answer `call`."""
-        name = call.member
-        if not self._failure_detector.failed(name, now):
+    def request_indirect_probes(
+        self, probe: OutgoingMessage, now: float
+    ) -> None:
+        """Asks other members to ping the one that didn't reply to `probe`."""
+        name = probe.member
+        if not self._failure_detector.record_probe_failure(name, now):
             return
         helpers = self._table.sample(
             self._rng,
             self._options.indirect_probes,
-            frozenset((name, self._name)),
+            frozenset((name, self._own_name)),
         )
         for helper in helpers:
             request = PingRequest(
-                self._name,
+                self._own_name,
                 self._config_revision(),
                 (),
                 (),
                 name,
-                str(call.address),
+                str(probe.address),
             )
             self._outbox.send(helper, request, MessagePurpose.REQUEST_PROBE)
 
-    def probe_for(self, message: PingRequest) -> None:
-        """ProbeSender the member that a peer asked to ping."""
-        fact = self._table.members.get(message.member)
-        if fact is None or message.sender not in self._table.members:
+    def send_relayed_probe(self, request: PingRequest) -> None:
+        """Pings the member that a peer asked this node to ping."""
+        record = self._table.members.get(request.member)
+        if record is None or request.sender not in self._table.members:
             return
-        ping = Ping(self._name, self._config_revision(), (fact,), (), fact.name)
+        ping = Ping(
+            self._own_name, self._config_revision(), (record,), (), record.name
+        )
         self._outbox.send(
-            fact,
+            record,
             ping,
             MessagePurpose.RELAYED_PROBE,
-            message.sender,
+            request.sender,
             self._options.probe_timeout_s,
         )
 
-    def relay(self, call: OutgoingMessage, answer: Message) -> None:
-        """Tells the peer that asked for a ping that it was answered."""
-        requester = self._table.members.get(call.requester)
-        if answer.sender != call.member or requester is None:
+    def send_relayed_ack(self, probe: OutgoingMessage, reply: Message) -> None:
+        """Notifies the requester of a relayed probe of the reply to it."""
+        requester = self._table.members.get(probe.requester)
+        if reply.sender != probe.member or requester is None:
             return
-        facts = (self._table.members[call.member],)
-        told = RelayedAck(
-            self._name, self._config_revision(), facts, (), call.member
+        members = (self._table.members[probe.member],)
+        ack = RelayedAck(
+            self._own_name, self._config_revision(), members, (), probe.member
         )
-        self._outbox.send(requester, told, MessagePurpose.NOTIFY)
+        self._outbox.send(requester, ack, MessagePurpose.NOTIFY)
 
     @property
-    def _own(self) -> MemberRecord:
-        return self._table.members[self._name]
+    def _own_record(self) -> MemberRecord:
+        return self._table.members[self._own_name]
--- a/src/radishwind/membership/push_peer_selector.py
+++ b/src/radishwind/membership/push_peer_selector.py
@@ -1,4 +1,4 @@
-"""Chooses whom a new fact is pushed to."""
+"""Selects the peers to which new updates are pushed."""
 
 import random
 
@@ -8,11 +8,11 @@
 
 
 class PushPeerSelector:
-    """Near members, and at times a far one.
+    """Selects peers of the own failure domain and occasionally of others.
 
-    Bytes between failure domains have their price, so that all nodes of a
-    domain together push a fact to a few far members only. Probes and
-    anti-entropy carry it on where that misses somebody.
+    Traffic between failure domains is charged for, so all nodes of a domain
+    together push an update to only a few members of other domains. Probes and
+    anti-entropy carry it to the members that were missed.
     """
 
     def __init__(
@@ -27,28 +27,28 @@
         self._options = options
         self._rng = rng
 
-    def choose(self, domain: str) -> list[MemberRecord]:
-        """Returns whom one push goes to.
+    def select(self, domain: str) -> list[MemberRecord]:
+        """Returns the peers of one push.
 
         Args:
           domain: the failure domain of this node.
         """
         wanted = self._options.fanout - 1
-        peers = self._sample(domain, wanted, near=True)
-        far = wanted - len(peers)
-        share = self._options.cross_domain_pushes / max(
+        peers = self._sample(domain, wanted, same_domain=True)
+        cross_domain = wanted - len(peers)
+        probability = self._options.cross_domain_pushes / max(
             1, self._table.live_by_domain[domain]
         )
-        if self._rng.random() < share:
-            far += 1
-        return peers + self._sample(domain, far, near=False)
+        if self._rng.random() < probability:
+            cross_domain += 1
+        return peers + self._sample(domain, cross_domain, same_domain=False)
 
     def _sample(
-        self, domain: str, count: int, *, near: bool
+        self, domain: str, count: int, *, same_domain: bool
     ) -> list[MemberRecord]:
         return self._table.sample(
             self._rng,
             count,
             self._exclude,
-            lambda fact: (fact.failure_domain == domain) is near,
+            lambda record: (record.failure_domain == domain) is same_domain,
         )
--- a/tests/support/gossip_net.py
+++ b/tests/support/gossip_net.py
@@ -84,7 +84,7 @@
         """Lets nodes that know each other not tell of their start."""
         for node in self.nodes.values():
             for fact in node.table.members.values():
-                node._spreader.forget(fact.name)
+                node._dissemination.discard(fact.name)
 
     def join(self, number: int, contacts: Iterable[int]) -> None:
         """Lets a node find first peers."""
