--- a/src/radishwind/routing/fresh_load_chooser.py
+++ b/src/radishwind/routing/fresh_load_chooser.py
@@ -1,9 +1,9 @@
-"""Chooses by load that is told within milliseconds of its change.
+"""Chooses targets by load reports that arrive within milliseconds of changes.
 
-Each node tells the pace of its instance and what runs and waits at its server
-when these change. The expected answer time of a target is made of the way to
-it, the wait for a slot, and the run time at its pace; a report that grows old
-counts less and less against the mean of all.
+Each node reports the pace of its instance and the running and queued requests
+of its server when these change. The expected response time of a target consists
+of the path to it, the time in its queue, and the run time at its pace. A report
+loses weight with age against the mean of all instances.
 """
 
 from collections.abc import Callable
@@ -16,20 +16,20 @@
 from radishwind.outcomes.model import Outcome
 from radishwind.routing.chooser import LoadReport
 from radishwind.routing.chooser import TargetChooser
-from radishwind.routing.cost_weights import COST_SPREAD
+from radishwind.routing.cost_weights import COST_JITTER
 from radishwind.routing.cost_weights import CostWeights
 from radishwind.routing.cost_weights import FORWARDING_S
-from radishwind.routing.cost_weights import FULL_FACTOR
-from radishwind.routing.cost_weights import LATE_FACTOR
-from radishwind.routing.cost_weights import LEAST_REST
-from radishwind.routing.cost_weights import MOST_FAR
-from radishwind.routing.cost_weights import MOST_NEAR
-from radishwind.routing.cost_weights import SILENT_FACTOR
-from radishwind.routing.cost_weights import SILENT_S
-from radishwind.routing.cost_weights import UNKNOWN_FACTOR
-from radishwind.routing.pace_statistics import begin_s
+from radishwind.routing.cost_weights import FULL_LOAD_SLOWDOWN
+from radishwind.routing.cost_weights import LATE_ATTEMPT_FACTOR
+from radishwind.routing.cost_weights import MAX_LOCAL_CANDIDATES
+from radishwind.routing.cost_weights import MAX_REMOTE_CANDIDATES
+from radishwind.routing.cost_weights import MIN_REMAINING_FRACTION
+from radishwind.routing.cost_weights import MISSING_REPORT_FACTOR
+from radishwind.routing.cost_weights import REPORT_TIMEOUT_S
+from radishwind.routing.cost_weights import UNKNOWN_LOAD_FACTOR
+from radishwind.routing.pace_statistics import completion_s
 from radishwind.routing.path_costs import FixedPathCosts
-from radishwind.routing.path_costs import IN_TIME_PART
+from radishwind.routing.path_costs import IN_TIME_FRACTION
 from radishwind.routing.path_costs import NO_PATH_COST
 from radishwind.routing.path_costs import PathCost
 from radishwind.routing.path_costs import PathCostModel
@@ -38,10 +38,10 @@
 
 
 class FreshLoadChooser(TargetChooser, LatencyForecast):
-    """The least expected answer time by fresh reports.
+    """Chooses the lowest expected response time by recent load reports.
 
     Attributes:
-      statistics: what is known of targets.
+      statistics: records of targets and run times of routes.
     """
 
     def __init__(
@@ -55,23 +55,24 @@
         weights: CostWeights | None = None,
         path_costs: PathCostModel | None = None,
     ) -> None:
-        """Makes a chooser that knows nothing yet.
+        """Creates a chooser without any statistics.
 
         Args:
-          rng: breaks ties and draws candidates.
-          node_name: the name of this node's own target.
-          failure_domain: where this node stands.
-          own_load: returns the load of the own target as of now.
-          reports_unsolicited: returns whether a target tells this node its load
-            though it got nothing from here; by default all do.
-          weights: what counts.
-          path_costs: what the links to a target add.
+          rng: random generator for sampling candidates and jitter of costs.
+          node_name: name of this node's own target.
+          failure_domain: failure domain of this node.
+          own_load: returns the present load of the own target.
+          reports_unsolicited: returns whether a target sends load reports to
+            this node without having received requests from it; by default, all
+            do.
+          weights: weights of the cost.
+          path_costs: costs of network paths; by default, fixed ones.
         """
         self._weights = weights or CostWeights()
         self._path_costs = path_costs or FixedPathCosts(
             failure_domain, self._weights.cross_domain_s
         )
-        self._reports_unsolicited = reports_unsolicited or _always
+        self._reports_unsolicited = reports_unsolicited or _reports_to_all
         self._rng = rng
         self._node_name = node_name
         self._failure_domain = failure_domain
@@ -82,166 +83,191 @@
         self,
         name: str,
         report: LoadReport,
-        start: int,
-        order: int,
+        start_id: int,
+        sequence: int,
         now: float,
     ) -> None:
-        """Takes what the node beside a target tells; see `TargetStatistics`."""
-        self.statistics.receive_report(name, report, start, order, now)
+        """Accepts a load report; see `TargetStatistics.receive_report`."""
+        self.statistics.receive_report(name, report, start_id, sequence, now)
 
     def choose(
         self,
         members: Sequence[Member],
         now: float,
         exclude: frozenset[str] = frozenset(),
-        work: str = "",
+        route: str = "",
         aim: float = math.inf,
     ) -> Member | None:
         candidates = [m for m in members if m.name not in exclude]
-        if len(candidates) > MOST_NEAR + MOST_FAR:
-            candidates = self._drawn(candidates)
+        if len(candidates) > MAX_LOCAL_CANDIDATES + MAX_REMOTE_CANDIDATES:
+            candidates = self._sample_candidates(candidates)
         best = soonest = None
-        least_s = least_time_s = best_time_s = math.inf
+        lowest_cost_s = lowest_time_s = best_time_s = math.inf
         for member in candidates:
-            way = self._way(member, work, now)
-            time_s = self._answer_s(member, now, work, way) + way.transmission_s
-            time_s *= 1 + COST_SPREAD * self._rng.random()
-            failed_s = self.statistics.failed_s(member.name, work, now)
-            cost_s = time_s + way.penalty_s + failed_s
-            if cost_s < least_s:
-                best, least_s, best_time_s = member, cost_s, time_s
-            if time_s + failed_s < least_time_s:
-                soonest, least_time_s = member, time_s + failed_s
+            path = self._path(member, route, now)
+            time_s = (
+                self._response_s(member, now, route, path) + path.transmission_s
+            )
+            time_s *= 1 + COST_JITTER * self._rng.random()
+            failure_s = self.statistics.failure_penalty_s(
+                member.name, route, now
+            )
+            cost_s = time_s + path.penalty_s + failure_s
+            if cost_s < lowest_cost_s:
+                best, lowest_cost_s, best_time_s = member, cost_s, time_s
+            if time_s + failure_s < lowest_time_s:
+                soonest, lowest_time_s = member, time_s + failure_s
         if best is None:
-            return self._any_of(candidates, now)
-        left_s = aim - now
-        # Links are not spared at the price of being late; where all would be
-        # late, nothing is gained by what crosses.
-        if IN_TIME_PART * left_s < best_time_s and least_time_s <= left_s:
+            return self._any_excluded(candidates, now)
+        time_left_s = aim - now
+        # Links aren't spared if the response would miss the latency target for
+        # it. If no target can meet it, cross-domain traffic gains nothing.
+        if (
+            IN_TIME_FRACTION * time_left_s < best_time_s
+            and lowest_time_s <= time_left_s
+        ):
             return soonest
         return best
 
-    def _any_of(
+    def _any_excluded(
         self, candidates: Sequence[Member], now: float
     ) -> Member | None:
-        """Returns one of those that all said they take none, if one may.
+        """Returns a target to try if all are excluded; `None` if none may be.
 
-        One that leaves or was down may be back by now; one that is cold has
-        told when it takes more, so that to ask it again only costs time.
+        A target that was leaving or down may have recovered. One in slow start
+        has reported when it accepts more, so that a request before that would
+        only cost time.
         """
         own = self._own_load()
-        maybe = [m for m in candidates if not self._is_spent(m.name, now, own)]
-        return self._rng.choice(maybe) if maybe else None
-
-    def _is_spent(self, name: str, now: float, own: LoadReport) -> bool:
-        """Returns whether a cold target takes no more just now.
+        eligible = [
+            m
+            for m in candidates
+            if not self._is_warmup_exhausted(m.name, now, own)
+        ]
+        return self._rng.choice(eligible) if eligible else None
+
+    def _is_warmup_exhausted(
+        self, name: str, now: float, own: LoadReport
+    ) -> bool:
+        """Returns whether a target in slow start accepts no further requests.
 
         Args:
-          name: the target.
+          name: name of the target.
           now: monotonic time (s).
-          own: the load of the own target, looked at where that is meant.
+          own: load of the own target; used if `name` is that target.
         """
         if name == self._node_name:
             return own.is_warmup_exhausted
-        seen = self.statistics.record(name)
-        return seen is not None and seen.cold_until > now
+        record = self.statistics.record(name)
+        return record is not None and record.warmup_paused_until > now
 
-    def _drawn(self, candidates: list[Member]) -> list[Member]:
-        """Returns some of many candidates, near ones above all."""
+    def _sample_candidates(self, candidates: list[Member]) -> list[Member]:
+        """Samples the candidates, with preference for local ones."""
         own = self._failure_domain
-        near = [m for m in candidates if m.failure_domain == own]
-        far = [m for m in candidates if m.failure_domain != own]
-        if len(near) > MOST_NEAR:
-            near = self._rng.sample(near, MOST_NEAR)
-        most_far = MOST_NEAR + MOST_FAR - len(near)
-        if len(far) > most_far:
-            far = self._rng.sample(far, most_far)
-        return near + far
-
-    def cost_s(self, member: Member, now: float, work: str = "") -> float:
-        """Returns what an attempt counts for (s); infinite for one away.
-
-        It is the expected answer time, and more for a target that failed.
+        local = [m for m in candidates if m.failure_domain == own]
+        remote = [m for m in candidates if m.failure_domain != own]
+        if len(local) > MAX_LOCAL_CANDIDATES:
+            local = self._rng.sample(local, MAX_LOCAL_CANDIDATES)
+        max_remote = MAX_LOCAL_CANDIDATES + MAX_REMOTE_CANDIDATES - len(local)
+        if len(remote) > max_remote:
+            remote = self._rng.sample(remote, max_remote)
+        return local + remote
+
+    def cost_s(self, member: Member, now: float, route: str = "") -> float:
+        """Returns the cost of an attempt (s); infinite for an excluded target.
+
+        It is the expected response time plus a penalty for recent failures.
         """
-        way = self._way(member, work, now)
-        answer_s = self._answer_s(member, now, work, way)
-        return answer_s + self.statistics.failed_s(member.name, work, now)
+        path = self._path(member, route, now)
+        response_s = self._response_s(member, now, route, path)
+        return response_s + self.statistics.failure_penalty_s(
+            member.name, route, now
+        )
 
-    def _answer_s(
-        self, member: Member, now: float, work: str, way: PathCost
+    def _response_s(
+        self, member: Member, now: float, route: str, path: PathCost
     ) -> float:
-        """Returns the expected answer time (s); infinite for one away."""
-        seen = self.statistics.record(member.name)
-        work_s = self.statistics.normal_run_s(work)
-        hop_s = self._hop_s(member) + way.round_trip_s
+        """Returns the expected response time (s); infinite if excluded."""
+        record = self.statistics.record(member.name)
+        run_s = self.statistics.normal_run_s(route)
+        network_s = self._forwarding_s(member) + path.round_trip_s
         if member.name == self._node_name:
-            report, age_s, since = self._own_load(), 0.0, 0
-        elif seen is None or seen.report is None:
-            return hop_s + self._unknown_s(seen, work_s, now)
+            report, age_s, attempts_since_report = self._own_load(), 0.0, 0
+        elif record is None or record.report is None:
+            return network_s + self._unknown_load_s(record, run_s, now)
         else:
-            report, age_s, since = seen.report, now - seen.heard, seen.since
-        silent = age_s > SILENT_S
-        if silent and not self._reports_unsolicited(member):
-            return hop_s + self._unknown_s(seen, work_s, now)
-        if seen is not None and seen.away_until > now:
+            report, age_s, attempts_since_report = (
+                record.report,
+                now - record.report_received,
+                record.attempts_since_report,
+            )
+        is_report_overdue = age_s > REPORT_TIMEOUT_S
+        if is_report_overdue and not self._reports_unsolicited(member):
+            return network_s + self._unknown_load_s(record, run_s, now)
+        if record is not None and record.excluded_until > now:
             return math.inf
         if report.leaving or not report.slots:
             return math.inf
-        if self._is_spent(member.name, now, report):
+        if self._is_warmup_exhausted(member.name, now, report):
             return math.inf
-        slowness = seen.slowness if seen else 1.0
-        busy = max(0, report.in_flight + report.queued + since)
-        fill = min(1.0, busy / report.slots)
-        own_s = work_s * slowness * (1 + FULL_FACTOR * fill)
-        own_s *= _coldness(report)
-        ahead = max(0, busy + 1 - report.slots) / report.slots
-        cost_s = begin_s(own_s, report, age_s, self.statistics.pace)
-        queued_s = work_s * report.base_pace * self.statistics.pace.mean_pace
-        cost_s += ahead * max(report.service_ms / 1000, queued_s)
-        if silent:
-            cost_s += SILENT_FACTOR * work_s * self.statistics.pace.mean_pace
-        return hop_s + cost_s
-
-    def expected_s(self, member: Member, now: float, work: str) -> float:
-        way = self._way(member, work, now)
-        answer_s = self._answer_s(member, now, work, way)
-        return 0.0 if math.isinf(answer_s) else answer_s
-
-    def mean_run_s(self, work: str) -> float:
-        return self.normal_run_s(work) * self.statistics.pace.mean_pace
-
-    def normal_run_s(self, work: str) -> float:
-        """Returns the usual run time of `work` (s); 0 where not known."""
-        return self.statistics.normal_run_s(work, 0.0)
+        slowness = record.slowness if record else 1.0
+        requests = max(
+            0, report.in_flight + report.queued + attempts_since_report
+        )
+        utilization = min(1.0, requests / report.slots)
+        target_run_s = run_s * slowness * (1 + FULL_LOAD_SLOWDOWN * utilization)
+        target_run_s *= _warmup_slowdown(report)
+        queue_rounds = max(0, requests + 1 - report.slots) / report.slots
+        cost_s = completion_s(target_run_s, report, age_s, self.statistics.pace)
+        mean_run_s = run_s * report.base_pace * self.statistics.pace.mean_pace
+        cost_s += queue_rounds * max(report.service_ms / 1000, mean_run_s)
+        if is_report_overdue:
+            cost_s += (
+                MISSING_REPORT_FACTOR * run_s * self.statistics.pace.mean_pace
+            )
+        return network_s + cost_s
+
+    def expected_s(self, member: Member, now: float, route: str) -> float:
+        path = self._path(member, route, now)
+        response_s = self._response_s(member, now, route, path)
+        return 0.0 if math.isinf(response_s) else response_s
+
+    def mean_run_s(self, route: str) -> float:
+        return self.normal_run_s(route) * self.statistics.pace.mean_pace
+
+    def normal_run_s(self, route: str) -> float:
+        """Returns the run time at the normal pace (s); 0 if not known."""
+        return self.statistics.normal_run_s(route, 0.0)
 
     def remaining_s(
-        self, name: str, work: str, began: float, now: float
+        self, name: str, route: str, started: float, now: float
     ) -> float:
-        seen = self.statistics.record(name)
-        work_s = self.statistics.normal_run_s(work)
-        expected = seen.expected.get(began) if seen else None
+        record = self.statistics.record(name)
+        run_s = self.statistics.normal_run_s(route)
+        expected = record.expected_ends.get(started) if record else None
         if expected is None:
-            expected = began + work_s * self.statistics.pace.mean_pace
-        if now <= expected + LATE_FACTOR * work_s:
-            return max(expected - now, LEAST_REST * work_s)
-        # It began in a slow spell, or something it waits for did.
-        slow = began + work_s * self.statistics.pace.slow_pace
-        if now <= slow + work_s:
-            return max(slow - now, work_s)
+            expected = started + run_s * self.statistics.pace.mean_pace
+        if now <= expected + LATE_ATTEMPT_FACTOR * run_s:
+            return max(expected - now, MIN_REMAINING_FRACTION * run_s)
+        # The run, or a nested one that it waits for, started in a slow
+        # interval.
+        slow_end = started + run_s * self.statistics.pace.slow_pace
+        if now <= slow_end + run_s:
+            return max(slow_end - now, run_s)
         return math.inf
 
-    def describe_cost(self, member: Member, now: float, work: str = "") -> str:
-        cost_ms = self.cost_s(member, now, work) * 1000
-        way = self._told_way(member, work, now)
-        seen = self.statistics.record(member.name)
+    def describe_cost(self, member: Member, now: float, route: str = "") -> str:
+        cost_ms = self.cost_s(member, now, route) * 1000
+        path = self._describe_path(member, route, now)
+        record = self.statistics.record(member.name)
         if member.name == self._node_name:
             report, age_s = self._own_load(), 0.0
-        elif seen is None or seen.report is None:
-            return f"cost={cost_ms:.0f}ms{way} unheard"
+        elif record is None or record.report is None:
+            return f"cost={cost_ms:.0f}ms{path} unheard"
         else:
-            report, age_s = seen.report, now - seen.heard
+            report, age_s = record.report, now - record.report_received
         return (
-            f"cost={cost_ms:.0f}ms{way} "
+            f"cost={cost_ms:.0f}ms{path} "
             f"pace={report.pace:g} "
             f"age={age_s * 1000:.0f}ms spell={report.pace_interval_ms:g}ms "
             f"busy={report.in_flight}+{report.queued}/{report.slots}"
@@ -259,62 +285,62 @@
         elapsed_s: float,
         outcome: Outcome | None,
         load: LoadReport | None,
-        work: str = "",
+        route: str = "",
     ) -> None:
         self.statistics.attempt_finished(
-            name, now, elapsed_s, outcome, load, work
+            name, now, elapsed_s, outcome, load, route
         )
 
-    def _unknown_s(
-        self, seen: TargetRecord | None, work_s: float, now: float
+    def _unknown_load_s(
+        self, record: TargetRecord | None, run_s: float, now: float
     ) -> float:
-        """Returns the cost of a target of whose load nothing is known (s)."""
-        cost_s = UNKNOWN_FACTOR * self.statistics.pace.unknown_pace_run_s(
-            work_s
+        """Returns the cost of a target whose load isn't known (s)."""
+        cost_s = UNKNOWN_LOAD_FACTOR * self.statistics.pace.unknown_pace_run_s(
+            run_s
         )
-        if seen is None:
+        if record is None:
             return cost_s
-        if seen.away_until > now:
+        if record.excluded_until > now:
             return math.inf
-        return cost_s + work_s * self.statistics.pace.mean_pace * max(
-            0, seen.since
+        return cost_s + run_s * self.statistics.pace.mean_pace * max(
+            0, record.attempts_since_report
         )
 
-    def _way(self, member: Member, work: str, now: float) -> PathCost:
-        """Returns what the way to `member` adds."""
+    def _path(self, member: Member, route: str, now: float) -> PathCost:
+        """Returns the cost of the path to `member`."""
         if member.name == self._node_name:
             return NO_PATH_COST
-        seen = self.statistics.record(member.name)
-        report = seen.report if seen else None
+        record = self.statistics.record(member.name)
+        report = record.report if record else None
         free_kbps = report.link_free_kbps if report else 0
         return self._path_costs.path_cost(
-            member.failure_domain, free_kbps, work, now
+            member.failure_domain, free_kbps, route, now
         )
 
-    def _told_way(self, member: Member, work: str, now: float) -> str:
-        """Returns what the links to `member` counted for, if anything."""
-        way = self._way(member, work, now)
-        if way is NO_PATH_COST:
+    def _describe_path(self, member: Member, route: str, now: float) -> str:
+        """Returns the path cost as text for logs; empty for the own target."""
+        path = self._path(member, route, now)
+        if path is NO_PATH_COST:
             return ""
-        parts = (way.round_trip_s, way.transmission_s, way.penalty_s)
-        return f" way={'+'.join(f'{part * 1000:.0f}' for part in parts)}ms"
+        costs = (path.round_trip_s, path.transmission_s, path.penalty_s)
+        return f" way={'+'.join(f'{cost * 1000:.0f}' for cost in costs)}ms"
 
-    def _hop_s(self, member: Member) -> float:
+    def _forwarding_s(self, member: Member) -> float:
         if member.name == self._node_name:
             return 0.0
         return FORWARDING_S
 
 
-def _coldness(report: LoadReport) -> float:
-    """Returns how much longer runs take than the told pace says.
+def _warmup_slowdown(report: LoadReport) -> float:
+    """Returns the slowdown by slow start that the pace doesn't include.
 
-    Where the pace itself tells that a server is cold, that is all of it:
-    counted twice, a restarted fleet looked four times as slow as it was.
+    If the base pace already reflects a cold server, it is not counted again:
+    counted twice, a restarted fleet appeared four times as slow as it was.
     """
     return max(
         1.0, 1 / max(0.1, report.warm_fraction) / max(1.0, report.base_pace)
     )
 
 
-def _always(member: Member) -> bool:
+def _reports_to_all(member: Member) -> bool:
     return True
--- a/src/radishwind/routing/path_costs.py
+++ b/src/radishwind/routing/path_costs.py
@@ -1,9 +1,9 @@
-"""What it takes to send a request of a route to another node.
+"""The cost of the network path to another node.
 
-A way costs time: there and back, and as long as the bytes of a usual exchange
-take on the links at both ends beside what these carry. Between failure domains
-they also take room that all nodes of both domains share, so that small answers
-leave their domain first and large ones last.
+A path costs its round-trip time and the transmission time of a typical exchange
+at the free capacity of the links on both ends. Paths between failure domains
+also use links that are shared by all nodes of both domains. The cost makes
+small responses leave their failure domain first and large ones last.
 """
 
 import abc
@@ -16,25 +16,27 @@
 from radishwind.routing.round_trip_times import RoundTripTimes
 from radishwind.routing.route_sizes import RouteSizes
 
-#: The least a link is taken to have left (kbit/s): one that is full gets free.
-LEAST_FREE_KBPS = 64
+#: Lower bound of the free capacity of a link (kbit/s), since a full link
+#: becomes free again.
+MIN_FREE_KBPS = 64
 
-#: Links that an exchange passes: that of either node, and between failure
-#: domains the way out of one and into the other.
-NEAR_LINKS = 2
-FAR_LINKS = 4
+#: Links on a path: those of both nodes, and between failure domains the
+#: outbound link of one and the inbound link of the other.
+LOCAL_LINK_COUNT = 2
+REMOTE_LINK_COUNT = 4
 
-#: The bytes of a way weigh at most this part of the time in which an answer
-#: earns its full worth, so that no caller is late for their sake.
-MOST_PART = 0.5
+#: The cost of transmission is at most this fraction of the latency target, so
+#: that sparing links doesn't delay responses beyond it.
+MAX_LINK_COST_FRACTION = 0.5
 
-#: Links are spared while an answer comes within this part of the time that is
-#: left to earn its full worth; the rest is for what a forecast is wrong by.
-IN_TIME_PART = 0.7
+#: Links are spared while a response is expected within this fraction of the
+#: time left until the latency target. The rest is a margin for errors of the
+#: forecast.
+IN_TIME_FRACTION = 0.7
 
-#: A way that was weighed is kept so long (s): the time over which a node
-#: counts what its link carries.
-KEPT_S = 0.1
+#: Computed costs are cached for this time (s), which is the length of a bucket
+#: of the link meter.
+CACHE_TTL_S = 0.1
 
 _BITS_PER_BYTE = 8
 _BITS_PER_KBIT = 1000
@@ -56,54 +58,53 @@
     penalty_s: float = 0.0
 
 
-#: To the own target.
+#: The path to the own target.
 NO_PATH_COST = PathCost()
 
 
 class PathCostModel(abc.ABC):
-    """Says what the way to another node adds."""
+    """Interface: returns the cost of paths to other nodes."""
 
     @abc.abstractmethod
     def path_cost(
         self, domain: str, free_kbps: int, route: str, now: float
     ) -> PathCost:
-        """Returns what a usual exchange of `route` takes.
+        """Returns the cost for a typical exchange of `route`.
 
         Args:
           domain: the failure domain of the other node.
-          free_kbps: what that node's link has left (kbit/s); 0 where it isn't
-            told.
+          free_kbps: free capacity of that node's link (kbit/s); 0 if not known.
           route: the route of the request.
           now: monotonic time (s).
         """
 
 
 class FixedPathCosts(PathCostModel):
-    """The same for whatever crosses."""
+    """A fixed cost for each path to another failure domain."""
 
     def __init__(
         self, own_domain: str, cross_domain_s: float = CROSS_DOMAIN_S
     ) -> None:
-        """Takes what a way counts.
+        """Creates fixed costs.
 
         Args:
           own_domain: the failure domain of this node.
-          cross_domain_s: the way to any other and back (s).
+          cross_domain_s: round trip counted for other failure domains (s).
         """
         self._own_domain = own_domain
-        self._far = PathCost(cross_domain_s)
+        self._remote = PathCost(cross_domain_s)
 
     def path_cost(
         self, domain: str, free_kbps: int, route: str, now: float
     ) -> PathCost:
-        return NO_PATH_COST if domain == self._own_domain else self._far
+        return NO_PATH_COST if domain == self._own_domain else self._remote
 
 
 class LinkPathCosts(PathCostModel):
-    """Weighs ways by the bytes of a route and what links have left.
+    """Costs by the body sizes of a route and the free capacity of links.
 
-    Without a link to go by, a way counts as a fixed one; without a fresh round
-    trip, its time does.
+    If the capacity of the own link isn't known, costs are fixed ones. Without a
+    recent round trip, only the round-trip time is.
     """
 
     def __init__(
@@ -111,64 +112,71 @@
         *,
         own_domain: str,
         sizes: RouteSizes,
-        trips: RoundTripTimes,
+        round_trips: RoundTripTimes,
         own_free_kbps: Callable[[], int],
         aim_s: Callable[[str], float],
         cross_domain_s: float = CROSS_DOMAIN_S,
     ) -> None:
-        """Wires the ways.
+        """Creates a cost model.
 
         Args:
           own_domain: the failure domain of this node.
-          sizes: of exchanges, by route.
-          trips: to other failure domains.
-          own_free_kbps: returns what the own link has left (kbit/s); 0 where
-            it isn't known.
-          aim_s: returns the time in which an answer of a route earns its full
-            worth (s).
-          cross_domain_s: what the way to another failure domain and back counts
-            for at least, whatever crosses (s).
+          sizes: learned body sizes by route.
+          round_trips: round-trip times to other failure domains.
+          own_free_kbps: returns the free capacity of the own link (kbit/s); 0
+            if not known.
+          aim_s: returns the latency target of a route (s).
+          cross_domain_s: lower bound of the round trip counted for other
+            failure domains (s).
         """
         self._own_domain = own_domain
         self._sizes = sizes
-        self._trips = trips
+        self._trips = round_trips
         self._own_free_kbps = own_free_kbps
         self._aim_s = aim_s
-        self._crossing_s = cross_domain_s
-        self._kept: dict[tuple[str, int, str], PathCost] = {}
-        self._kept_since = -math.inf
+        self._cross_domain_s = cross_domain_s
+        self._cache: dict[tuple[str, int, str], PathCost] = {}
+        self._cache_created = -math.inf
 
     def path_cost(
         self, domain: str, free_kbps: int, route: str, now: float
     ) -> PathCost:
-        # A choice asks for each candidate, and little changes between.
-        if not 0 <= now - self._kept_since < KEPT_S:
-            self._kept.clear()
-            self._kept_since = now
+        # Called for each candidate of a choice, while the inputs hardly change.
+        if not 0 <= now - self._cache_created < CACHE_TTL_S:
+            self._cache.clear()
+            self._cache_created = now
         key = (domain, free_kbps, route)
-        way = self._kept.get(key)
-        if way is None:
-            way = self._kept[key] = self._weighed(domain, free_kbps, route, now)
-        return way
-
-    def _weighed(
+        cost = self._cache.get(key)
+        if cost is None:
+            cost = self._cache[key] = self._compute(
+                domain, free_kbps, route, now
+            )
+        return cost
+
+    def _compute(
         self, domain: str, free_kbps: int, route: str, now: float
     ) -> PathCost:
-        is_near = domain == self._own_domain
-        there_s = counted_s = 0.0 if is_near else self._crossing_s
+        is_local = domain == self._own_domain
+        round_trip_s = min_round_trip_s = (
+            0.0 if is_local else self._cross_domain_s
+        )
         own_kbps = self._own_free_kbps()
         if not own_kbps:
-            return PathCost(there_s)
-        if not is_near:
-            trip_s = self._trips.mean_s(domain, now)
-            there_s = counted_s if trip_s is None else trip_s
-        most_s = MOST_PART * self._aim_s(route)
-        kbps = max(LEAST_FREE_KBPS, min(own_kbps, free_kbps or own_kbps))
+            return PathCost(round_trip_s)
+        if not is_local:
+            measured_s = self._trips.mean_s(domain, now)
+            round_trip_s = (
+                min_round_trip_s if measured_s is None else measured_s
+            )
+        max_s = MAX_LINK_COST_FRACTION * self._aim_s(route)
+        kbps = max(MIN_FREE_KBPS, min(own_kbps, free_kbps or own_kbps))
         bits = self._sizes.exchange_bytes(route) * _BITS_PER_BYTE
-        bytes_s = bits / (_BITS_PER_KBIT * kbps)
-        # A body passes the links of a way piece by piece, so that they add up
-        # in what they carry but not in its time.
-        others = (NEAR_LINKS if is_near else FAR_LINKS) - 1
-        penalty_s = min(most_s, others * bytes_s)
-        penalty_s += max(0.0, counted_s - there_s)
-        return PathCost(there_s, min(most_s, bytes_s), penalty_s)
+        transmission_s = bits / (_BITS_PER_KBIT * kbps)
+        # Bodies are pipelined across the links of a path: the links add up in
+        # the traffic that they carry, but not in transmission time.
+        further_links = (
+            LOCAL_LINK_COUNT if is_local else REMOTE_LINK_COUNT
+        ) - 1
+        penalty_s = min(max_s, further_links * transmission_s)
+        penalty_s += max(0.0, min_round_trip_s - round_trip_s)
+        return PathCost(round_trip_s, min(max_s, transmission_s), penalty_s)
--- a/src/radishwind/routing/target_record.py
+++ b/src/radishwind/routing/target_record.py
@@ -1,4 +1,4 @@
-"""What a node remembers of one target it chooses from."""
+"""What `FreshLoadChooser` knows of one target."""
 
 import math
 
@@ -6,42 +6,47 @@
 
 from radishwind.routing.chooser import LoadReport
 
-#: Two times that name the same beginning differ by rounding only (s).
-_SAME_S = 1e-6
+#: Start times of the same attempt differ by rounding errors only (s).
+_START_TOLERANCE_S = 1e-6
 
 
 class TargetRecord(msgspec.Struct, eq=False):
-    """One target as this node sees it.
+    """One target as seen by this node.
 
     Attributes:
-      report: as told last.
-      heard: when (monotonic s).
-      start: of the node that told it.
-      order: of the report, so that a late one is not taken.
-      expected: when own attempts were expected to answer, by the time of
-        their beginning (monotonic s).
-      since: own attempts begun less those ended since the report.
-      slowness: its run times against the usual ones at the same pace.
-      failures: failures in a row.
-      failed: when the last one was (s).
-      away_until: it takes no work before this time (s).
-      cold_until: it is cold and takes no more before this time (s).
+      report: last load report.
+      report_received: when it was received (monotonic s).
+      start_id: identifier of the start of the node that sent it.
+      sequence: sequence number of the report, to reject reordered ones.
+      expected_ends: expected end of each attempt of this node, by its start
+        (monotonic s).
+      attempts_since_report: attempts of this node started less those ended
+        since the report.
+      slowness: run times relative to those of other targets at the same pace.
+      failures: consecutive failures.
+      last_failure: when the last one occurred (monotonic s).
+      excluded_until: the target accepts no requests before this time
+        (monotonic s).
+      warmup_paused_until: the target is in slow start and accepts no further
+        requests before this time (monotonic s).
     """
 
     report: LoadReport | None = None
-    heard: float = -math.inf
-    start: int = 0
-    order: int = -1
-    expected: dict[float, float] = msgspec.field(default_factory=dict)
-    since: int = 0
+    report_received: float = -math.inf
+    start_id: int = 0
+    sequence: int = -1
+    expected_ends: dict[float, float] = msgspec.field(default_factory=dict)
+    attempts_since_report: int = 0
     slowness: float = 1.0
     failures: int = 0
-    failed: float = -math.inf
-    away_until: float = -math.inf
-    cold_until: float = -math.inf
-
-    def forget_attempt(self, began: float) -> None:
-        """Forgets the own attempt that began at `began` (monotonic s)."""
-        key = min(self.expected, key=lambda at: abs(at - began), default=None)
-        if key is not None and abs(key - began) <= _SAME_S:
-            del self.expected[key]
+    last_failure: float = -math.inf
+    excluded_until: float = -math.inf
+    warmup_paused_until: float = -math.inf
+
+    def discard_attempt(self, started: float) -> None:
+        """Discards the attempt that started at `started` (monotonic s)."""
+        match = min(
+            self.expected_ends, key=lambda at: abs(at - started), default=None
+        )
+        if match is not None and abs(match - started) <= _START_TOLERANCE_S:
+            del self.expected_ends[match]
--- a/src/radishwind/routing/target_statistics.py
+++ b/src/radishwind/routing/target_statistics.py
@@ -1,4 +1,4 @@
-"""What a node learns of targets: their reports, failures, starts and work."""
+"""Statistics of targets: load reports, failures, attempts and run times."""
 
 import math
 
@@ -8,106 +8,116 @@
 from radishwind.outcomes.model import NotRun
 from radishwind.outcomes.model import Outcome
 from radishwind.routing.chooser import LoadReport
-from radishwind.routing.cost_weights import AWAY_S
-from radishwind.routing.cost_weights import COLD_REST_S
 from radishwind.routing.cost_weights import CostWeights
-from radishwind.routing.cost_weights import FAILURE_FADE_S
-from radishwind.routing.cost_weights import FIRST_WORK_S
-from radishwind.routing.cost_weights import LEAST_FAILED_S
-from radishwind.routing.cost_weights import LEAST_SLOWNESS
+from radishwind.routing.cost_weights import DEFAULT_RUN_S
+from radishwind.routing.cost_weights import EXCLUSION_S
+from radishwind.routing.cost_weights import FAILURE_DECAY_S
 from radishwind.routing.cost_weights import MAX_DOUBLINGS
-from radishwind.routing.cost_weights import MOST_RATIO
-from radishwind.routing.cost_weights import MOST_WORKS
-from radishwind.routing.cost_weights import SILENT_S
-from radishwind.routing.cost_weights import WORK_WEIGHT
+from radishwind.routing.cost_weights import MAX_ROUTES
+from radishwind.routing.cost_weights import MAX_RUN_TIME_RATIO
+from radishwind.routing.cost_weights import MIN_FAILURE_RUN_S
+from radishwind.routing.cost_weights import MIN_SLOWNESS
+from radishwind.routing.cost_weights import REPORT_TIMEOUT_S
+from radishwind.routing.cost_weights import RUN_TIME_WEIGHT
+from radishwind.routing.cost_weights import WARMUP_PAUSE_S
 from radishwind.routing.pace_statistics import PaceStatistics
 from radishwind.routing.target_record import TargetRecord
 
 
 class TargetStatistics:
-    """Holds what is known of each target, and of each kind of work.
+    """Holds the records of targets and the run times of routes.
 
     Attributes:
-      habit: how the pace of targets changes.
+      pace: statistics of the pace of targets.
     """
 
     def __init__(self, weights: CostWeights) -> None:
-        """Makes a memory that knows nothing yet.
+        """Creates empty statistics.
 
         Args:
-          weights: how fast it learns, and what failures count for.
+          weights: weights of samples and failures.
         """
         self._weights = weights
-        self._seen: dict[str, TargetRecord] = {}
-        self._work_s: dict[str, float] = {}
+        self._records: dict[str, TargetRecord] = {}
+        self._run_s: dict[str, float] = {}
         self.pace = PaceStatistics()
 
     def record(self, name: str) -> TargetRecord | None:
-        """Returns what is known of the target `name`; `None` for nothing."""
-        return self._seen.get(name)
+        """Returns the record of the target `name`; `None` if there is none."""
+        return self._records.get(name)
 
-    def normal_run_s(self, work: str, unknown_s: float = FIRST_WORK_S) -> float:
-        """Returns the usual run time of `work` (s).
+    def normal_run_s(
+        self, route: str, default_s: float = DEFAULT_RUN_S
+    ) -> float:
+        """Returns the run time of a route at the normal pace (s).
 
         Args:
-          work: the kind of work.
-          unknown_s: what is returned where that isn't known (s).
+          route: the route.
+          default_s: value returned if the run time isn't known (s).
         """
-        return self._work_s.get(work, unknown_s)
+        return self._run_s.get(route, default_s)
 
     def receive_report(
         self,
         name: str,
         report: LoadReport,
-        start: int,
-        order: int,
+        start_id: int,
+        sequence: int,
         now: float,
     ) -> None:
-        """Takes what the node beside the target `name` tells of it.
+        """Accepts a load report, unless a later one was received before.
 
         Args:
-          name: the target.
-          report: its load.
-          start: names the start of that node.
-          order: grows with each report of that start.
+          name: name of the target.
+          report: the load of the target.
+          start_id: identifier of the start of the target's node.
+          sequence: increases with each report since that start.
           now: monotonic time (s).
         """
-        seen = self._known(name)
-        if start == seen.start and order <= seen.order:
+        record = self._get_or_create(name)
+        if start_id == record.start_id and sequence <= record.sequence:
             return
-        seen.start = start
-        seen.order = order
-        self._report(seen, report, now)
-
-    def failed_s(self, name: str, work: str, now: float) -> float:
-        """Returns what the failures of a target make it dearer by (s)."""
-        seen = self._seen.get(name)
-        if seen is None or not seen.failures:
+        record.start_id = start_id
+        record.sequence = sequence
+        self._apply_report(record, report, now)
+
+    def failure_penalty_s(self, name: str, route: str, now: float) -> float:
+        """Returns the cost added for recent failures of a target (s)."""
+        record = self._records.get(name)
+        if record is None or not record.failures:
             return 0.0
-        work_s = self.normal_run_s(work)
-        return self._failure_s(seen, work_s, now)
+        run_s = self.normal_run_s(route)
+        return self._decayed_failure_s(record, run_s, now)
 
     def attempt_started(
         self, name: str, now: float, expected_s: float = 0.0
     ) -> None:
-        """Takes that an attempt began at the target `name`.
+        """Records the start of an attempt.
 
         Args:
-          name: the target.
+          name: name of the target.
           now: monotonic time (s).
-          expected_s: its expected answer time (s); 0 for none.
+          expected_s: expected response time (s); 0 if not known.
         """
-        seen = self._known(name)
+        record = self._get_or_create(name)
         if expected_s:
-            seen.expected[now] = now + expected_s
-        seen.since += 1
-        self._note_start(seen, now)
-
-    def _note_start(self, seen: TargetRecord, now: float) -> None:
-        """Counts a start at a cold target against what it said it takes."""
-        left = seen.report.warmup_requests_left if seen.report else None
-        if left is not None and seen.since >= left > 0:
-            seen.cold_until = max(seen.cold_until, seen.heard + COLD_REST_S)
+            record.expected_ends[now] = now + expected_s
+        record.attempts_since_report += 1
+        self._count_warmup_start(record, now)
+
+    def _count_warmup_start(self, record: TargetRecord, now: float) -> None:
+        """Counts a request against the limit of a target in slow start."""
+        requests_left = (
+            record.report.warmup_requests_left if record.report else None
+        )
+        if (
+            requests_left is not None
+            and record.attempts_since_report >= requests_left > 0
+        ):
+            record.warmup_paused_until = max(
+                record.warmup_paused_until,
+                record.report_received + WARMUP_PAUSE_S,
+            )
 
     def attempt_finished(
         self,
@@ -116,81 +126,87 @@
         elapsed_s: float,
         outcome: Outcome | None,
         load: LoadReport | None,
-        work: str = "",
+        route: str = "",
     ) -> None:
-        """Takes the end of an attempt.
+        """Records the end of an attempt.
 
         Args:
-          name: the target.
+          name: name of the target.
           now: monotonic time (s).
-          elapsed_s: since it began (s).
-          outcome: what came of it; `None` if it was cancelled.
-          load: what the target's node told with it, if anything.
-          work: the kind of work.
+          elapsed_s: time since the attempt started (s).
+          outcome: outcome of the attempt; `None` if it was cancelled.
+          load: the load report in the response, if any.
+          route: the route of the request.
         """
-        seen = self._known(name)
-        seen.forget_attempt(now - elapsed_s)
-        seen.since -= 1
+        record = self._get_or_create(name)
+        record.discard_attempt(now - elapsed_s)
+        record.attempts_since_report -= 1
         if load is not None:
-            self._report(seen, load, now)
+            self._apply_report(record, load, now)
         if isinstance(outcome, NotRun):
-            seen.away_until = now + AWAY_S.get(outcome.code, 0.0)
-        if _failed(outcome):
-            seen.failures += 1
-            seen.failed = now
+            record.excluded_until = now + EXCLUSION_S.get(outcome.code, 0.0)
+        if _is_failure(outcome):
+            record.failures += 1
+            record.last_failure = now
             return
         if not isinstance(outcome, Done):
             return
-        seen.failures = 0
+        record.failures = 0
         if load is not None and load.normal_run_ms:
-            self._learn(seen, work, load.normal_run_ms / 1000)
-
-    def _known(self, name: str) -> TargetRecord:
-        seen = self._seen.get(name)
-        if seen is None:
-            seen = self._seen[name] = TargetRecord()
-        return seen
-
-    def _learn(self, seen: TargetRecord, work: str, done_s: float) -> None:
-        """Takes the work of one answer into the usual and the target's own."""
-        usual_s = self._work_s.get(work)
-        if usual_s is None:
-            self._work_s[work] = done_s
+            self._record_run_time(record, route, load.normal_run_ms / 1000)
+
+    def _get_or_create(self, name: str) -> TargetRecord:
+        record = self._records.get(name)
+        if record is None:
+            record = self._records[name] = TargetRecord()
+        return record
+
+    def _record_run_time(
+        self, record: TargetRecord, route: str, sample_s: float
+    ) -> None:
+        """Updates the run time of a route and the slowness of a target."""
+        normal_s = self._run_s.get(route)
+        if normal_s is None:
+            self._run_s[route] = sample_s
             return
-        ratio = min(MOST_RATIO, done_s / max(1e-4, usual_s))
-        seen.slowness += self._weights.slowness * (ratio - seen.slowness)
-        seen.slowness = max(LEAST_SLOWNESS, seen.slowness)
-        self._work_s[work] = usual_s * (1 + WORK_WEIGHT * (ratio - 1))
-        if len(self._work_s) > MOST_WORKS:
-            del self._work_s[next(iter(self._work_s))]
-
-    def _report(
-        self, seen: TargetRecord, report: LoadReport, now: float
+        ratio = min(MAX_RUN_TIME_RATIO, sample_s / max(1e-4, normal_s))
+        record.slowness += self._weights.slowness_weight * (
+            ratio - record.slowness
+        )
+        record.slowness = max(MIN_SLOWNESS, record.slowness)
+        self._run_s[route] = normal_s * (1 + RUN_TIME_WEIGHT * (ratio - 1))
+        if len(self._run_s) > MAX_ROUTES:
+            del self._run_s[next(iter(self._run_s))]
+
+    def _apply_report(
+        self, record: TargetRecord, report: LoadReport, now: float
     ) -> None:
-        if seen.report is not None:
-            for_s = min(SILENT_S, now - seen.heard)
-            before = seen.report
-            self.pace.observe(before.pace / max(0.01, before.base_pace), for_s)
+        if record.report is not None:
+            duration_s = min(REPORT_TIMEOUT_S, now - record.report_received)
+            before = record.report
+            self.pace.observe(
+                before.pace / max(0.01, before.base_pace), duration_s
+            )
         if report.pace_interval_ms:
             self.pace.interval_s = report.pace_interval_ms / 1000
-        seen.report = report
-        seen.heard = now
-        seen.since = 0
-        seen.cold_until = (
-            now + COLD_REST_S if report.is_warmup_exhausted else -math.inf
+        record.report = report
+        record.report_received = now
+        record.attempts_since_report = 0
+        record.warmup_paused_until = (
+            now + WARMUP_PAUSE_S if report.is_warmup_exhausted else -math.inf
         )
 
-    def _failure_s(
-        self, seen: TargetRecord, work_s: float, now: float
+    def _decayed_failure_s(
+        self, record: TargetRecord, run_s: float, now: float
     ) -> float:
-        fade = math.exp((seen.failed - now) / FAILURE_FADE_S)
-        doubled: float = 2.0 ** min(seen.failures - 1, MAX_DOUBLINGS)
-        least_s = max(work_s, LEAST_FAILED_S)
-        return self._weights.failure_factor * doubled * least_s * fade
+        decay = math.exp((record.last_failure - now) / FAILURE_DECAY_S)
+        multiple: float = 2.0 ** min(record.failures - 1, MAX_DOUBLINGS)
+        min_run_s = max(run_s, MIN_FAILURE_RUN_S)
+        return self._weights.failure_factor * multiple * min_run_s * decay
 
 
-def _failed(outcome: Outcome | None) -> bool:
-    """Returns whether an attempt tells of a target that does not do well."""
+def _is_failure(outcome: Outcome | None) -> bool:
+    """Returns whether the outcome counts as a failure of the target."""
     if outcome is None:
         return False
     if isinstance(outcome, NotRun):
--- a/src/radishwind/routing/tests/test_fresh_load_chooser.py
+++ b/src/radishwind/routing/tests/test_fresh_load_chooser.py
@@ -1,4 +1,4 @@
-"""Targets are chosen by fresh reports, and attempts are forecast by them."""
+"""Choices and forecasts by recent load reports."""
 
 import math
 import random
@@ -23,11 +23,11 @@
     return Member(name, "s", domain, Address("10.0.0.1", 80))
 
 
-def report(pace=1.0, busy=0, slots=6, **fields):
-    return LoadReport(slots, busy, 0, 90.0, pace=pace, **fields)
+def report(pace=1.0, in_flight=0, slots=6, **fields):
+    return LoadReport(slots, in_flight, 0, 90.0, pace=pace, **fields)
 
 
-class Setup:
+class ChooserFixture:
     def __init__(self, **options):
         self.chooser = FreshLoadChooser(
             random.Random(3),
@@ -36,83 +36,83 @@
             own_load=lambda: report(),
             **options,
         )
-        self.order = 0
+        self.sequence = 0
 
-    def tell(self, name, said, now=0.0, start=1):
-        self.order += 1
-        self.chooser.receive_report(name, said, start, self.order, now)
+    def send_report(self, name, load, now=0.0, start_id=1):
+        self.sequence += 1
+        self.chooser.receive_report(name, load, start_id, self.sequence, now)
 
     def choose(self, *members, now=0.0, exclude=frozenset()):
         chosen = self.chooser.choose(members, now, exclude, "r")
         return chosen and chosen.name
 
-    def learn(self, name, work_s, now=0.0):
+    def learn(self, name, run_s, now=0.0):
         self.chooser.attempt_started(name, now)
         self.chooser.attempt_finished(
-            name, now, 0.0, OK, report(normal_run_ms=work_s * 1000), "r"
+            name, now, 0.0, OK, report(normal_run_ms=run_s * 1000), "r"
         )
 
 
 @pytest.fixture
 def setup():
-    return Setup()
+    return ChooserFixture()
 
 
-def test_the_instance_at_the_usual_pace_is_chosen(setup):
-    setup.tell("slow", report(5.0))
-    setup.tell("fast", report(1.0))
+def test_instance_at_the_normal_pace_is_chosen(setup):
+    setup.send_report("slow", report(5.0))
+    setup.send_report("fast", report(1.0))
 
     assert setup.choose(member("slow"), member("fast")) == "fast"
 
 
-def test_a_free_slot_goes_before_a_queue(setup):
-    setup.tell("full", report(busy=6))
-    setup.tell("free", report(busy=2))
+def test_free_slot_is_preferred_to_a_queue(setup):
+    setup.send_report("full", report(in_flight=6))
+    setup.send_report("free", report(in_flight=2))
 
     assert setup.choose(member("full"), member("free")) == "free"
 
 
-def test_near_goes_before_far_where_they_do_alike(setup):
-    setup.tell("near", report())
-    setup.tell("far", report())
+def test_local_target_is_preferred_at_equal_load(setup):
+    setup.send_report("near", report())
+    setup.send_report("far", report())
 
     assert setup.choose(member("far", "b"), member("near")) == "near"
 
 
-def test_far_goes_before_late(setup):
+def test_remote_target_is_preferred_to_a_slow_local_one(setup):
     setup.learn("near", 0.09)
-    setup.tell("near", report(5.0))
-    setup.tell("far", report(1.0))
+    setup.send_report("near", report(5.0))
+    setup.send_report("far", report(1.0))
 
     assert setup.choose(member("far", "b"), member("near")) == "far"
 
 
-def test_own_attempts_count_before_the_next_report(setup):
-    setup.tell("x", report(busy=3))
-    setup.tell("y", report(busy=4))
+def test_own_attempts_count_until_the_next_report(setup):
+    setup.send_report("x", report(in_flight=3))
+    setup.send_report("y", report(in_flight=4))
     for _ in range(4):
         setup.chooser.attempt_started("x", 0.0)
 
     assert setup.choose(member("x"), member("y")) == "y"
 
 
-def test_a_late_report_is_not_taken(setup):
-    setup.tell("x", report(1.0))
+def test_reordered_report_is_rejected(setup):
+    setup.send_report("x", report(1.0))
     setup.chooser.receive_report("x", report(5.0), 1, 0, 0.0)
 
     assert setup.chooser.describe_cost(member("x"), 0.0, "r").count("pace=1 ")
 
 
-def test_a_report_of_a_node_that_began_anew_is_taken(setup):
-    setup.tell("x", report(1.0))
+def test_report_of_a_restarted_node_is_accepted(setup):
+    setup.send_report("x", report(1.0))
     setup.chooser.receive_report("x", report(5.0), 2, 0, 0.0)
 
     assert setup.chooser.describe_cost(member("x"), 0.0, "r").count("pace=5 ")
 
 
-def test_one_that_takes_no_work_is_passed_over(setup):
-    setup.tell("x", report())
-    setup.tell("y", report(5.0))
+def test_target_that_refuses_requests_is_excluded(setup):
+    setup.send_report("x", report())
+    setup.send_report("y", report(5.0))
     refused = NotRun(ResultCode.LEAVING, "x")
     setup.chooser.attempt_started("x", 0.0)
     setup.chooser.attempt_finished("x", 0.0, 0.0, refused, None, "r")
@@ -121,21 +121,21 @@
     assert math.isinf(setup.chooser.cost_s(member("x"), 0.1, "r"))
 
 
-def test_failures_make_a_target_dear_and_fade(setup):
-    setup.tell("x", report())
+def test_failures_raise_the_cost_and_decay(setup):
+    setup.send_report("x", report())
     before = setup.chooser.cost_s(member("x"), 0.0, "r")
-    broken = Unknown(ResultCode.EXCHANGE_BROKEN, "x")
+    failure = Unknown(ResultCode.EXCHANGE_BROKEN, "x")
     setup.chooser.attempt_started("x", 0.0)
-    setup.chooser.attempt_finished("x", 0.0, 0.0, broken, None, "r")
+    setup.chooser.attempt_finished("x", 0.0, 0.0, failure, None, "r")
 
     assert setup.chooser.cost_s(member("x"), 0.0, "r") > 2 * before
-    setup.tell("x", report(), 20.0)
+    setup.send_report("x", report(), 20.0)
     assert setup.chooser.cost_s(member("x"), 20.0, "r") < 1.1 * before
 
 
-def test_failures_make_no_answer_later_than_it_would_be(setup):
-    """Servers whose runs fail for want of a call are free all the same."""
-    setup.tell("x", report())
+def test_failures_do_not_change_the_expected_response_time(setup):
+    """A server may have free slots though runs fail in a nested call."""
+    setup.send_report("x", report())
     before_s = setup.chooser.expected_s(member("x"), 0.0, "r")
     for _ in range(3):
         setup.chooser.attempt_started("x", 0.0)
@@ -146,24 +146,28 @@
     assert setup.chooser.cost_s(member("x"), 0.0, "r") > 2 * before_s
 
 
-def test_a_silent_node_counts_as_far_worse(setup):
-    setup.tell("silent", report(), 0.0)
-    setup.tell("heard", report(), 3.0)
+def test_overdue_report_raises_the_cost(setup):
+    setup.send_report("overdue", report(), 0.0)
+    setup.send_report("recent", report(), 3.0)
 
-    assert setup.choose(member("silent"), member("heard"), now=3.0) == "heard"
+    assert (
+        setup.choose(member("overdue"), member("recent"), now=3.0) == "recent"
+    )
 
 
-def test_silence_of_one_that_does_not_tell_means_unknown():
-    """A far target that tells only who sends it work is not cut off."""
-    setup = Setup(reports_unsolicited=lambda m: m.failure_domain == "a")
-    setup.tell("far", report(), now=0.0)
-    setup.tell("near", report(busy=60), now=9.9)
+def test_overdue_report_of_a_selective_reporter_means_unknown_load():
+    """A remote target that reports only to senders isn't unreachable."""
+    setup = ChooserFixture(
+        reports_unsolicited=lambda m: m.failure_domain == "a"
+    )
+    setup.send_report("far", report(), now=0.0)
+    setup.send_report("near", report(in_flight=60), now=9.9)
 
     assert setup.choose(member("near"), member("far", "b"), now=10.0) == "far"
 
 
-def test_one_unheard_that_takes_no_work_is_passed_over():
-    setup = Setup(reports_unsolicited=lambda m: False)
+def test_refusing_target_without_reports_is_excluded():
+    setup = ChooserFixture(reports_unsolicited=lambda m: False)
     refused = NotRun(ResultCode.NO_TARGET, "none")
     setup.chooser.attempt_started("away", 0.0)
     setup.chooser.attempt_finished("away", 0.0, 0.0, refused, None, "r")
@@ -171,90 +175,94 @@
     assert setup.choose(member("away"), member("other", "b")) == "other"
 
 
-def test_own_attempts_at_one_unheard_count():
-    setup = Setup(reports_unsolicited=lambda m: False)
+def test_own_attempts_count_at_a_target_without_reports():
+    setup = ChooserFixture(reports_unsolicited=lambda m: False)
     for _ in range(3):
         setup.chooser.attempt_started("busy", 0.0)
 
     assert setup.choose(member("busy"), member("free")) == "free"
 
 
-def test_where_all_are_away_one_is_tried(setup):
-    setup.tell("x", report(leaving=True))
+def test_one_target_is_tried_if_all_are_excluded(setup):
+    setup.send_report("x", report(leaving=True))
 
     assert setup.choose(member("x")) == "x"
     assert setup.choose(member("x"), exclude=frozenset({"x"})) is None
 
 
-def test_the_wait_for_the_next_pace_is_forecast(setup):
+def test_cost_includes_the_wait_for_the_next_pace_change(setup):
     setup.learn("x", 0.09)
-    told = {"pace_interval_ms": 150.0, "pace_interval_left_ms": 20.0}
-    setup.tell("x", report(5.0, **told))
+    fields = {"pace_interval_ms": 150.0, "pace_interval_left_ms": 20.0}
+    setup.send_report("x", report(5.0, **fields))
     soon = setup.chooser.cost_s(member("x"), 0.0, "r")
-    setup.tell("x", report(5.0, **{**told, "pace_interval_left_ms": 140.0}))
+    setup.send_report(
+        "x", report(5.0, **{**fields, "pace_interval_left_ms": 140.0})
+    )
     later = setup.chooser.cost_s(member("x"), 0.0, "r")
 
     assert soon + 0.1 < later < 0.09 * 5
 
 
-def test_a_running_attempt_is_forecast_and_then_given_up(setup):
+def test_remaining_time_is_forecast_until_it_is_unknown(setup):
     setup.learn("x", 0.09)
-    setup.tell("x", report())
+    setup.send_report("x", report())
     expected_s = setup.chooser.expected_s(member("x"), 0.0, "r")
     setup.chooser.attempt_started("x", 0.0, expected_s)
 
-    def left(now):
+    def remaining_s(now):
         return setup.chooser.remaining_s("x", "r", 0.0, now)
 
-    assert left(0.02) == pytest.approx(expected_s - 0.02)
-    assert left(0.25) > 0.1
-    assert math.isinf(left(2.0))
+    assert remaining_s(0.02) == pytest.approx(expected_s - 0.02)
+    assert remaining_s(0.25) > 0.1
+    assert math.isinf(remaining_s(2.0))
 
 
-def test_the_habit_is_the_share_of_time_and_not_of_reports():
-    habit = PaceStatistics()
+def test_slow_share_is_of_time_and_not_of_reports():
+    statistics = PaceStatistics()
     for _ in range(4000):
-        habit.observe(1.0, 0.09)
-        habit.observe(5.0, 0.01)
+        statistics.observe(1.0, 0.09)
+        statistics.observe(5.0, 0.01)
 
-    assert habit.slow_share == pytest.approx(0.1, abs=0.02)
-    assert habit.slow_pace == pytest.approx(5.0, abs=0.2)
+    assert statistics.slow_share == pytest.approx(0.1, abs=0.02)
+    assert statistics.slow_pace == pytest.approx(5.0, abs=0.2)
 
 
-def test_a_cold_server_whose_pace_tells_it_is_not_counted_twice(setup):
+def test_slow_start_reflected_in_the_pace_is_not_counted_twice(setup):
     setup.learn("warm", 0.1)
-    cold = report(pace=2.0, base_pace=2.0, warm_fraction=0.5)
-    setup.tell("tells", cold)
-    setup.tell("untold", report(pace=1.0, base_pace=1.0, warm_fraction=0.5))
-    setup.tell("warm", report())
+    cold_load = report(pace=2.0, base_pace=2.0, warm_fraction=0.5)
+    setup.send_report("slow_pace", cold_load)
+    setup.send_report(
+        "normal_pace", report(pace=1.0, base_pace=1.0, warm_fraction=0.5)
+    )
+    setup.send_report("warm", report())
 
     cost_s = {
         name: setup.chooser.cost_s(member(name), 0.0, "r")
-        for name in ("warm", "tells", "untold")
+        for name in ("warm", "slow_pace", "normal_pace")
     }
 
-    assert cost_s["tells"] == pytest.approx(cost_s["untold"], rel=0.2)
-    assert cost_s["tells"] < 2.5 * cost_s["warm"]
+    assert cost_s["slow_pace"] == pytest.approx(cost_s["normal_pace"], rel=0.2)
+    assert cost_s["slow_pace"] < 2.5 * cost_s["warm"]
 
 
-def test_a_cold_target_that_takes_no_more_is_passed_over(setup):
-    setup.tell("x", report(warmup_requests_left=0))
-    setup.tell("y", report(busy=6))
+def test_target_with_exhausted_warmup_is_excluded(setup):
+    setup.send_report("x", report(warmup_requests_left=0))
+    setup.send_report("y", report(in_flight=6))
 
     assert setup.choose(member("x"), member("y")) == "y"
     assert setup.choose(member("x"), member("y"), now=0.2) == "x"
 
 
-def test_where_all_are_cold_and_take_no_more_there_is_none_to_ask(setup):
+def test_none_is_chosen_if_warmup_of_all_is_exhausted(setup):
     for name in "xy":
-        setup.tell(name, report(warmup_requests_left=0))
+        setup.send_report(name, report(warmup_requests_left=0))
 
     assert setup.choose(member("x"), member("y")) is None
     assert setup.choose(member("x"), member("y"), now=0.2) is not None
 
 
-def test_own_starts_count_against_what_a_cold_target_takes(setup):
-    setup.tell("x", report(warmup_requests_left=2))
+def test_own_attempts_count_against_the_warmup_limit(setup):
+    setup.send_report("x", report(warmup_requests_left=2))
     for _ in range(2):
         assert setup.choose(member("x")) == "x"
         setup.chooser.attempt_started("x", 0.0)
@@ -262,8 +270,8 @@
     assert setup.choose(member("x")) is None
 
 
-def test_one_that_leaves_is_still_asked_where_nobody_else_is_left(setup):
-    setup.tell("x", report(warmup_requests_left=0))
-    setup.tell("y", report(leaving=True))
+def test_leaving_target_is_tried_if_no_other_is_eligible(setup):
+    setup.send_report("x", report(warmup_requests_left=0))
+    setup.send_report("y", report(leaving=True))
 
     assert setup.choose(member("x"), member("y")) == "y"
--- a/src/radishwind/sidecar/link_side.py
+++ b/src/radishwind/sidecar/link_side.py
@@ -49,7 +49,7 @@
         return LinkPathCosts(
             own_domain=self._own_domain,
             sizes=self.sizes,
-            trips=self.trips,
+            round_trips=self.trips,
             own_free_kbps=self.meter.free_kbps,
             aim_s=lambda route: self._aims.get(route, 0.0),
             cross_domain_s=cross_domain_s,
--- a/src/radishwind/sidecar/options.py
+++ b/src/radishwind/sidecar/options.py
@@ -116,5 +116,5 @@
     return CostWeights(
         cross_domain_s=usual.cross_domain_s if switches.crossing else 0.0,
         failure_factor=usual.failure_factor if switches.failures else 0.0,
-        slowness=usual.slowness if switches.slowness else 0.0,
+        slowness_weight=usual.slowness_weight if switches.slowness else 0.0,
     )
