--- a/src/radishwind/entry/call_executor.py
+++ b/src/radishwind/entry/call_executor.py
@@ -72,7 +72,7 @@
 
     async def run(self, call: Call) -> Outcome:
         """Returns the final outcome of `call`."""
-        history = _History(call)
+        history = _AttemptHistory(call)
         self.counts.calls += 1
         now = self._clock.monotonic()
         self._retries.record_first_attempt(call, now)
@@ -100,7 +100,7 @@
             ):
                 return last
 
-    def _choose(self, history: "_History") -> Member | None:
+    def _choose(self, history: "_AttemptHistory") -> Member | None:
         """Returns a target that the call has not tried, if there is one."""
         members = self._placement.candidates(history.call)
         now = self._clock.monotonic()
@@ -113,14 +113,17 @@
         )
 
     async def _attempt_or_race(
-        self, history: "_History", member: Member, hedge_delay_s: float | None
+        self,
+        history: "_AttemptHistory",
+        member: Member,
+        hedge_delay_s: float | None,
     ) -> Outcome:
         if hedge_delay_s is None:
             return await self._attempt(history, member)
         return await self._race(history, member, hedge_delay_s)
 
     async def _race(
-        self, history: "_History", member: Member, delay_s: float
+        self, history: "_AttemptHistory", member: Member, delay_s: float
     ) -> Outcome:
         """Runs an attempt and, if it is slow, a hedge; the first response wins.
 
@@ -131,7 +134,7 @@
         return await race.run_first(lambda: self._attempt(history, member))
 
     def _schedule_hedge(
-        self, history: "_History", race: Race, delay_s: float
+        self, history: "_AttemptHistory", race: Race, delay_s: float
     ) -> None:
         due = self._clock.monotonic() + delay_s
         self._timer.add(
@@ -139,7 +142,7 @@
         )
 
     async def _start_hedge(
-        self, history: "_History", race: Race, delay_s: float
+        self, history: "_AttemptHistory", race: Race, delay_s: float
     ) -> None:
         """Starts a hedge, or postpones it as the policy decides."""
         now = self._clock.monotonic()
@@ -167,12 +170,14 @@
         self.counts.hedges += 1
         await race.run_hedge(lambda: self._attempt(history, member))
 
-    async def _attempt(self, history: "_History", member: Member) -> Outcome:
+    async def _attempt(
+        self, history: "_AttemptHistory", member: Member
+    ) -> Outcome:
         call = history.call
         self.counts.attempts += 1
         began = self._clock.monotonic()
         attempt_id = history.start_attempt(member.name, began)
-        inputs = self._chooser.describe_cost(member, began, call.route)
+        cost = self._chooser.describe_cost(member, began, call.route)
         expected_s = self._chooser.expected_s(member, began, call.route)
         self._chooser.attempt_started(member.name, began, expected_s)
         outcome, load = None, None
@@ -189,12 +194,12 @@
             )
             self._hedges.finished(call, now, elapsed_s, outcome, load)
             history.end_attempt(outcome)
-            step = _step(member.name, inputs, elapsed_s, outcome)
+            step = _step(member.name, cost, elapsed_s, outcome)
             call.steps.append(step)
         return outcome
 
 
-class _History:
+class _AttemptHistory:
     """The attempts of one call so far.
 
     Attributes:
@@ -229,13 +234,13 @@
 
 
 def _step(
-    target: str, inputs: str, elapsed_s: float, outcome: Outcome | None
+    target: str, cost: str, elapsed_s: float, outcome: Outcome | None
 ) -> str:
-    """Returns the log text of an attempt: target, reason, time and result."""
+    """Returns the log text of an attempt: target, cost, time and result."""
     if outcome is None:
         end = "cancelled"
     elif isinstance(outcome, Done):
         end = str(outcome.response.status)
     else:
         end = f"RW-{int(outcome.code)}"
-    return f"{target} ({inputs}) {elapsed_s * 1000:.0f}ms {end}"
+    return f"{target} ({cost}) {elapsed_s * 1000:.0f}ms {end}"
--- a/src/radishwind/entry/nested_routes.py
+++ b/src/radishwind/entry/nested_routes.py
@@ -1,7 +1,7 @@
 """Distinguishes routes that backend servers call from those of callers.
 
 A backend server that processes a request may send further requests, here called
-nested calls, to the node beside it. They arrive like any request, and no field
+nested calls, through its node. They arrive like any request, and no field
 marks them. If one is refused, the request that waits for it fails, and the slot
 that it holds is wasted. Therefore they are detected by their arrival times:
 requests of external callers arrive independently of what the local server does,
@@ -83,7 +83,7 @@
         self._retries -= is_retry
 
     def just_ended(self, now: float) -> bool:
-        """Returns whether the last start or end of a run was just before."""
+        """Returns whether a run has just ended, if none is running now."""
         return now - self._changed_at < _AFTERMATH_S
 
     def mean(self, now: float) -> float:
@@ -109,7 +109,7 @@
         self._on_change = on_change
         self._evidence: dict[str, float] = {}
         # By route, when the last request arrived (monotonic s).
-        self._seen: dict[str, float] = {}
+        self._last_arrival: dict[str, float] = {}
         self._external: set[str] = set()
 
     def observe(self, route: str, now: float) -> bool:
@@ -124,14 +124,14 @@
         if self._runs.running:
             # Requests in quick succession are compared with nearly the same
             # mean, so that they are not independent evidence.
-            since_s = now - self._seen.get(route, -math.inf)
+            since_s = now - self._last_arrival.get(route, -math.inf)
             step *= min(1.0, since_s / _INDEPENDENCE_S)
-        self._seen[route] = now
+        self._last_arrival[route] = now
         after = max(-_MAX_EVIDENCE, min(_MAX_EVIDENCE, before + step))
         self._evidence[route] = after
         if len(self._evidence) > MAX_ROUTES:
             oldest = next(iter(self._evidence))
-            del self._evidence[oldest], self._seen[oldest]
+            del self._evidence[oldest], self._last_arrival[oldest]
             self._external.discard(oldest)
         if after <= -DECISION_EVIDENCE:
             self._external.add(route)
@@ -145,8 +145,8 @@
     def is_external(self, route: str) -> bool:
         """Returns whether `route` is known to be used by external callers.
 
-        A new route is known neither as external nor as nested, and so is any
-        route beside a server that was always busy.
+        A new route is known neither as external nor as nested. The same holds
+        for every route if the local server was always busy.
         """
         return route in self._external
 
--- a/src/radishwind/entry/race.py
+++ b/src/radishwind/entry/race.py
@@ -34,7 +34,7 @@
         try:
             with self._first:
                 self._record(await attempt())
-            if self._hedge_ended is not None and not self._won():
+            if self._hedge_ended is not None and not self._has_response():
                 await self._hedge_ended.wait()
         finally:
             self.closed = True
@@ -52,16 +52,16 @@
         try:
             with self._hedge:
                 self._record(await attempt())
-                if self._won():
+                if self._has_response():
                     self._first.cancel()
         finally:
             self._hedge_ended.set()
 
-    def _won(self) -> bool:
+    def _has_response(self) -> bool:
         return isinstance(self._kept, Done)
 
     def _record(self, outcome: Outcome) -> None:
-        if self.closed or self._won():
+        if self.closed or self._has_response():
             if isinstance(outcome, Done):
                 abort_body(outcome.response.body)
             return
--- a/src/radishwind/entry/request_log.py
+++ b/src/radishwind/entry/request_log.py
@@ -14,7 +14,8 @@
 from radishwind.outcomes import Outcome
 from radishwind.telemetry.logs import PartLogger
 
-#: Maximum rate of lines for requests that are not ordinary (1/s).
+#: Maximum rate of lines for requests that are not ordinary (1/s); it bounds the
+#: cost of logging in an overload.
 MAX_LINES_PER_S = 50.0
 
 #: One of this many ordinary requests is logged.
--- a/src/radishwind/entry/tests/test_call_executor.py
+++ b/src/radishwind/entry/tests/test_call_executor.py
@@ -87,7 +87,7 @@
 class ImmediateHedging(HedgePolicy):
     def __init__(self, tokens=1):
         self.tokens = tokens
-        self.ended = []
+        self.outcomes = []
 
     def delay_s(self, call, now):
         return 0.0 if call.idempotent else None
@@ -97,10 +97,10 @@
         return self.tokens >= 0
 
     def finished(self, call, now, elapsed_s, outcome, load):
-        self.ended.append(outcome)
+        self.outcomes.append(outcome)
 
 
-class Entry:
+class EntryHarness:
     def __init__(self, *script, targets=3, hedges=None):
         self.runner = ScriptedRunner(*script)
         self.chooser = RoundRobinChooser(random.Random(1))
@@ -139,7 +139,7 @@
 
 
 async def test_refused_attempts_are_retried_at_other_targets():
-    entry = Entry(REFUSED, REFUSED, done())
+    entry = EntryHarness(REFUSED, REFUSED, done())
 
     response = await entry.send("POST")
 
@@ -149,7 +149,7 @@
 
 
 async def test_unknown_outcome_is_final_for_a_request_that_is_not_idempotent():
-    entry = Entry(BROKEN, done())
+    entry = EntryHarness(BROKEN, done())
 
     response = await entry.send("POST")
 
@@ -158,13 +158,13 @@
 
 
 async def test_unknown_outcome_is_retried_for_an_idempotent_request():
-    entry = Entry(BROKEN, done())
+    entry = EntryHarness(BROKEN, done())
 
     assert (await entry.send()).status == 200
 
 
 async def test_streamed_body_is_sent_once():
-    entry = Entry(REFUSED, done())
+    entry = EntryHarness(REFUSED, done())
 
     response = await entry.send("GET", Stream())
 
@@ -173,7 +173,7 @@
 
 
 async def test_refusal_after_the_last_attempt_states_a_retry_time():
-    entry = Entry(REFUSED, targets=1)
+    entry = EntryHarness(REFUSED, targets=1)
 
     response = await entry.send("POST")
 
@@ -182,7 +182,7 @@
 
 
 async def test_call_without_a_target_is_not_run():
-    response = await Entry(targets=0).send()
+    response = await EntryHarness(targets=0).send()
 
     assert header(response.headers, "radishwind-code") == "3001"
 
@@ -190,7 +190,7 @@
 async def test_malformed_field_is_answered_with_its_result_code():
     request = Request("GET", "/tags/1", (("Radishwind-Depth", "x"),))
 
-    response = await Entry().pipeline.handle(request)
+    response = await EntryHarness().pipeline.handle(request)
 
     assert response.status == 400
     assert header(response.headers, "radishwind-code") == "2001"
@@ -198,7 +198,7 @@
 
 async def test_slow_attempt_is_cancelled_if_the_hedge_responds_first():
     hedges = ImmediateHedging()
-    entry = Entry(anyio.Event(), done(b"hedge"), hedges=hedges)
+    entry = EntryHarness(anyio.Event(), done(b"hedge"), hedges=hedges)
 
     response = await entry.send()
 
@@ -206,13 +206,15 @@
     first, second = entry.targets()
     assert first != second
     assert entry.runner.cancelled == [first]
-    assert hedges.ended[0].response is response
-    assert hedges.ended[1] is None
+    assert hedges.outcomes[0].response is response
+    assert hedges.outcomes[1] is None
     assert not entry.chooser._in_flight
 
 
 async def test_hedge_is_cancelled_if_the_first_attempt_responds_first():
-    entry = Entry(anyio.Event(), anyio.Event(), hedges=ImmediateHedging())
+    entry = EntryHarness(
+        anyio.Event(), anyio.Event(), hedges=ImmediateHedging()
+    )
     responses = []
 
     async def send():
@@ -232,7 +234,7 @@
 async def test_one_of_two_simultaneous_responses_is_aborted():
     first, second = Stream(), Stream()
     gate = anyio.Event()
-    entry = Entry(gate, gate, hedges=ImmediateHedging())
+    entry = EntryHarness(gate, gate, hedges=ImmediateHedging())
     responses = []
 
     async def send():
@@ -254,7 +256,7 @@
 
 
 async def test_first_attempt_continues_after_a_failed_hedge():
-    entry = Entry(anyio.Event(), REFUSED, hedges=ImmediateHedging())
+    entry = EntryHarness(anyio.Event(), REFUSED, hedges=ImmediateHedging())
     responses = []
 
     async def send():
@@ -274,7 +276,7 @@
 
 
 async def test_first_attempt_refused_before_the_hedge_is_retried():
-    entry = Entry(REFUSED, done(), hedges=ImmediateHedging(tokens=0))
+    entry = EntryHarness(REFUSED, done(), hedges=ImmediateHedging(tokens=0))
 
     assert (await entry.send()).status == 200
     assert len(set(entry.targets())) == 2
@@ -282,7 +284,7 @@
 
 async def test_no_hedge_for_a_request_that_is_not_idempotent():
     hedges = ImmediateHedging()
-    entry = Entry(done(), hedges=hedges)
+    entry = EntryHarness(done(), hedges=hedges)
 
     await entry.send("POST")
 
@@ -292,7 +294,7 @@
 async def test_no_hedge_at_the_only_target():
     hedges = ImmediateHedging()
     gate = anyio.Event()
-    entry = Entry(gate, targets=1, hedges=hedges)
+    entry = EntryHarness(gate, targets=1, hedges=hedges)
     responses = []
 
     async def send():
@@ -310,7 +312,7 @@
 
 
 async def test_refusal_after_an_unknown_outcome_does_not_report_not_run():
-    entry = Entry(BROKEN, REFUSED, targets=2)
+    entry = EntryHarness(BROKEN, REFUSED, targets=2)
 
     response = await entry.send()
 
--- a/src/radishwind/entry/tests/test_key_authenticator.py
+++ b/src/radishwind/entry/tests/test_key_authenticator.py
@@ -82,16 +82,16 @@
 
 class Quotas(QuotaGate):
     def __init__(self):
-        self.left = {"a": 1, "b": 1}
+        self.remaining = {"a": 1, "b": 1}
 
     def admit(self, account, now):
-        if not self.left[account]:
+        if not self.remaining[account]:
             return 0.25
-        self.left[account] -= 1
+        self.remaining[account] -= 1
         return None
 
     def refund(self, account, taken_at, now):
-        self.left[account] += 1
+        self.remaining[account] += 1
 
     def describe(self, account):
         return f"far (lends quota={account})"
@@ -359,13 +359,13 @@
 
     await node.send(key("key-of-a"))
 
-    assert node.quotas.left["a"] == left
+    assert node.quotas.remaining["a"] == left
 
 
 @pytest.mark.anyio
 async def test_refusal_over_quota_logs_the_lender_and_reaches_no_server():
     node = Node()
-    node.quotas.left["a"] = 0
+    node.quotas.remaining["a"] = 0
 
     answer = await node.send(key("key-of-a"))
 
--- a/src/radishwind/entry/tests/test_nested_routes.py
+++ b/src/radishwind/entry/tests/test_nested_routes.py
@@ -11,7 +11,7 @@
 RUN_S = 0.2
 
 
-class Server:
+class SimulatedServer:
     """Runs external requests at random times; each sends one nested call."""
 
     def __init__(self, seed=1):
@@ -43,20 +43,20 @@
         busy = []
         while at < until:
             at += self.rng.expovariate(rate(at) if rate else per_s)
-            events.append((at, "came", "read"))
+            events.append((at, "arrival", "read"))
             busy = [end for end in busy if end > at]
             if len(busy) == slots:
                 continue
-            events.append((at, "began", ""))
-            events.append((at + RUN_S, "ended", ""))
-            events.append((at + RUN_S * self.rng.random(), "came", calls))
+            events.append((at, "start", ""))
+            events.append((at + RUN_S, "end", ""))
+            events.append((at + RUN_S * self.rng.random(), "arrival", calls))
             busy.append(at + RUN_S)
         counted = []
         for at, kind, route in sorted(events, key=lambda e: e[0]):
             self.now = at
-            if kind == "began":
+            if kind == "start":
                 self.runs.run_started(at)
-            elif kind == "ended":
+            elif kind == "end":
                 self.runs.run_ended(at)
             else:
                 counted.append((route, self.routes.observe(route, at)))
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize("per_s", [2, 5, 10])
 @pytest.mark.parametrize("seed", range(5))
 def test_nested_calls_are_distinguished_from_external_requests(per_s, seed):
-    server = Server(seed)
+    server = SimulatedServer(seed)
 
     server.simulate(per_s, 100 / per_s)
     counted = server.simulate(per_s, 200 / per_s)
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_waves_of_external_requests_do_not_count_as_nested(seed):
     """In a wave external requests also arrive while the server is busy."""
-    server = Server(seed)
+    server = SimulatedServer(seed)
 
     counted = server.simulate(
         0, 60.0, rate=lambda at: 12.0 if at % 13.0 < 6.5 else 3.0
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_a_rise_of_external_load_does_not_count_as_nested(seed, before, after):
     """After a rise the mean lags behind, and the server remains full."""
-    server = Server(seed)
+    server = SimulatedServer(seed)
     server.simulate(before, 20.0)
     counted = server.simulate(after, 20.0)
 
@@ -104,7 +104,7 @@
 
 def test_nested_calls_just_after_their_run_failed_are_no_evidence():
     """One of two calls is refused at once; the run ends before the other."""
-    server = Server()
+    server = SimulatedServer()
     server.simulate(5, 40.0)
     server.now += 5.0
     while server.runs.running:
@@ -121,7 +121,7 @@
 
 
 def test_nothing_is_inferred_from_a_server_that_is_always_full():
-    server = Server()
+    server = SimulatedServer()
     for _ in range(3):
         server.runs.run_started(0.0)
 
@@ -131,7 +131,7 @@
 
 
 def test_a_route_that_external_callers_begin_to_use_stops_being_nested():
-    server = Server()
+    server = SimulatedServer()
     server.simulate(5, 40.0)
     assert ("called", True) in server.changes
 
@@ -144,7 +144,7 @@
 
 
 def test_number_of_routes_remembered_is_bounded():
-    server = Server()
+    server = SimulatedServer()
     for i in range(MAX_ROUTES + 10):
         server.routes.observe(str(i), 0.0)
 
@@ -153,7 +153,7 @@
 
 def test_only_routes_with_clear_evidence_are_external():
     """A route that is neither external nor nested adds to no retry budget."""
-    server = Server()
+    server = SimulatedServer()
     assert not server.routes.is_external("read")
     server.simulate(5, 20.0)
 
--- a/src/radishwind/entry/tests/test_request_log.py
+++ b/src/radishwind/entry/tests/test_request_log.py
@@ -1,4 +1,4 @@
-"""Each unusual result of a request is logged, also without a caller."""
+"""Each unusual result of a request is logged, also after a disconnect."""
 
 import pytest
 from tests.support.calls import make_call
--- a/src/radishwind/hedging/quantile.py
+++ b/src/radishwind/hedging/quantile.py
@@ -78,7 +78,7 @@
             indicated - self.overload_fraction
         )
 
-    def record(self, elapsed_s: float, share: float) -> None:
+    def record_response_time(self, elapsed_s: float, share: float) -> None:
         """Records a response time; `share` of the calls may be hedged."""
         value_us = min(_MAX_US, max(1, int(elapsed_s * 1e6)))
         self._histogram.record_value(value_us)
@@ -139,7 +139,7 @@
         if outcome is not None:
             times.record_overload(_indicates_overload(outcome, load))
         if outcome is None or isinstance(outcome, Done):
-            times.record(elapsed_s, call.rules.hedge_share)
+            times.record_response_time(elapsed_s, call.rules.hedge_share)
 
     def _times(self, service: str) -> _ResponseTimes:
         times = self._services.get(service)
--- a/src/radishwind/retries/policy.py
+++ b/src/radishwind/retries/policy.py
@@ -38,7 +38,7 @@
 
 
 def is_safe_to_retry(call: "Call", outcome: Outcome) -> bool:
-    """Returns whether a retry can't cause more than one run by mistake.
+    """Returns whether a retry cannot cause an unintended second run.
 
     A request that may have run is safe to retry only if it is idempotent. A
     streamed body can't be sent twice.
