--- a/src/radishwind/entry/tests/test_load_shedder.py
+++ b/src/radishwind/entry/tests/test_load_shedder.py
@@ -19,19 +19,19 @@
         self._expected_s = expected_s
         self._usual_s = usual_s
 
-    def choose(self, members, now, exclude=frozenset(), work="", aim=0.0):
+    def choose(self, members, now, exclude=frozenset(), route="", aim=0.0):
         return members[0]
 
     def attempt_started(self, name, now, expected_s=0.0):
         pass
 
-    def attempt_finished(self, name, now, elapsed_s, outcome, load, work=""):
+    def attempt_finished(self, name, now, elapsed_s, outcome, load, route=""):
         pass
 
-    def expected_s(self, member, now, work):
+    def expected_s(self, member, now, route):
         return self._expected_s
 
-    def mean_run_s(self, work):
+    def mean_run_s(self, route):
         return self._usual_s
 
 
--- a/src/radishwind/hedging/forecast.py
+++ b/src/radishwind/hedging/forecast.py
@@ -30,19 +30,19 @@
 
     @abc.abstractmethod
     def remaining_s(
-        self, name: str, work: str, began: float, now: float
+        self, name: str, route: str, started: float, now: float
     ) -> float:
         """Returns the expected remaining time of a running attempt (s).
 
         Args:
           name: the name of its target.
-          work: the route of its call.
-          began: its start (monotonic s).
+          route: the route of its call.
+          started: its start (monotonic s).
           now: monotonic time (s).
         """
 
     @abc.abstractmethod
-    def cost_s(self, member: "Member", now: float, work: str = "") -> float:
+    def cost_s(self, member: "Member", now: float, route: str = "") -> float:
         """Returns the expected time of a new attempt at `member` (s)."""
 
 
--- a/src/radishwind/loads/link_admission.py
+++ b/src/radishwind/loads/link_admission.py
@@ -30,7 +30,7 @@
 
     Attributes:
       expected_bytes: expected responses of the attempts in progress (bytes).
-      refused: number of attempts refused because the link was full.
+      refused_count: number of attempts refused because the link was full.
       sizes: learned response sizes by route.
     """
 
@@ -49,7 +49,7 @@
         self.sizes = sizes
         self.expected_bytes = 0
         self._in_progress = 0
-        self.refused = 0
+        self.refused_count = 0
 
     def admit(self, route: str, load: LoadReport) -> int | NotRun:
         """Admits or refuses an attempt.
@@ -67,7 +67,7 @@
         # Admitted however large if nothing else is queued.
         excess_s = queue_s + self._meter.transmission_s(size) - MAX_QUEUE_S
         if queue_s and excess_s > 0 and not self._is_small(size):
-            self.refused += 1
+            self.refused_count += 1
             self._log.info(
                 "The link is full; attempts with large responses are refused.",
                 route=route,
@@ -77,7 +77,7 @@
             )
             return NotRun(
                 ResultCode.OVERLOADED,
-                "the network link of the target's node is full",
+                "The link of the target's node is full.",
                 round(max(_MIN_RETRY_AFTER_S, excess_s), 3),
             )
         self.expected_bytes += size
--- a/src/radishwind/routing/path_costs.py
+++ b/src/radishwind/routing/path_costs.py
@@ -131,7 +131,7 @@
         """
         self._own_domain = own_domain
         self._sizes = sizes
-        self._trips = round_trips
+        self._round_trips = round_trips
         self._own_free_kbps = own_free_kbps
         self._aim_s = aim_s
         self._cross_domain_s = cross_domain_s
@@ -164,7 +164,7 @@
         if not own_kbps:
             return PathCost(round_trip_s)
         if not is_local:
-            measured_s = self._trips.mean_s(domain, now)
+            measured_s = self._round_trips.mean_s(domain, now)
             round_trip_s = (
                 min_round_trip_s if measured_s is None else measured_s
             )
--- a/src/radishwind/routing/placement.py
+++ b/src/radishwind/routing/placement.py
@@ -33,7 +33,7 @@
         """Returns the outcome for a request without candidates."""
         return NotRun(
             ResultCode.NO_TARGET,
-            f"no target of {call.service} accepts requests now",
+            f"No target of {call.service} accepts requests.",
             NO_TARGET_RETRY_S,
         )
 
@@ -85,7 +85,7 @@
         if self._evacuated() and super().candidates(call):
             return NotRun(
                 ResultCode.DOMAIN_EMPTIED,
-                f"all domains with targets of {call.service} are evacuated",
+                f"All domains with targets of {call.service} are evacuated.",
                 NO_TARGET_RETRY_S,
             )
         return super().refusal(call)
--- a/src/radishwind/sidecar/metrics.py
+++ b/src/radishwind/sidecar/metrics.py
@@ -282,7 +282,7 @@
     metrics.counter(
         "radishwind_link_refusals_total",
         "Attempts of other nodes refused for want of room on the link.",
-        lambda: {"": links.room.refused},
+        lambda: {"": links.room.refused_count},
     )
     metrics.gauge(
         "radishwind_round_trip_seconds",
