--- a/src/radishwind/accounts/__init__.py
+++ b/src/radishwind/accounts/__init__.py
@@ -1,7 +1,7 @@
-"""Client accounts: whose key a request carries, and what its account may.
+"""Client accounts: which account a request belongs to, and its limits.
 
-An account has keys, a rank and a quota. A node knows the accounts of the
-configuration in force; where that holds none, nothing here takes effect.
+An account has keys, a priority and a quota. A node knows the accounts of the
+configuration in force; if that has none, requests need no key.
 """
 
 from radishwind.accounts.account_index import AccountIndex
--- a/src/radishwind/accounts/account_index.py
+++ b/src/radishwind/accounts/account_index.py
@@ -1,4 +1,4 @@
-"""The accounts of one version of the configuration, indexed."""
+"""Index of the accounts of one configuration version."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -7,21 +7,22 @@
 from radishwind.accounts.model import Account
 from radishwind.accounts.model import digest_key
 
-#: A longer key is nobody's (characters), so that no caller has us digest more.
+#: Longer keys are rejected unread, so that callers cannot make a node compute
+#: digests of large inputs.
 MAX_KEY_CHARS = 512
 
 
 class AccountIndex:
-    """Finds accounts by name and by key; a look-up costs one digest."""
+    """Finds accounts by name and by key; a look-up computes one digest."""
 
     def __init__(self, accounts: Iterable[Account] = ()) -> None:
         self._accounts = {account.name: account for account in accounts}
-        self._holders: dict[bytes, Account | None] = {}
+        self._by_digest: dict[bytes, Account | None] = {}
         for account in self._accounts.values():
             for digest in account.key_digests:
-                # A key of two accounts tells nobody's name.
-                held = digest in self._holders
-                self._holders[digest] = None if held else account
+                # A key of several accounts identifies none of them.
+                is_shared = digest in self._by_digest
+                self._by_digest[digest] = None if is_shared else account
 
     @property
     def has_accounts(self) -> bool:
@@ -35,11 +36,11 @@
 
     @property
     def shared_key_count(self) -> int:
-        """How many keys are held by more than one account."""
-        return sum(holder is None for holder in self._holders.values())
+        """Number of keys that belong to more than one account."""
+        return sum(account is None for account in self._by_digest.values())
 
     def find_by_key(self, key: str) -> Account | None:
-        """Returns the account that holds `key`, if exactly one does."""
+        """Returns the account that `key` belongs to, if it is exactly one."""
         if not 0 < len(key) <= MAX_KEY_CHARS:
             return None
-        return self._holders.get(digest_key(key))
+        return self._by_digest.get(digest_key(key))
--- a/src/radishwind/accounts/key_freshness.py
+++ b/src/radishwind/accounts/key_freshness.py
@@ -1,30 +1,32 @@
-"""Whether what a node knows of keys is recent enough to act on."""
+"""Interface that tells whether the known keys are recent enough to be used."""
 
 import abc
 
 
 class KeyFreshness(abc.ABC):
-    """Says whether a key may be taken for one that is still in force."""
+    """Tells whether keys known to this node may be accepted."""
 
     @abc.abstractmethod
     def is_fresh(self, now: float) -> bool:
         """Returns whether requests with a key may run.
 
         Args:
-          now: monotonic time (s), which goes on while the machine stands still.
+          now: monotonic time, which includes suspensions of the machine (s).
         """
 
     def retry_s(self, now: float) -> float | None:
-        """Returns when they may again where they may not (s), if it can tell.
+        """Returns after how long a refused request may be retried (s).
+
+        `None` if that is unknown.
 
         Args:
-          now: as with `stands`.
+          now: monotonic time as for `is_fresh` (s).
         """
         return None
 
 
 class AlwaysFresh(KeyFreshness):
-    """Keys count as long as no newer configuration takes them away."""
+    """Keys are accepted until a newer configuration removes them."""
 
     def is_fresh(self, now: float) -> bool:
         return True
--- a/src/radishwind/accounts/model.py
+++ b/src/radishwind/accounts/model.py
@@ -1,10 +1,10 @@
-"""A client account as a frozen value."""
+"""Client accounts and the digests of their keys."""
 
 import hashlib
 
 import msgspec
 
-#: Length of a digest of a key (bytes).
+#: Length of the digest of a key.
 _DIGEST_BYTES = 16
 
 
@@ -12,13 +12,13 @@
     """A client account of the operator.
 
     Attributes:
-      name: unique; backend servers are told it.
-      key_digests: of its keys, by `digest_key`.
-      priority: its rank, which goes before that of a route; 0 is the highest,
-        `None` leaves the route's.
-      rate_per_s: requests a second that it may make at all nodes together; 0
-        for no limit.
-      burst: requests beyond that rate that it may make at once.
+      name: unique name; it is sent to backend servers.
+      key_digests: digests of its keys, as returned by `digest_key`.
+      priority: priority of its requests, which overrides that of the route; 0
+        is the highest, `None` keeps that of the route.
+      rate_per_s: sustained request rate allowed over all nodes together
+        (requests/s); 0 for no limit.
+      burst: requests allowed at once beyond that rate.
     """
 
     name: str
@@ -29,15 +29,15 @@
 
     @property
     def is_limited(self) -> bool:
-        """Whether it has a quota."""
+        """Whether the account has a quota."""
         return self.rate_per_s > 0
 
 
 def digest_key(key: str) -> bytes:
-    """Returns what stands for `key`, so that the key itself need not be kept.
+    """Returns the digest of `key`, so that the key itself is not stored.
 
-    Two digests are looked up and compared in place of two keys: the time that
-    this takes tells nothing of the keys.
+    Digests are looked up and compared instead of keys, so the timing reveals
+    nothing about the keys.
     """
     data = key.encode("utf-8", "surrogateescape")
     return hashlib.blake2b(data, digest_size=_DIGEST_BYTES).digest()
