--- a/src/radishwind/recency/messages.py
+++ b/src/radishwind/recency/messages.py
@@ -1,4 +1,4 @@
-"""The datagrams by which nodes ask each other for proof."""
+"""Datagrams by which nodes query each other for freshness proofs."""
 
 import math
 from typing import TypeAlias
@@ -8,66 +8,66 @@
 from radishwind.recency.model import FreshnessProof
 
 
-class Question(msgspec.Struct, frozen=True, array_like=True, tag=1, gc=False):
-    """Asks how recent the other's knowledge is.
+class ProofQuery(msgspec.Struct, frozen=True, array_like=True, tag=1, gc=False):
+    """Asks a node for its newest freshness proof.
 
     Attributes:
-      number: names the question, unpredictably.
+      query_id: identifies the query; unpredictable.
     """
 
-    number: int
+    query_id: int
 
 
-class Answer(msgspec.Struct, frozen=True, array_like=True, tag=2, gc=False):
-    """Answers a question.
+class ProofReply(msgspec.Struct, frozen=True, array_like=True, tag=2, gc=False):
+    """Answers a `ProofQuery`.
 
     Attributes:
-      number: of the question.
-      version: the newest that the store told of.
-      age_ms: how long ago (ms, rounded up); below 0 where that isn't known.
+      query_id: identifies the query.
+      version: newest configuration version that the store returned.
+      age_ms: age of the proof (ms, rounded up); negative without a proof.
     """
 
-    number: int
+    query_id: int
     version: int = 0
     age_ms: int = -1
 
-    def proof(self, asked_at: float) -> FreshnessProof | None:
-        """Returns what this proves to who asked at `asked_at`.
+    def to_proof(self, queried_at: float) -> FreshnessProof | None:
+        """Returns what this reply proves to the node that sent the query.
 
-        The answer was given after the question was asked, so its age reaches
-        back from there at least, however long it lay anywhere.
+        The reply was sent after the query. Counted back from the time of the
+        query, its age is thus never too small, however long it was delayed.
 
         Args:
-          asked_at: monotonic time (s).
+          queried_at: when the query was sent (monotonic, s).
         """
         if self.age_ms < 0:
             return None
-        return FreshnessProof(asked_at - self.age_ms / 1000, self.version)
+        return FreshnessProof(queried_at - self.age_ms / 1000, self.version)
 
 
-def answer_to(
-    question: Question, proof: FreshnessProof | None, now: float
-) -> Answer:
-    """Returns the answer of a node that holds `proof` at `now` (s)."""
+def reply_to(
+    query: ProofQuery, proof: FreshnessProof | None, now: float
+) -> ProofReply:
+    """Returns the reply of a node that holds `proof` at time `now` (s)."""
     if proof is None:
-        return Answer(question.number)
+        return ProofReply(query.query_id)
     age_ms = math.ceil(max(0.0, now - proof.as_of) * 1000)
-    return Answer(question.number, proof.version, age_ms)
+    return ProofReply(query.query_id, proof.version, age_ms)
 
 
-RecencyMessage: TypeAlias = Question | Answer
+RecencyMessage: TypeAlias = ProofQuery | ProofReply
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(RecencyMessage)
 
 
 def encode(message: RecencyMessage) -> bytes:
-    """Returns `message` as a datagram."""
+    """Returns `message` encoded as a datagram."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes) -> RecencyMessage | None:
-    """Returns the message in a datagram; `None` if there is none."""
+    """Returns the message in a datagram; `None` if it is malformed."""
     try:
         return _decoder.decode(data)
     except msgspec.MsgspecError:
--- a/src/radishwind/recency/proof_renewer.py
+++ b/src/radishwind/recency/proof_renewer.py
@@ -1,4 +1,4 @@
-"""Keeps a node's proof recent: sends what the seeker decides."""
+"""Renews a node's freshness proof: carries out what the planner decides."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -13,25 +13,25 @@
 from radishwind.membership.directory import Directory
 from radishwind.peers.datagrams import Channel
 from radishwind.peers.datagrams import PeerSocket
-from radishwind.recency.exchange import Exchange
 from radishwind.recency.model import FreshnessProof
 from radishwind.recency.model import ProofSchedule
+from radishwind.recency.proof_exchange import ProofExchange
 from radishwind.recency.proven_freshness import ProvenFreshness
-from radishwind.recency.seeker import Seeker
-from radishwind.recency.sources import Sources
+from radishwind.recency.renewal_planner import RenewalPlanner
+from radishwind.recency.source_selector import SourceSelector
 from radishwind.routes.in_force import RoutesInForce
 from radishwind.telemetry.logs import PartLogger
 
-#: How often a node without accounts looks whether it has some (s).
-_IDLE_S = 0.5
+#: Interval at which a node without accounts checks whether there are any.
+_ACCOUNT_CHECK_INTERVAL_S = 0.5
 
 
 class ProofRenewer:
-    """Owns the datagrams of proof, and the task that renews it.
+    """Owns the freshness proof, its datagrams, and the task that renews it.
 
     Attributes:
-      proof: the proof held.
-      exchange: questions and answers; counts them.
+      freshness: holds the proof.
+      exchange: queries and replies, and their counters.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         *,
         node_name: str,
         failure_domain: str,
-        times: ProofSchedule,
+        schedule: ProofSchedule,
         clock: Clock,
         rng: random.Random,
         directory: Directory,
@@ -47,70 +47,73 @@
         routes: RoutesInForce,
         first_wait_s: float = 0.0,
     ) -> None:
-        """Wires the keeper.
+        """Creates the renewer.
 
         Args:
-          node_name: of this node.
-          failure_domain: where it stands.
-          times: what is done at which age.
-          clock: the clock, whose monotonic time counts a suspension.
-          rng: names questions, spreads calls.
-          directory: the nodes there are.
-          socket: carries questions and answers.
-          routes: the configuration in force, and its client accounts.
-          first_wait_s: a node that a peer brought the configuration reads the
-            store itself after up to this time (s), at random.
+          node_name: name of this node.
+          failure_domain: failure domain of this node.
+          schedule: ages of the proof at which the node acts.
+          clock: clock whose monotonic time continues during a suspension.
+          rng: random source for query ids and for spreading store calls.
+          directory: the known nodes.
+          socket: carries queries and replies.
+          routes: the configuration in force, with its client accounts.
+          first_wait_s: a node that got the configuration from a peer reads the
+            store itself after a random time up to this (s).
         """
         self._first_wait_s = first_wait_s
-        self._times = times
+        self._schedule = schedule
         self._clock = clock
         self._rng = rng
         self._socket = socket
         self._routes = routes
-        self._sources = Sources(node_name, failure_domain, directory, rng)
+        self._selector = SourceSelector(
+            node_name, failure_domain, directory, rng
+        )
         self._log = PartLogger("recency", clock)
-        self._confirm: Callable[[], Awaitable[FreshnessProof | None]] = (
-            _unconfirmed
+        self._read_store: Callable[[], Awaitable[FreshnessProof | None]] = (
+            _read_no_store
         )
-        self._hear: Callable[[int], None] = _unheard
+        self._on_newer_version: Callable[[int], None] = _ignore_version
         self._woken = anyio.Event()
-        self._seeker: Seeker | None = None
+        self._planner: RenewalPlanner | None = None
         self._source = ""
-        self._stood = False
-        self.proof = ProvenFreshness(times, lambda: routes.version, rng)
-        self.proof.on_stale = self._wake
-        self.exchange = Exchange(
+        self._was_fresh = False
+        self.freshness = ProvenFreshness(schedule, lambda: routes.version, rng)
+        self.freshness.on_stale = self._wake
+        self.exchange = ProofExchange(
             rng=rng,
             send=self._send,
-            newest=self.proof.newest,
-            helps_below_s=times.relay_at_s,
-            kept_s=times.bound_s,
+            newest=self.freshness.newest,
+            useful_below_s=schedule.relay_query_age_s,
+            query_lifetime_s=schedule.bound_s,
         )
-        socket.add(Channel.RECENCY, self._received)
+        socket.add(Channel.RECENCY, self._receive)
         routes.listen(lambda cfg: self._wake())
 
     def connect(
         self,
-        confirm: Callable[[], Awaitable[FreshnessProof | None]],
-        hear: Callable[[int], None],
+        read_store: Callable[[], Awaitable[FreshnessProof | None]],
+        on_newer_version: Callable[[int], None],
     ) -> None:
-        """Says where proof and configurations come from.
+        """Connects the renewer to the feed of configurations.
 
         Args:
-          confirm: reads the store; returns what that proves, if anything.
-          hear: takes the number of a version that others have.
+          read_store: reads the store; returns the resulting proof, if any.
+          on_newer_version: called with a version that is proven to exist and
+            not in force here.
         """
-        self._confirm = confirm
-        self._hear = hear
+        self._read_store = read_store
+        self._on_newer_version = on_newer_version
 
     def accept_first_read(self, proof: FreshnessProof) -> None:
-        """Takes what the first read of the store proves, beside the task."""
-        self._take(proof, "store")
+        """Accepts the proof of the first store read, made outside this task."""
+        self._accept(proof, "store")
         self._wake()
 
     def proof_ages_s(self) -> dict[str, float]:
-        """Returns the age of the proof held (s), for the metrics; if any."""
-        age_s = self.proof.age_s(self._clock.monotonic())
+        """Returns the age of the proof for the metrics; empty without one."""
+        age_s = self.freshness.age_s(self._clock.monotonic())
         return {"": age_s} if age_s < math.inf else {}
 
     async def run(self) -> None:
@@ -118,64 +121,64 @@
         async with anyio.create_task_group() as tasks:
             while True:
                 self._woken = anyio.Event()
-                wait_s = _IDLE_S
+                wait_s = _ACCOUNT_CHECK_INTERVAL_S
                 if self._routes.accounts.has_accounts:
-                    wait_s = self._seek(tasks)
+                    wait_s = self._renew(tasks)
                 with anyio.move_on_after(wait_s):
                     await self._woken.wait()
 
-    def _seek(self, tasks: anyio.abc.TaskGroup) -> float:
-        """Does what is due; returns when to look again (s)."""
+    def _renew(self, tasks: anyio.abc.TaskGroup) -> float:
+        """Does what is due; returns after how long to continue (s)."""
         now = self._clock.monotonic()
-        if self._seeker is None:
-            self._seeker = Seeker(
-                times=self._times,
-                proof=self.proof,
-                sources=self._sources,
+        if self._planner is None:
+            self._planner = RenewalPlanner(
+                schedule=self._schedule,
+                freshness=self.freshness,
+                selector=self._selector,
                 rng=self._rng,
                 now=now,
                 first_wait_s=self._first_wait_s,
             )
-        self._note(now)
-        step = self._seeker.step(now)
-        if step.read:
-            tasks.start_soon(self._read, self._seeker)
-        for member in step.ask:
-            self.exchange.ask(
+        self._log_change(now)
+        plan = self._planner.plan(now)
+        if plan.reads_store:
+            tasks.start_soon(self._read, self._planner)
+        for member in plan.queries:
+            self.exchange.query(
                 member.name, member.address, self._clock.monotonic()
             )
-        return step.again_s
+        return plan.next_plan_s
 
-    async def _read(self, seeker: Seeker) -> None:
-        proof = await self._confirm()
+    async def _read(self, planner: RenewalPlanner) -> None:
+        proof = await self._read_store()
         if proof is not None:
-            self._take(proof, "store")
-        seeker.read_ended(proof is not None, self._clock.monotonic())
+            self._accept(proof, "store")
+        planner.read_ended(proof is not None, self._clock.monotonic())
         self._wake()
 
-    def _take(self, proof: FreshnessProof, source: str) -> None:
-        if not self.proof.take(proof):
+    def _accept(self, proof: FreshnessProof, source: str) -> None:
+        if not self.freshness.accept(proof):
             return
         self._source = source
         now = self._clock.monotonic()
-        self.exchange.improved(now)
-        self._note(now)
+        self.exchange.answer_waiting(now)
+        self._log_change(now)
         if proof.version > self._routes.version:
-            self._hear(proof.version)
+            self._on_newer_version(proof.version)
 
-    def _received(self, data: bytes, sender: Address) -> bool:
+    def _receive(self, data: bytes, sender: Address) -> bool:
         now = self._clock.monotonic()
         try:
-            answer = self.exchange.received(data, sender, now)
+            reply = self.exchange.receive(data, sender, now)
         except ValueError:
             return False
-        if answer is None:
+        if reply is None:
             return True
-        name, proof = answer
+        name, proof = reply
         if proof is not None:
-            self._take(proof, name)
-        if self._seeker is not None:
-            self._seeker.answered(name, proof, now)
+            self._accept(proof, name)
+        if self._planner is not None:
+            self._planner.reply_received(name, proof, now)
         self._wake()
         return True
 
@@ -185,16 +188,16 @@
     def _wake(self) -> None:
         self._woken.set()
 
-    def _note(self, now: float) -> None:
-        """Logs when proof is lost and regained."""
-        age_s = self.proof.age_s(now)
-        stands = age_s < self._times.limit_s
-        if stands == self._stood:
+    def _log_change(self, now: float) -> None:
+        """Logs when the proof has expired or is valid again."""
+        age_s = self.freshness.age_s(now)
+        is_fresh = age_s < self._schedule.max_age_s
+        if is_fresh == self._was_fresh:
             return
-        self._stood = stands
+        self._was_fresh = is_fresh
         self._log.change(
             "Has proof of recent keys."
-            if stands
+            if is_fresh
             else "Out of proof of recent keys; refuses requests with a key.",
             age_s=round(age_s, 3) if age_s < math.inf else None,
             version=self._routes.version,
@@ -202,10 +205,10 @@
         )
 
 
-async def _unconfirmed() -> FreshnessProof | None:
-    """Reads no store."""
+async def _read_no_store() -> FreshnessProof | None:
+    """Default of `read_store`: yields no proof."""
     return None
 
 
-def _unheard(version: int) -> None:
-    """Is told to where nobody fetches versions."""
+def _ignore_version(version: int) -> None:
+    """Default of `on_newer_version`."""
--- a/src/radishwind/recency/proven_freshness.py
+++ b/src/radishwind/recency/proven_freshness.py
@@ -1,4 +1,4 @@
-"""The proof that a node holds, and whether it stands."""
+"""Accepts keys only while a recent proof of the configuration is held."""
 
 from collections.abc import Callable
 import math
@@ -8,104 +8,104 @@
 from radishwind.recency.model import FreshnessProof
 from radishwind.recency.model import ProofSchedule
 
-#: Proofs kept that speak of versions which this node hasn't got yet.
-_MOST_AHEAD = 8
+#: Proofs stored for versions that are not in force at this node yet.
+_MAX_PENDING_PROOFS = 8
 
-#: The shortest and the longest time to come back that is told (s).
-_LEAST_RETRY_S = 0.1
-_MOST_RETRY_S = 2.0
+#: Bounds of the retry delay that callers are given.
+_MIN_RETRY_S = 0.1
+_MAX_RETRY_S = 2.0
 
-#: Part by which that time is made longer at random: all callers of a node are
-#: refused at once, and need not come back at once.
-_RETRY_SPREAD = 0.5
+#: The retry delay is extended at random by up to this fraction: all callers of
+#: a node are refused at the same time, and should not all return at once.
+_RETRY_JITTER = 0.5
 
 
 class ProvenFreshness(KeyFreshness):
-    """Stands while the version in force is known to be recent.
+    """Keys are fresh while the version in force is proven to be recent.
 
     Attributes:
-      on_stale: called where it was asked for and didn't stand.
+      on_stale: called when freshness was checked and the proof had expired.
     """
 
     def __init__(
         self,
-        times: ProofSchedule,
+        schedule: ProofSchedule,
         version: Callable[[], int],
         rng: random.Random,
     ) -> None:
-        """Makes a proof that doesn't stand yet.
+        """Creates an instance without a proof.
 
         Args:
-          times: says how old it may become.
-          version: returns the version in force, which only rises.
-          rng: spreads the times to come back.
+          schedule: defines the age at which a proof expires.
+          version: returns the version in force, which never decreases.
+          rng: random source for retry delays.
         """
-        self._times = times
+        self._schedule = schedule
         self._version = version
         self._rng = rng
-        self._held: FreshnessProof | None = None
-        self._ahead: list[FreshnessProof] = []
-        self.on_stale: Callable[[], None] = _nothing
+        self._current: FreshnessProof | None = None
+        self._pending: list[FreshnessProof] = []
+        self.on_stale: Callable[[], None] = _ignore_stale
 
     def is_fresh(self, now: float) -> bool:
-        if self.age_s(now) < self._times.limit_s:
+        if self.age_s(now) < self._schedule.max_age_s:
             return True
         self.on_stale()
         return False
 
     def retry_s(self, now: float) -> float:
-        """Returns when proof is likely again (s).
+        """Returns after how long a proof is likely to be available (s).
 
-        What has lasted for a while is likely to last as long again.
+        An outage is presumed to last as long again as it has lasted so far.
         """
-        lapsed_s = 0.0
-        if self._held is not None:
-            lapsed_s = self.age_s(now) - self._times.limit_s
-        wait_s = min(max(lapsed_s, _LEAST_RETRY_S), _MOST_RETRY_S)
-        return wait_s * self._rng.uniform(1, 1 + _RETRY_SPREAD)
+        outage_s = 0.0
+        if self._current is not None:
+            outage_s = self.age_s(now) - self._schedule.max_age_s
+        wait_s = min(max(outage_s, _MIN_RETRY_S), _MAX_RETRY_S)
+        return wait_s * self._rng.uniform(1, 1 + _RETRY_JITTER)
 
     def age_s(self, now: float) -> float:
-        """Returns how old the proof of the version in force is (s).
+        """Returns the age of the proof of the version in force (s).
 
-        Infinite before the first one.
+        Infinite before the first proof.
         """
-        self._follow()
-        return now - self._held.as_of if self._held else math.inf
+        self._apply_pending()
+        return now - self._current.as_of if self._current else math.inf
 
     def newest(self) -> FreshnessProof | None:
-        """Returns the newest proof, maybe of a version not in force here."""
-        self._follow()
-        return self._ahead[-1] if self._ahead else self._held
+        """Returns the newest proof, whether or not its version is in force."""
+        self._apply_pending()
+        return self._pending[-1] if self._pending else self._current
 
-    def take(self, proof: FreshnessProof) -> bool:
-        """Takes a proof; returns whether it is newer than what was held."""
+    def accept(self, proof: FreshnessProof) -> bool:
+        """Stores a proof; returns whether it is the newest so far."""
         newest = self.newest()
         if newest is not None and proof.as_of <= newest.as_of:
-            # An older one may still be of a version that is in force.
+            # An older proof is useful if its version is in force already.
             if proof.version <= self._version():
-                self._hold(proof)
+                self._set_current(proof)
             return False
-        if len(self._ahead) >= _MOST_AHEAD:
-            self._ahead.pop()
-        self._ahead.append(proof)
-        self._follow()
+        if len(self._pending) >= _MAX_PENDING_PROOFS:
+            self._pending.pop()
+        self._pending.append(proof)
+        self._apply_pending()
         return True
 
-    def _follow(self) -> None:
-        """Holds the newest proof of a version that is in force by now."""
-        if not self._ahead:
+    def _apply_pending(self) -> None:
+        """Applies the newest pending proof whose version is in force now."""
+        if not self._pending:
             return
         version = self._version()
-        for number in range(len(self._ahead) - 1, -1, -1):
-            if self._ahead[number].version <= version:
-                self._hold(self._ahead[number])
-                del self._ahead[: number + 1]
+        for index in range(len(self._pending) - 1, -1, -1):
+            if self._pending[index].version <= version:
+                self._set_current(self._pending[index])
+                del self._pending[: index + 1]
                 return
 
-    def _hold(self, proof: FreshnessProof) -> None:
-        if self._held is None or proof.as_of > self._held.as_of:
-            self._held = proof
+    def _set_current(self, proof: FreshnessProof) -> None:
+        if self._current is None or proof.as_of > self._current.as_of:
+            self._current = proof
 
 
-def _nothing() -> None:
-    """Is told to where nobody wants to know."""
+def _ignore_stale() -> None:
+    """Default of `on_stale`."""
--- a/src/radishwind/recency/renewal_planner.py
+++ b/src/radishwind/recency/renewal_planner.py
@@ -1,8 +1,8 @@
-"""Decides when a node seeks proof, from whom, and when from the store.
+"""Decides when a node renews its proof, by other nodes or by the store.
 
-The load it answers: callers send keyed requests all the time, so proof has to
-be renewed before it is over whichever of the nodes, links and stores fails;
-at few calls of the store, whatever the number of nodes.
+Callers send requests with keys all the time, so a proof must be renewed before
+it expires, whichever nodes, links or store endpoints fail. The number of store
+calls must stay low, however many nodes there are.
 """
 
 import math
@@ -14,191 +14,205 @@
 from radishwind.recency.model import FreshnessProof
 from radishwind.recency.model import ProofSchedule
 from radishwind.recency.proven_freshness import ProvenFreshness
-from radishwind.recency.sources import Sources
+from radishwind.recency.source_selector import SourceSelector
 
-#: An answer that didn't come within this time (s) is sought from another: a
-#: datagram takes some ms, a busy node some tens of ms.
-ANSWER_WAIT_S = 0.1
+#: Another node is queried if there is no reply within this time: a datagram
+#: takes some ms, a busy node some tens of ms.
+REPLY_TIMEOUT_S = 0.1
 
-#: Asked at once where proof is about to run out, or has.
-_ASKED_IN_HURRY = 3
+#: Nodes queried at once when the proof is about to expire, or has expired.
+_URGENT_QUERIES = 3
 
-#: How often the gap between rounds in vain is doubled.
-_MOST_DOUBLINGS = 2
+#: How often the pause between unsuccessful rounds is doubled at most.
+_MAX_BACKOFF_DOUBLINGS = 2
 
-#: Who is there is looked at again after this time (s).
-_LOOK_S = 1.0
+#: The selection of nodes is renewed after this time.
+_SELECTION_LIFETIME_S = 1.0
 
-#: A decision is made anew after this time (s) at most.
-_STEP_S = 0.5
+#: A new plan is made after this time at the latest.
+_MAX_PLAN_INTERVAL_S = 0.5
 
-#: The first in turn try the store again sooner than others where it failed.
-_EAGER_PLACES = 4
+#: The first nodes in the order retry a failed store read sooner than others.
+_EAGER_POSITIONS = 4
 
 
-class Step(msgspec.Struct, frozen=True):
-    """What is to be done now.
+class RenewalPlan(msgspec.Struct, frozen=True):
+    """What a node has to do now.
 
     Attributes:
-      ask: the nodes to ask.
-      read: whether to read the store.
-      again_s: when to decide again, if nothing happens before (s).
+      queries: the nodes to query.
+      reads_store: whether to read the store.
+      next_plan_s: after how long to plan again unless something happens (s).
     """
 
-    ask: tuple[Member, ...]
-    read: bool
-    again_s: float
+    queries: tuple[Member, ...]
+    reads_store: bool
+    next_plan_s: float
 
 
-class Seeker:
-    """Holds what was tried; each decision is a method call."""
+class RenewalPlanner:
+    """Tracks what a node has tried, and plans what it does next."""
 
     def __init__(
         self,
         *,
-        times: ProofSchedule,
-        proof: ProvenFreshness,
-        sources: Sources,
+        schedule: ProofSchedule,
+        freshness: ProvenFreshness,
+        selector: SourceSelector,
         rng: random.Random,
         now: float,
         first_wait_s: float,
     ) -> None:
-        """Makes the seeker of a node that begins to need proof.
+        """Creates the planner of a node that begins to need a proof.
 
         Args:
-          times: what is done at which age.
-          proof: the proof held.
-          sources: whom to ask.
-          rng: spreads calls of the store.
+          schedule: ages of the proof at which the node acts.
+          freshness: holds the proof.
+          selector: selects the nodes to query.
+          rng: random source that spreads store calls.
           now: monotonic time (s).
-          first_wait_s: it reads the store after up to this time (s) first,
-            unless it knows others and is the first of them.
+          first_wait_s: the first store read takes place after a random time up
+            to this (s), unless this node knows others and is the first of them.
         """
-        self._times = times
-        self._proof = proof
-        self._sources = sources
+        self._schedule = schedule
+        self._freshness = freshness
+        self._selector = selector
         self._rng = rng
-        self._helper = ""
+        self._preferred = ""
         self._round: list[Member] = []
-        self._around = sources.look()
-        self._looked_at = now
-        # Whether a whole round of questions brought no answer at all, and
-        # whether the present one brought any.
-        self._alone = False
-        self._heard = True
-        self._ask_at = now
-        self._vain_rounds = 0
-        self._reading = False
+        self._selection = selector.select()
+        self._selected_at = now
+        # Whether the whole previous round of queries got no reply at all, and
+        # whether the present one got any.
+        self._is_isolated = False
+        self._got_reply = True
+        self._query_at = now
+        self._failed_rounds = 0
+        self._is_reading = False
         self._has_read = False
         self._read_at = now + rng.random() * first_wait_s
 
-    def step(self, now: float) -> Step:
-        """Returns what is to be done at `now` (s)."""
+    def plan(self, now: float) -> RenewalPlan:
+        """Returns what is to be done at time `now` (s)."""
         age_s = self._newest_age_s(now)
-        if now - self._looked_at >= _LOOK_S:
-            self._look(now)
-        read = self._may_read(age_s, now)
-        if read:
-            self._reading, self._has_read = True, True
-        ask = self._ask(age_s, now)
-        return Step(ask, read, self._again_s(age_s, now))
-
-    def answered(
+        if now - self._selected_at >= _SELECTION_LIFETIME_S:
+            self._select(now)
+        reads_store = self._may_read(age_s, now)
+        if reads_store:
+            self._is_reading, self._has_read = True, True
+        queries = self._next_queries(age_s, now)
+        return RenewalPlan(queries, reads_store, self._next_plan_s(age_s, now))
+
+    def reply_received(
         self, name: str, proof: FreshnessProof | None, now: float
     ) -> None:
-        """Takes that the node `name` answered, with what `proof`."""
-        self._heard = True
-        self._alone = False
-        if proof is not None and now - proof.as_of < self._good_s():
-            self._helper = name
+        """Records that the node `name` replied, with `proof` if it had one."""
+        self._got_reply = True
+        self._is_isolated = False
+        if proof is not None and now - proof.as_of < self._useful_below_s():
+            self._preferred = name
             self._round = []
-            self._vain_rounds = 0
+            self._failed_rounds = 0
             return
-        if name == self._helper:
-            self._helper = ""
+        if name == self._preferred:
+            self._preferred = ""
         if self._round:
-            # Others are asked at once in its place; after them there is a gap.
-            self._ask_at = min(self._ask_at, now)
+            # The next candidates are queried at once; the pause follows only
+            # after the last of them.
+            self._query_at = min(self._query_at, now)
 
     def read_ended(self, succeeded: bool, now: float) -> None:
-        """Takes that a reading of the store ended."""
-        self._reading = False
+        """Records that a store read ended."""
+        self._is_reading = False
         if succeeded:
             self._read_at = now
             return
-        bound_s = self._times.bound_s
-        soon = self._newest_age_s(now) >= self._times.alone_turn_s
-        if soon and self._is_eager():
+        bound_s = self._schedule.bound_s
+        is_urgent = (
+            self._newest_age_s(now) >= self._schedule.isolated_read_age_s
+        )
+        if is_urgent and self._is_eager():
             wait_s = self._rng.uniform(0.1, 0.2) * bound_s
         else:
             wait_s = self._rng.uniform(0.4, 0.8) * bound_s
         self._read_at = now + wait_s
 
     def _newest_age_s(self, now: float) -> float:
-        """Returns the age of the newest proof known, in force or not (s)."""
-        newest = self._proof.newest()
+        """Returns the age of the newest proof, in force or not (s)."""
+        newest = self._freshness.newest()
         return math.inf if newest is None else now - newest.as_of
 
-    def _look(self, now: float) -> None:
-        self._around = self._sources.look(self._helper)
-        self._looked_at = now
+    def _select(self, now: float) -> None:
+        self._selection = self._selector.select(self._preferred)
+        self._selected_at = now
 
     def _is_eager(self) -> bool:
-        return self._around.place < _EAGER_PLACES or self._alone
+        return self._selection.position < _EAGER_POSITIONS or self._is_isolated
 
     def _may_read(self, age_s: float, now: float) -> bool:
-        if self._reading or not self._is_turn(age_s):
+        if self._is_reading or not self._is_read_due(age_s):
             return False
-        around = self._around
-        if not self._has_read and around.place == 0 and around.to_ask:
-            # The others ask this node, and wait for it.
+        selection = self._selection
+        if (
+            not self._has_read
+            and selection.position == 0
+            and selection.candidates
+        ):
+            # The other nodes query this one and wait for its reply.
             return True
         return now >= self._read_at
 
-    def _is_turn(self, age_s: float) -> bool:
-        turn_s = self._times.turn_s(self._around.place)
-        if self._alone:
-            turn_s = min(turn_s, self._times.alone_turn_s)
-        return age_s >= turn_s
+    def _is_read_due(self, age_s: float) -> bool:
+        read_age_s = self._schedule.read_age_s(self._selection.position)
+        if self._is_isolated:
+            read_age_s = min(read_age_s, self._schedule.isolated_read_age_s)
+        return age_s >= read_age_s
 
-    def _threshold_s(self) -> float:
-        if self._around.is_relay:
-            return self._times.relay_at_s
-        return self._times.ask_at_s
+    def _query_age_s(self) -> float:
+        """Returns the proof's age at which this node queries others (s)."""
+        if self._selection.is_relay:
+            return self._schedule.relay_query_age_s
+        return self._schedule.query_age_s
 
-    def _good_s(self) -> float:
-        """An answer younger than this spares further questions (s)."""
-        return self._threshold_s() - self._times.round_gap_s
+    def _useful_below_s(self) -> float:
+        """Returns the age below which a received proof ends the round (s)."""
+        return self._query_age_s() - self._schedule.round_pause_s
 
-    def _ask(self, age_s: float, now: float) -> tuple[Member, ...]:
-        if age_s < self._threshold_s() or now < self._ask_at:
+    def _next_queries(self, age_s: float, now: float) -> tuple[Member, ...]:
+        if age_s < self._query_age_s() or now < self._query_at:
             return ()
         if not self._round:
-            self._look(now)
-            self._round = list(self._around.to_ask)
-            self._alone, self._heard = not self._heard, False
-        count = _ASKED_IN_HURRY if age_s >= self._times.hurry_at_s else 1
-        asked, self._round = self._round[:count], self._round[count:]
-        wait_s = ANSWER_WAIT_S
-        if asked and not self._round:
-            # Whoever gets proof meanwhile answers again.
-            wait_s += self._times.round_gap_s * 2**self._vain_rounds
-            self._vain_rounds = min(self._vain_rounds + 1, _MOST_DOUBLINGS)
-        self._ask_at = now + wait_s
-        return tuple(asked)
-
-    def _again_s(self, age_s: float, now: float) -> float:
-        """Returns when something else is due, at the latest (s)."""
-        waits = [_STEP_S]
+            self._select(now)
+            self._round = list(self._selection.candidates)
+            self._is_isolated, self._got_reply = not self._got_reply, False
+        count = _URGENT_QUERIES if age_s >= self._schedule.urgent_age_s else 1
+        queried, self._round = self._round[:count], self._round[count:]
+        wait_s = REPLY_TIMEOUT_S
+        if queried and not self._round:
+            # Nodes that get a newer proof meanwhile reply again.
+            wait_s += self._schedule.round_pause_s * 2**self._failed_rounds
+            self._failed_rounds = min(
+                self._failed_rounds + 1, _MAX_BACKOFF_DOUBLINGS
+            )
+        self._query_at = now + wait_s
+        return tuple(queried)
+
+    def _next_plan_s(self, age_s: float, now: float) -> float:
+        """Returns after how long to plan again at the latest (s)."""
+        waits_s = [_MAX_PLAN_INTERVAL_S]
         if age_s < math.inf:
-            turn_s = self._times.turn_s(self._around.place)
-            waits += [
+            read_age_s = self._schedule.read_age_s(self._selection.position)
+            waits_s += [
                 at_s - age_s
-                for at_s in (turn_s, self._threshold_s(), self._times.limit_s)
+                for at_s in (
+                    read_age_s,
+                    self._query_age_s(),
+                    self._schedule.max_age_s,
+                )
                 if at_s > age_s
             ]
-        if age_s >= self._threshold_s():
-            waits.append(self._ask_at - now)
-        if self._is_turn(age_s) and not self._reading:
-            waits.append(self._read_at - now)
-        return max(0.001, min(waits))
+        if age_s >= self._query_age_s():
+            waits_s.append(self._query_at - now)
+        if self._is_read_due(age_s) and not self._is_reading:
+            waits_s.append(self._read_at - now)
+        return max(0.001, min(waits_s))
--- a/src/radishwind/recency/source_selector.py
+++ b/src/radishwind/recency/source_selector.py
@@ -1,4 +1,4 @@
-"""Whom a node may ask for proof, and its own place among all."""
+"""Selects the nodes that a node queries for proofs, and orders all nodes."""
 
 import itertools
 import random
@@ -11,34 +11,35 @@
 from radishwind.membership.ranking import hash_rank
 from radishwind.routes.neighbours import watchers_each
 
-#: Those that read the store first, which relays ask before others.
-_READERS = 2
+#: The nodes that read the store first; relays query them before others.
+_READER_COUNT = 2
 
-#: Nodes asked in one round: an own, several far relays, and some at random.
-_MOST_ASKED = 9
+#: Nodes queried in one round: a relay of the same failure domain, several
+#: relays of others, and some at random.
+_MAX_CANDIDATES = 9
 
-_GONE = (MemberState.DEAD, MemberState.LEAVING)
+_GONE_STATES = (MemberState.DEAD, MemberState.LEAVING)
 
 
-class Surroundings(msgspec.Struct, frozen=True):
-    """A node among those that it knows.
+class SourceSelection(msgspec.Struct, frozen=True):
+    """Position of a node among those that it knows, and whom it may query.
 
     Attributes:
-      place: in the order in which nodes read the store, from 0.
-      is_relay: whether those of its failure domain ask it first.
-      to_ask: whom it asks, the likeliest to help first.
+      position: position in the order in which nodes read the store, from 0.
+      is_relay: whether other nodes of its failure domain query it first.
+      candidates: the nodes to query, most promising first.
     """
 
-    place: int
+    position: int
     is_relay: bool
-    to_ask: tuple[Member, ...]
+    candidates: tuple[Member, ...]
 
 
-class Sources:
-    """Orders the nodes there are, alike at all that know the same ones.
+class SourceSelector:
+    """Orders the nodes, the same way at all nodes that know the same ones.
 
-    The first of each failure domain come before the second of any, so that
-    the next in turn stands in another domain than the one that failed.
+    The first node of each failure domain precedes the second of any, so that
+    the next node in the order is in another domain than the one that failed.
     """
 
     def __init__(
@@ -48,71 +49,83 @@
         directory: Directory,
         rng: random.Random,
     ) -> None:
-        """Makes the view of a node.
+        """Creates the selector of a node.
 
         Args:
-          node_name: of this node.
-          failure_domain: where it stands.
-          directory: the nodes there are.
-          rng: shuffles those that are asked last.
+          node_name: name of this node.
+          failure_domain: failure domain of this node.
+          directory: the known nodes.
+          rng: random source that shuffles equivalent candidates.
         """
         self._node_name = node_name
         self._failure_domain = failure_domain
         self._directory = directory
         self._rng = rng
 
-    def look(self, helper: str = "") -> Surroundings:
-        """Returns the surroundings as of now.
+    def select(self, preferred: str = "") -> SourceSelection:
+        """Returns the present position and candidates of this node.
 
         Args:
-          helper: the name of the node that helped last, which is asked first.
+          preferred: name of the node that last sent a useful proof; it becomes
+            the first candidate.
         """
         members = self._directory.members()
-        living = {
+        live = {
             member.name: member
             for member in members
-            if member.state not in _GONE and member.name != self._node_name
+            if member.state not in _GONE_STATES
+            and member.name != self._node_name
         }
-        places = [(m.failure_domain, name) for name, m in living.items()]
-        order = _in_turn([*places, (self._failure_domain, self._node_name)])
+        locations = [(m.failure_domain, name) for name, m in live.items()]
+        order = _interleave(
+            [*locations, (self._failure_domain, self._node_name)]
+        )
         names = [name for _, name in order]
-        relays = watchers_each(members)
+        relays_per_domain = watchers_each(members)
         is_relay = False
-        far_relays, near_relays, rest = [], [], []
-        for number, name in order:
+        remote_relays, local_relays, others = [], [], []
+        for index, name in order:
             if name == self._node_name:
-                is_relay = number < relays
-            elif number >= relays:
-                rest.append(name)
-            elif living[name].failure_domain == self._failure_domain:
-                near_relays.append(name)
+                is_relay = index < relays_per_domain
+            elif index >= relays_per_domain:
+                others.append(name)
+            elif live[name].failure_domain == self._failure_domain:
+                local_relays.append(name)
             else:
-                far_relays.append(name)
-        readers = [n for n in names[: _READERS + 1] if n in living][:_READERS]
-        for shuffled in (near_relays, far_relays, rest):
-            self._rng.shuffle(shuffled)
-        likely = [*near_relays, *readers]
+                remote_relays.append(name)
+        readers = [n for n in names[: _READER_COUNT + 1] if n in live][
+            :_READER_COUNT
+        ]
+        for group in (local_relays, remote_relays, others):
+            self._rng.shuffle(group)
+        promising = [*local_relays, *readers]
         if is_relay:
-            likely = [*readers, *near_relays]
-        last = [helper] if helper in living else []
-        asked = dict.fromkeys([*last, *likely, *far_relays[:3], *rest])
-        return Surroundings(
+            promising = [*readers, *local_relays]
+        first = [preferred] if preferred in live else []
+        ordered = dict.fromkeys(
+            [*first, *promising, *remote_relays[:3], *others]
+        )
+        return SourceSelection(
             names.index(self._node_name),
             is_relay,
-            tuple(living[n] for n in itertools.islice(asked, _MOST_ASKED)),
+            tuple(live[n] for n in itertools.islice(ordered, _MAX_CANDIDATES)),
         )
 
 
-def _in_turn(places: list[tuple[str, str]]) -> list[tuple[int, str]]:
-    """Returns names with their number in their failure domain, in turn.
+def _interleave(locations: list[tuple[str, str]]) -> list[tuple[int, str]]:
+    """Returns each node's index in its failure domain and its name, in order.
+
+    The order is by index first, so it alternates between failure domains.
 
     Args:
-      places: failure domains and names.
+      locations: failure domains and names of the nodes.
     """
     counts: dict[str, int] = {}
-    numbered: list[tuple[int, int, str]] = []
-    for ranked, name, domain in sorted((hash_rank(n), n, d) for d, n in places):
-        number = counts.get(domain, 0)
-        counts[domain] = number + 1
-        numbered.append((number, ranked, name))
-    return [(number, name) for number, _, name in sorted(numbered)]
+    indexed: list[tuple[int, int, str]] = []
+    for ranked, name, domain in sorted(
+        (hash_rank(n), n, d) for d, n in locations
+    ):
+        index = counts.get(domain, 0)
+        counts[domain] = index + 1
+        indexed.append((index, ranked, name))
+    return [(index, name) for index, _, name in sorted(indexed)]
--- a/src/radishwind/recency/tests/test_proof_renewer.py
+++ b/src/radishwind/recency/tests/test_proof_renewer.py
@@ -1,54 +1,54 @@
-"""FreshnessProof is kept with few calls of the store, whatever fails."""
+"""Proofs are renewed with few store calls, whatever fails."""
 
 import datetime
 
 import pytest
 from tests.support.recency_net import BOUND_S
-from tests.support.recency_net import Net
+from tests.support.recency_net import RecencyNetwork
 
 from radishwind.experiment.loop import run
 from radishwind.recency import ProofSchedule
 from radishwind.telemetry import logs
 
 NAMES = [f"{domain}-{number}" for domain in "abcd" for number in range(15)]
-LIMIT_S = ProofSchedule(BOUND_S).limit_s
+MAX_AGE_S = ProofSchedule(BOUND_S).max_age_s
 
 
-def play(story, names=NAMES, **options):
-    async def whole():
-        net = Net(names, **options)
+def simulate(scenario, names=NAMES, **options):
+    async def run_scenario():
+        network = RecencyNetwork(names, **options)
         try:
-            return await story(net)
+            return await scenario(network)
         finally:
-            net.stop()
+            network.stop()
 
-    return run(whole())
+    return run(run_scenario())
 
 
-async def watched(net, seconds, step_s=0.05):
-    """Returns the least number of nodes that had proof at once."""
-    least = len(net.nodes)
+async def min_fresh_count(network, seconds, step_s=0.05):
+    """Returns the smallest number of nodes that were fresh at one time."""
+    least = len(network.nodes)
     for _ in range(round(seconds / step_s)):
-        await net.pass_s(step_s)
-        least = min(least, len(net.standing()))
+        await network.advance(step_s)
+        least = min(least, len(network.fresh_nodes()))
     return least
 
 
 @pytest.mark.parametrize("count", [2, 12, 60, 240])
-def test_calls_of_the_store_are_few_whatever_the_number_of_nodes(count):
+def test_store_calls_are_few_whatever_the_number_of_nodes(count):
     names = [f"{'abcd'[n % 4]}-{n}" for n in range(count)]
 
-    async def story(net):
-        await net.pass_s(2.0)
-        calls, delivered = net.store.calls, net.delivered
-        least = await watched(net, 30.0)
+    async def scenario(network):
+        await network.advance(2.0)
+        calls, delivered = network.store.calls, network.delivered
+        least = await min_fresh_count(network, 30.0)
         return (
             least,
-            (net.store.calls - calls) / 30,
-            (net.delivered - delivered) / 30 / count,
+            (network.store.calls - calls) / 30,
+            (network.delivered - delivered) / 30 / count,
         )
 
-    least, calls_per_s, messages_per_s = play(story, names)
+    least, calls_per_s, messages_per_s = simulate(scenario, names)
 
     print(count, calls_per_s, messages_per_s)
     assert least == count
@@ -56,283 +56,291 @@
     assert messages_per_s <= 3.0
 
 
-def test_all_have_proof_soon_after_a_start_of_all():
-    async def story(net):
-        await net.pass_s(0.3)
-        return len(net.standing()), net.store.calls
+def test_all_nodes_are_fresh_soon_after_all_start():
+    async def scenario(network):
+        await network.advance(0.3)
+        return len(network.fresh_nodes()), network.store.calls
 
-    standing, calls = play(story)
+    fresh_count, calls = simulate(scenario)
 
     print(calls)
-    assert standing == len(NAMES)
+    assert fresh_count == len(NAMES)
     assert calls <= len(NAMES) / 2
 
 
-def test_without_accounts_nothing_is_asked():
-    async def story(net):
-        await net.pass_s(20.0)
-        return net.store.calls, net.delivered
+def test_without_accounts_nothing_is_sent():
+    async def scenario(network):
+        await network.advance(20.0)
+        return network.store.calls, network.delivered
 
-    assert play(story, accounts=()) == (0, 0)
+    assert simulate(scenario, accounts=()) == (0, 0)
 
 
-def first_in_turn(net):
-    """Returns names by their place, the one that reads the store first."""
-    looks = {
-        name: node.keeper._sources.look().place
-        for name, node in net.nodes.items()
+def names_in_order(network):
+    """Returns the nodes' names in the order in which they read the store."""
+    positions = {
+        name: node.renewer._selector.select().position
+        for name, node in network.nodes.items()
     }
-    return sorted(looks, key=looks.get)
+    return sorted(positions, key=positions.get)
 
 
-@pytest.mark.parametrize("how", ["busy", "silent", 0.24])
-def test_a_third_turned_away_by_the_store_stay_in_service(how):
-    async def story(net):
-        await net.pass_s(2.0)
-        turned_away = first_in_turn(net)[::3]
-        net.store.faults = dict.fromkeys(turned_away, how)
-        calls = net.store.calls
-        least = await watched(net, 30.0)
-        return least, (net.store.calls - calls) / 30
+@pytest.mark.parametrize("fault", ["busy", "silent", 0.24])
+def test_all_nodes_stay_fresh_when_store_reads_of_a_third_fail_or_are_slow(
+    fault,
+):
+    async def scenario(network):
+        await network.advance(2.0)
+        affected = names_in_order(network)[::3]
+        network.store.faults = dict.fromkeys(affected, fault)
+        calls = network.store.calls
+        least = await min_fresh_count(network, 30.0)
+        return least, (network.store.calls - calls) / 30
 
-    least, calls_per_s = play(story)
+    least, calls_per_s = simulate(scenario)
 
-    print(how, calls_per_s)
+    print(fault, calls_per_s)
     assert least == len(NAMES)
     assert calls_per_s <= 1.5
 
 
-@pytest.mark.parametrize("how", ["busy", "silent"])
-def test_where_the_store_is_lost_for_all_none_goes_on_beyond_the_limit(how):
-    async def story(net):
-        await net.pass_s(2.0)
-        lost_at = net.clock.monotonic()
-        net.store.faults = dict.fromkeys(net.nodes, how)
-        await net.pass_s(LIMIT_S - 2.6)
-        early = len(net.standing())
-        await net.pass_s(lost_at + LIMIT_S - net.clock.monotonic())
-        late = len(net.standing())
-        delivered = net.delivered
-        await net.pass_s(5.0)
-        messages_per_s = (net.delivered - delivered) / 5 / len(net.nodes)
-        calls = net.store.calls
-        net.store.faults = {}
-        await net.pass_s(1.5)
-        return early, late, len(net.standing()), calls, messages_per_s
-
-    early, late, back, calls, messages_per_s = play(story)
-
-    print(how, calls, messages_per_s)
+@pytest.mark.parametrize("fault", ["busy", "silent"])
+def test_no_node_is_fresh_beyond_the_maximum_age_without_the_store(fault):
+    async def scenario(network):
+        await network.advance(2.0)
+        lost_at = network.clock.monotonic()
+        network.store.faults = dict.fromkeys(network.nodes, fault)
+        await network.advance(MAX_AGE_S - 2.6)
+        early = len(network.fresh_nodes())
+        await network.advance(lost_at + MAX_AGE_S - network.clock.monotonic())
+        late = len(network.fresh_nodes())
+        delivered = network.delivered
+        await network.advance(5.0)
+        messages_per_s = (
+            (network.delivered - delivered) / 5 / len(network.nodes)
+        )
+        calls = network.store.calls
+        network.store.faults = {}
+        await network.advance(1.5)
+        return early, late, len(network.fresh_nodes()), calls, messages_per_s
+
+    early, late, back, calls, messages_per_s = simulate(scenario)
+
+    print(fault, calls, messages_per_s)
     assert (early, late) == (len(NAMES), 0)
     assert back == len(NAMES)
     assert calls <= 10 * len(NAMES)
     assert messages_per_s <= 40
 
 
-def test_a_store_that_is_sixty_times_slower_for_all_keeps_all_in_proof():
-    async def story(net):
-        net.store.faults = dict.fromkeys(net.nodes, 0.24)
-        await net.pass_s(2.0)
-        calls = net.store.calls
-        return await watched(net, 20.0), (net.store.calls - calls) / 20
+def test_all_nodes_stay_fresh_with_a_store_sixty_times_slower():
+    async def scenario(network):
+        network.store.faults = dict.fromkeys(network.nodes, 0.24)
+        await network.advance(2.0)
+        calls = network.store.calls
+        return await min_fresh_count(network, 20.0), (
+            network.store.calls - calls
+        ) / 20
 
-    least, calls_per_s = play(story)
+    least, calls_per_s = simulate(scenario)
 
     print(calls_per_s)
     assert least == len(NAMES)
     assert calls_per_s <= 1.0
 
 
-def test_a_node_cut_off_from_all_goes_out_of_proof_and_comes_back():
-    async def story(net):
-        await net.pass_s(2.0)
-        name = first_in_turn(net)[20]
-        net.cut = {name}
-        net.store.faults = {name: "silent"}
-        await net.pass_s(LIMIT_S)
-        out = net.standing()
-        net.cut, net.store.faults = set(), {}
-        await net.pass_s(1.0)
-        return name, out, net.standing()
+def test_node_cut_off_from_all_becomes_stale_and_recovers():
+    async def scenario(network):
+        await network.advance(2.0)
+        name = names_in_order(network)[20]
+        network.cut = {name}
+        network.store.faults = {name: "silent"}
+        await network.advance(MAX_AGE_S)
+        out = network.fresh_nodes()
+        network.cut, network.store.faults = set(), {}
+        await network.advance(1.0)
+        return name, out, network.fresh_nodes()
 
-    name, out, back = play(story)
+    name, out, back = simulate(scenario)
 
     assert out == set(NAMES) - {name}
     assert back == set(NAMES)
 
 
-@pytest.mark.parametrize("place", [0, 1, 5, 59])
-def test_a_node_that_nobody_reaches_reads_the_store_itself(place):
-    async def story(net):
-        await net.pass_s(2.0)
-        name = first_in_turn(net)[place]
-        net.cut = {name}
-        net.store.asked_by.clear()
-        least = await watched(net, 20.0)
-        return least, net.store.asked_by.count(name) / 20
+@pytest.mark.parametrize("position", [0, 1, 5, 59])
+def test_node_unreachable_from_the_others_reads_the_store_itself(position):
+    async def scenario(network):
+        await network.advance(2.0)
+        name = names_in_order(network)[position]
+        network.cut = {name}
+        network.store.callers.clear()
+        least = await min_fresh_count(network, 20.0)
+        return least, network.store.callers.count(name) / 20
 
-    least, calls_per_s = play(story)
+    least, calls_per_s = simulate(scenario)
 
     assert least == len(NAMES)
     assert 0 < calls_per_s < 1.0
 
 
 @pytest.mark.parametrize("count", [1, 3, 20])
-def test_proof_goes_on_where_the_first_in_turn_are_killed(count):
-    async def story(net):
-        await net.pass_s(2.0)
-        killed = first_in_turn(net)[:count]
+def test_remaining_nodes_stay_fresh_when_the_first_ones_are_killed(count):
+    async def scenario(network):
+        await network.advance(2.0)
+        killed = names_in_order(network)[:count]
         for name in killed:
-            net.kill(name)
+            network.kill(name)
         # Membership finds out seconds later, all at once here.
-        least = await watched(net, 4.0)
-        net.meet()
-        least = min(least, await watched(net, 10.0))
+        least = await min_fresh_count(network, 4.0)
+        network.connect_all()
+        least = min(least, await min_fresh_count(network, 10.0))
         for name in killed:
-            net.start(name)
-        net.meet()
-        await net.pass_s(0.5)
-        return least, len(net.standing())
+            network.start(name)
+        network.connect_all()
+        await network.advance(0.5)
+        return least, len(network.fresh_nodes())
 
-    least, back = play(story)
+    least, back = simulate(scenario)
 
     assert least == len(NAMES) - count
     assert back == len(NAMES)
 
 
-@pytest.mark.parametrize("place", [0, 3, 30])
-def test_a_frozen_node_brings_no_proof_back_from_before_its_freeze(place):
-    async def story(net):
-        await net.pass_s(2.0)
-        name = first_in_turn(net)[place]
-        node = net.nodes[name]
-        frozen_at = net.clock.monotonic()
-        node.frozen_until = frozen_at + 4.0
-        net.store.faults = {name: 4.0}
-        least = len(net.nodes)
-        while net.clock.monotonic() < node.frozen_until:
-            await net.pass_s(0.05)
-            others = net.standing() - {name}
+@pytest.mark.parametrize("position", [0, 3, 30])
+def test_paused_node_gains_no_proof_from_before_its_pause(position):
+    async def scenario(network):
+        await network.advance(2.0)
+        name = names_in_order(network)[position]
+        node = network.nodes[name]
+        paused_at = network.clock.monotonic()
+        node.paused_until = paused_at + 4.0
+        network.store.faults = {name: 4.0}
+        least = len(network.nodes)
+        while network.clock.monotonic() < node.paused_until:
+            await network.advance(0.05)
+            others = network.fresh_nodes() - {name}
             least = min(least, len(others))
-            if net.clock.monotonic() >= node.frozen_until:
+            if network.clock.monotonic() >= node.paused_until:
                 break
-            # What comes back late says no more than what was known before.
-            assert node.age_s() >= net.clock.monotonic() - frozen_at - 0.01
-        net.store.faults = {}
-        await net.pass_s(0.5)
+            # Late replies prove no more than was known before the pause.
+            assert node.age_s() >= network.clock.monotonic() - paused_at - 0.01
+        network.store.faults = {}
+        await network.advance(0.5)
         return least, node.age_s()
 
-    least, age_s = play(story)
+    least, age_s = simulate(scenario)
 
     assert least == len(NAMES) - 1
     assert age_s < 3.0
 
 
-def test_a_version_that_a_node_lacks_is_fetched_before_proof_counts():
-    async def story(net):
-        await net.pass_s(2.0)
-        net.store.write(2)
-        await net.pass_s(LIMIT_S)
+def test_missing_version_is_fetched_before_its_proof_counts():
+    async def scenario(network):
+        await network.advance(2.0)
+        network.store.write(2)
+        await network.advance(MAX_AGE_S)
         return (
-            {node.routes.version for node in net.nodes.values()},
-            len(net.standing()),
+            {node.routes.version for node in network.nodes.values()},
+            len(network.fresh_nodes()),
         )
 
-    assert play(story) == ({2}, len(NAMES))
+    assert simulate(scenario) == ({2}, len(NAMES))
 
 
-def test_who_cannot_fetch_a_version_goes_out_of_proof():
-    async def story(net):
-        await net.pass_s(2.0)
-        net.spreads = False
-        written_at = net.clock.monotonic()
-        net.store.write(2)
-        await net.pass_s(written_at + LIMIT_S - net.clock.monotonic())
+def test_node_that_cannot_fetch_a_version_becomes_stale():
+    async def scenario(network):
+        await network.advance(2.0)
+        network.delivers_versions = False
+        written_at = network.clock.monotonic()
+        network.store.write(2)
+        await network.advance(
+            written_at + MAX_AGE_S - network.clock.monotonic()
+        )
         return {
             name
-            for name in net.standing()
-            if net.nodes[name].routes.version < 2
+            for name in network.fresh_nodes()
+            if network.nodes[name].routes.version < 2
         }
 
-    assert play(story) == set()
+    assert simulate(scenario) == set()
 
 
-def test_lost_datagrams_take_nobody_out_of_proof():
-    async def story(net):
-        net.loss = 0.2
-        await net.pass_s(2.0)
-        return await watched(net, 30.0)
+def test_all_nodes_stay_fresh_with_lost_datagrams():
+    async def scenario(network):
+        network.loss = 0.2
+        await network.advance(2.0)
+        return await min_fresh_count(network, 30.0)
 
-    assert play(story) == len(NAMES)
+    assert simulate(scenario) == len(NAMES)
 
 
-def test_each_side_of_a_cut_through_the_nodes_keeps_proof():
-    async def story(net):
-        await net.pass_s(2.0)
-        own = {name for name in net.nodes if name[0] == "c"}
-        send = net.send
+def test_both_sides_of_a_partition_stay_fresh():
+    async def scenario(network):
+        await network.advance(2.0)
+        separated = {name for name in network.nodes if name[0] == "c"}
+        send = network.send
 
         def cut(sender, peer, data):
-            if (sender.name in own) == (peer.host in own):
+            if (sender.name in separated) == (peer.host in separated):
                 send(sender, peer, data)
 
-        net.send = cut
-        calls = net.store.calls
-        least = await watched(net, 30.0)
-        return least, (net.store.calls - calls) / 30
+        network.send = cut
+        calls = network.store.calls
+        least = await min_fresh_count(network, 30.0)
+        return least, (network.store.calls - calls) / 30
 
-    least, calls_per_s = play(story)
+    least, calls_per_s = simulate(scenario)
 
     print(calls_per_s)
     assert least == len(NAMES)
     assert calls_per_s <= 2.0
 
 
-def test_other_changes_of_the_store_cost_a_second_call_each_at_most():
-    async def story(net):
-        await net.pass_s(2.0)
-        calls = net.store.calls
+def test_other_store_changes_cost_at_most_a_second_call_each():
+    async def scenario(network):
+        await network.advance(2.0)
+        calls = network.store.calls
         for _ in range(200):
-            net.store.write_other()
-            await net.pass_s(0.1)
-        return len(net.standing()), (net.store.calls - calls) / 20
+            network.store.write_other()
+            await network.advance(0.1)
+        return len(network.fresh_nodes()), (network.store.calls - calls) / 20
 
-    standing, calls_per_s = play(story)
+    fresh_count, calls_per_s = simulate(scenario)
 
-    assert standing == len(NAMES)
+    assert fresh_count == len(NAMES)
     assert calls_per_s <= 1.5
 
 
 @pytest.mark.parametrize("jump_s", [-4.0, 4.0, 3600.0])
-def test_a_time_of_day_that_jumps_changes_nothing(jump_s):
-    async def story(net):
-        await net.pass_s(2.0)
-        now = net.clock.now
-        net.clock.now = lambda: now() + datetime.timedelta(seconds=jump_s)
-        least = await watched(net, 5.0)
-        net.store.faults = dict.fromkeys(net.nodes, "busy")
-        await net.pass_s(LIMIT_S)
-        return least, len(net.standing())
+def test_jumps_of_the_wall_clock_have_no_effect(jump_s):
+    async def scenario(network):
+        await network.advance(2.0)
+        now = network.clock.now
+        network.clock.now = lambda: now() + datetime.timedelta(seconds=jump_s)
+        least = await min_fresh_count(network, 5.0)
+        network.store.faults = dict.fromkeys(network.nodes, "busy")
+        await network.advance(MAX_AGE_S)
+        return least, len(network.fresh_nodes())
 
-    assert play(story) == (len(NAMES), 0)
+    assert simulate(scenario) == (len(NAMES), 0)
 
 
-def test_proof_lost_and_regained_are_logged_once(monkeypatch):
+def test_loss_and_recovery_of_the_proof_are_logged_once(monkeypatch):
     lines = []
     monkeypatch.setattr(logs, "_takers", [lines.append])
 
-    async def story(net):
-        await net.pass_s(2.0)
-        net.store.faults = dict.fromkeys(net.nodes, "busy")
-        await net.pass_s(10.0)
-        net.store.faults = {}
-        await net.pass_s(2.0)
+    async def scenario(network):
+        await network.advance(2.0)
+        network.store.faults = dict.fromkeys(network.nodes, "busy")
+        await network.advance(10.0)
+        network.store.faults = {}
+        await network.advance(2.0)
 
-    play(story, ["a-1", "b-1"])
+    simulate(scenario, ["a-1", "b-1"])
 
-    told = [x for x in lines if x["message_type"] == "radishwind:recency"]
-    out = [x for x in told if "Out of proof" in x["text"]]
-    back = [x for x in told if "Has proof" in x["text"]]
+    logged = [x for x in lines if x["message_type"] == "radishwind:recency"]
+    out = [x for x in logged if "Out of proof" in x["text"]]
+    back = [x for x in logged if "Has proof" in x["text"]]
     assert (len(out), len(back)) == (2, 4)
-    assert all(x["age_s"] >= LIMIT_S for x in out)
+    assert all(x["age_s"] >= MAX_AGE_S for x in out)
     assert {x["source"] for x in back} <= {"store", "a-1", "b-1"}
--- a/src/radishwind/recency/tests/test_renewal_planner.py
+++ b/src/radishwind/recency/tests/test_renewal_planner.py
@@ -1,4 +1,4 @@
-"""When a node asks others, and when the store."""
+"""When a node queries others, and when it reads the store."""
 
 import random
 
@@ -10,14 +10,14 @@
 from radishwind.recency import FreshnessProof
 from radishwind.recency import ProofSchedule
 from radishwind.recency import ProvenFreshness
-from radishwind.recency.seeker import Seeker
-from radishwind.recency.sources import Sources
+from radishwind.recency.renewal_planner import RenewalPlanner
+from radishwind.recency.source_selector import SourceSelector
 
-TIMES = ProofSchedule(5.0)
+SCHEDULE = ProofSchedule(5.0)
 NAMES = [f"{domain}-{number}" for domain in "abcd" for number in range(10)]
 
 
-class Nodes(Directory):
+class FixedDirectory(Directory):
     def __init__(self, names):
         self._members = tuple(
             Member(name, "s", name[0], Address(name, 1)) for name in names
@@ -31,40 +31,42 @@
 
 
 class Node:
-    """A node at a place in the turn, whose proof is as old as told."""
-
-    def __init__(self, place, names=NAMES):
-        nodes = Nodes(names)
-        by_place = {
-            Sources(n, n[0], nodes, random.Random(1)).look().place: n
+    """A node at a position in the order, whose proof has a given age."""
+
+    def __init__(self, position, names=NAMES):
+        directory = FixedDirectory(names)
+        by_position = {
+            SourceSelector(n, n[0], directory, random.Random(1))
+            .select()
+            .position: n
             for n in names
         }
-        name = by_place[place]
+        name = by_position[position]
         rng = random.Random(1)
         self.now = 100.0
-        self.proof = ProvenFreshness(TIMES, lambda: 7, rng)
-        self.seeker = Seeker(
-            times=TIMES,
-            proof=self.proof,
-            sources=Sources(name, name[0], nodes, rng),
+        self.freshness = ProvenFreshness(SCHEDULE, lambda: 7, rng)
+        self.planner = RenewalPlanner(
+            schedule=SCHEDULE,
+            freshness=self.freshness,
+            selector=SourceSelector(name, name[0], directory, rng),
             rng=rng,
             now=self.now,
             first_wait_s=0.15,
         )
         self.now += 1.0
 
-    def step(self, age_s=None):
+    def plan(self, age_s=None):
         if age_s is not None:
-            self.proof = self.proof.__class__(
-                TIMES, lambda: 7, random.Random(1)
+            self.freshness = self.freshness.__class__(
+                SCHEDULE, lambda: 7, random.Random(1)
             )
-            self.proof.take(FreshnessProof(self.now - age_s, 7))
-            self.seeker._proof = self.proof
-        return self.seeker.step(self.now)
+            self.freshness.accept(FreshnessProof(self.now - age_s, 7))
+            self.planner._freshness = self.freshness
+        return self.planner.plan(self.now)
 
 
 @pytest.mark.parametrize(
-    ("place", "age_s", "reads"),
+    ("position", "age_s", "reads"),
     [
         (0, 1.4, False),
         (0, 1.5, True),
@@ -76,12 +78,12 @@
         (39, 4.25, True),
     ],
 )
-def test_each_reads_the_store_in_its_turn(place, age_s, reads):
-    assert Node(place).step(age_s).read is reads
+def test_nodes_read_the_store_in_their_order(position, age_s, reads):
+    assert Node(position).plan(age_s).reads_store is reads
 
 
 @pytest.mark.parametrize(
-    ("place", "age_s", "asked"),
+    ("position", "age_s", "query_count"),
     [
         (0, 1.9, 0),
         (0, 2.0, 1),
@@ -91,90 +93,94 @@
         (20, 6.0, 3),
     ],
 )
-def test_relays_ask_first_and_who_is_late_asks_several(place, age_s, asked):
-    assert len(Node(place).step(age_s).ask) == asked
+def test_relays_query_first_and_urgent_nodes_query_several(
+    position, age_s, query_count
+):
+    assert len(Node(position).plan(age_s).queries) == query_count
 
 
-def test_it_waits_for_an_answer_before_it_asks_another():
+def test_planner_waits_for_a_reply_before_the_next_query():
     node = Node(20)
-    first = node.step(2.5).ask
+    first = node.plan(2.5).queries
 
     node.now += 0.05
-    assert node.step(2.55).ask == ()
+    assert node.plan(2.55).queries == ()
     node.now += 0.05
-    assert node.step(2.6).ask not in ((), first)
+    assert node.plan(2.6).queries not in ((), first)
 
 
-def test_an_answer_in_vain_lets_it_ask_the_next_at_once():
+def test_reply_without_a_proof_leads_to_the_next_query_at_once():
     node = Node(20)
-    asked = node.step(2.5).ask[0]
+    queried = node.plan(2.5).queries[0]
 
-    node.seeker.answered(asked.name, None, node.now)
+    node.planner.reply_received(queried.name, None, node.now)
 
-    assert len(node.step(2.5).ask) == 1
+    assert len(node.plan(2.5).queries) == 1
 
 
-def test_who_helped_is_asked_first_the_next_time():
+def test_node_that_sent_a_useful_proof_is_queried_first_next_time():
     node = Node(20)
-    node.step(2.5)
-    node.seeker.answered("d-7", FreshnessProof(node.now - 0.1, 7), node.now)
+    node.plan(2.5)
+    node.planner.reply_received(
+        "d-7", FreshnessProof(node.now - 0.1, 7), node.now
+    )
     node.now += 2.0
 
-    assert [m.name for m in node.step(2.5).ask] == ["d-7"]
+    assert [m.name for m in node.plan(2.5).queries] == ["d-7"]
 
 
-def test_a_node_that_a_whole_round_told_nothing_reads_before_its_turn():
+def test_node_without_replies_in_a_round_reads_the_store_early():
     node = Node(39)
     for _ in range(12):
-        step = node.step(3.1)
-        assert not step.read
+        plan = node.plan(3.1)
+        assert not plan.reads_store
         node.now += 0.1
     node.now += 0.3
 
-    node.step(3.1)
-    assert node.step(3.1).read
+    node.plan(3.1)
+    assert node.plan(3.1).reads_store
 
 
-def test_a_node_that_is_answered_keeps_to_its_turn():
+def test_node_with_replies_does_not_read_the_store_early():
     node = Node(39)
     for _ in range(60):
-        step = node.step(3.1)
-        assert not step.read
-        for member in step.ask:
-            node.seeker.answered(member.name, None, node.now)
+        plan = node.plan(3.1)
+        assert not plan.reads_store
+        for member in plan.queries:
+            node.planner.reply_received(member.name, None, node.now)
         node.now += 0.1
 
 
-def test_one_reading_goes_on_at_a_time_and_a_failed_one_is_put_off():
+def test_store_reads_do_not_overlap_and_failed_ones_are_delayed():
     node = Node(0)
-    assert node.step(1.5).read
-    assert not node.step(1.6).read
+    assert node.plan(1.5).reads_store
+    assert not node.plan(1.6).reads_store
 
-    node.seeker.read_ended(False, node.now)
+    node.planner.read_ended(False, node.now)
     node.now += 1.9
-    assert not node.step(1.6).read
+    assert not node.plan(1.6).reads_store
     node.now += 2.2
-    assert node.step(1.6).read
-    node.seeker.read_ended(True, node.now)
-    assert node.step(1.6).read
+    assert node.plan(1.6).reads_store
+    node.planner.read_ended(True, node.now)
+    assert node.plan(1.6).reads_store
 
 
-def test_before_any_proof_the_first_of_those_known_reads_at_once():
+def test_first_node_reads_the_store_at_once_without_a_proof():
     reads = []
-    for place in range(10):
-        node = Node(place)
+    for position in range(10):
+        node = Node(position)
         node.now -= 1.0
-        reads.append(node.step().read)
+        reads.append(node.plan().reads_store)
 
     assert reads == [True] + [False] * 9
 
 
-def test_a_first_reading_that_fails_is_put_off_too():
+def test_failed_first_store_read_is_delayed_too():
     node = Node(0)
-    assert node.step().read
+    assert node.plan().reads_store
 
-    node.seeker.read_ended(False, node.now)
+    node.planner.read_ended(False, node.now)
 
-    assert not node.step().read
+    assert not node.plan().reads_store
     node.now += 1.0
-    assert node.step().read
+    assert node.plan().reads_store
--- a/src/radishwind/recency/tests/test_staleness_bound.py
+++ b/src/radishwind/recency/tests/test_staleness_bound.py
@@ -1,4 +1,4 @@
-"""No order of events lets a key run beyond the bound."""
+"""No order of events lets a revoked key be accepted beyond the bound."""
 
 import random
 
@@ -10,21 +10,21 @@
 from radishwind.recency import FreshnessProof
 from radishwind.recency import ProofSchedule
 from radishwind.recency import ProvenFreshness
-from radishwind.recency.exchange import Exchange
+from radishwind.recency.proof_exchange import ProofExchange
 
 BOUND_S = 5.0
-TIMES = ProofSchedule(BOUND_S)
-COUNT = 3
+SCHEDULE = ProofSchedule(BOUND_S)
+NODE_COUNT = 3
 
-#: How far clocks run apart at most (ratio).
-RATES = (0.9995, 1.0, 1.0005)
+#: Clock rates relative to the simulated time; the extremes differ the most.
+CLOCK_RATES = (0.9995, 1.0, 1.0005)
 
 
 class Node:
-    """One node with a clock of its own, and what is on its way to it."""
+    """A node with a clock of its own, and the datagrams on their way to it."""
 
-    def __init__(self, play, number, rate, seed):
-        self.play, self.rate = play, rate
+    def __init__(self, simulation, number, rate, seed):
+        self.simulation, self.rate = simulation, rate
         self.address = Address(f"n{number}", 1)
         self.offset_s = 1000.0 * number
         self.inbox = []
@@ -35,32 +35,32 @@
     def start(self):
         self.version = 0
         self.reads.clear()
-        self.proof = ProvenFreshness(
-            TIMES, lambda: self.version, random.Random(self.seed)
+        self.freshness = ProvenFreshness(
+            SCHEDULE, lambda: self.version, random.Random(self.seed)
         )
         self.seed += 1
-        self.exchange = Exchange(
+        self.exchange = ProofExchange(
             rng=random.Random(self.seed),
-            send=lambda data, to: self.play.send(self, data, to),
-            newest=self.proof.newest,
-            helps_below_s=TIMES.relay_at_s,
-            kept_s=BOUND_S,
+            send=lambda data, to: self.simulation.send(self, data, to),
+            newest=self.freshness.newest,
+            useful_below_s=SCHEDULE.relay_query_age_s,
+            query_lifetime_s=BOUND_S,
         )
 
     def now(self):
-        return self.offset_s + self.play.time_s * self.rate
+        return self.offset_s + self.simulation.time_s * self.rate
 
-    def take(self, proof):
-        if proof is not None and self.proof.take(proof):
-            self.exchange.improved(self.now())
+    def accept(self, proof):
+        if proof is not None and self.freshness.accept(proof):
+            self.exchange.answer_waiting(self.now())
 
 
-class Play:
-    """A store whose versions each take a key away, and the nodes."""
+class Simulation:
+    """A store each of whose versions revokes a key, and the nodes."""
 
     def __init__(self, rates):
         self.time_s = 0.0
-        self.acked_at = [0.0]
+        self.written_at = [0.0]
         self.nodes = [Node(self, n, r, 10 * n) for n, r in enumerate(rates)]
 
     def send(self, sender, data, to):
@@ -68,126 +68,136 @@
             if node.address == to:
                 node.inbox.append((sender, data))
 
-    def do(self, event):
+    def apply(self, event):
         name, number, other, size = event
         node = self.nodes[number]
         getattr(self, name)(node, self.nodes[other], size)
         for each in self.nodes:
             self.check(each)
 
-    def passes(self, node, other, size):
+    def advance_time(self, node, other, size):
         self.time_s += size
 
-    def writes(self, node, other, size):
-        self.acked_at.append(self.time_s)
+    def write_version(self, node, other, size):
+        self.written_at.append(self.time_s)
 
-    def asks_store(self, node, other, size):
+    def start_read(self, node, other, size):
         node.reads.append([node.now(), None])
 
-    def store_answers(self, node, other, size):
+    def answer_reads(self, node, other, size):
         for read in node.reads:
             if read[1] is None:
-                read[1] = len(self.acked_at) - 1
+                read[1] = len(self.written_at) - 1
 
-    def read_arrives(self, node, other, size):
+    def finish_read(self, node, other, size):
         if node.reads and node.reads[-1][1] is not None:
-            asked_at, version = node.reads.pop()
-            # It may come without the configuration being fetched yet.
+            started_at, version = node.reads.pop()
+            # The proof may arrive before the configuration is fetched.
             if size < 1.0:
                 node.version = max(node.version, version)
-            node.take(FreshnessProof(asked_at, version))
+            node.accept(FreshnessProof(started_at, version))
 
-    def asks_node(self, node, other, size):
-        node.exchange.ask("x", other.address, node.now())
+    def send_query(self, node, other, size):
+        node.exchange.query("x", other.address, node.now())
 
-    def arrives(self, node, other, size):
+    def deliver(self, node, other, size):
         if not node.inbox:
             return
-        at = int(size * 100) % len(node.inbox)
-        sender, data = node.inbox.pop(at)
-        told = node.exchange.received(data, sender.address, node.now())
-        if told is not None:
-            node.take(told[1])
+        index = int(size * 100) % len(node.inbox)
+        sender, data = node.inbox.pop(index)
+        reply = node.exchange.receive(data, sender.address, node.now())
+        if reply is not None:
+            node.accept(reply[1])
 
-    def comes_twice(self, node, other, size):
+    def duplicate(self, node, other, size):
         if node.inbox:
             node.inbox.append(node.inbox[0])
 
-    def is_lost(self, node, other, size):
+    def lose(self, node, other, size):
         if node.inbox:
             node.inbox.pop(0)
 
-    def fetches(self, node, other, size):
+    def fetch_version(self, node, other, size):
         node.version = max(node.version, other.version)
 
-    def is_replaced(self, node, other, size):
+    def restart(self, node, other, size):
         node.start()
 
-    def reads(self, node, other, size):
-        self.asks_store(node, other, size)
-        self.store_answers(node, other, size)
-        self.read_arrives(node, other, size)
+    def read_store(self, node, other, size):
+        self.start_read(node, other, size)
+        self.answer_reads(node, other, size)
+        self.finish_read(node, other, size)
 
-    def hears(self, node, other, size):
-        self.asks_node(node, other, size)
-        self.takes_all(other, node, size)
-        self.takes_all(node, other, size)
+    def query_node(self, node, other, size):
+        self.send_query(node, other, size)
+        self.deliver_all(other, node, size)
+        self.deliver_all(node, other, size)
 
-    def takes_all(self, node, other, size):
+    def deliver_all(self, node, other, size):
         while node.inbox:
-            self.arrives(node, other, 0.0)
+            self.deliver(node, other, 0.0)
 
     def check(self, node):
-        """The proof ends in time though nothing more reaches the node."""
-        age_s = node.proof.age_s(node.now())
-        stands_s = (TIMES.limit_s - age_s) / node.rate
-        newer = self.acked_at[node.version + 1 :]
-        if stands_s <= 0 or not newer:
+        """Asserts that the proof expires in time without further messages."""
+        age_s = node.freshness.age_s(node.now())
+        remaining_s = (SCHEDULE.max_age_s - age_s) / node.rate
+        newer = self.written_at[node.version + 1 :]
+        if remaining_s <= 0 or not newer:
             return
-        assert node.proof.is_fresh(node.now())
-        # The first version that this node lacks took a key away.
-        assert self.time_s + stands_s <= newer[0] + BOUND_S
+        assert node.freshness.is_fresh(node.now())
+        # The first version that this node lacks revoked a key.
+        assert self.time_s + remaining_s <= newer[0] + BOUND_S
 
 
-WHOLE = ["reads", "hears", "passes", "writes", "fetches"]
-PARTS = [
-    *("asks_store", "store_answers", "read_arrives"),
-    *("asks_node", "arrives", "takes_all"),
-    *("comes_twice", "is_lost", "is_replaced"),
+COMPLETE_EVENTS = [
+    "read_store",
+    "query_node",
+    "advance_time",
+    "write_version",
+    "fetch_version",
+]
+PARTIAL_EVENTS = [
+    *("start_read", "answer_reads", "finish_read"),
+    *("send_query", "deliver", "deliver_all"),
+    *("duplicate", "lose", "restart"),
 ]
 EVENTS = st.tuples(
-    st.one_of(st.sampled_from(WHOLE), st.sampled_from(PARTS)),
-    st.integers(0, COUNT - 1),
-    st.integers(0, COUNT - 1),
+    st.one_of(
+        st.sampled_from(COMPLETE_EVENTS), st.sampled_from(PARTIAL_EVENTS)
+    ),
+    st.integers(0, NODE_COUNT - 1),
+    st.integers(0, NODE_COUNT - 1),
     st.sampled_from([0.0, 0.01, 0.3, 1.0, 2.4, 4.0, 4.98]),
 )
 
 
 @settings(max_examples=500, deadline=None, derandomize=True)
 @given(
-    st.lists(st.sampled_from(RATES), min_size=COUNT, max_size=COUNT),
+    st.lists(
+        st.sampled_from(CLOCK_RATES), min_size=NODE_COUNT, max_size=NODE_COUNT
+    ),
     st.lists(EVENTS, min_size=20, max_size=60),
 )
-def test_no_key_taken_away_runs_later_than_the_bound(rates, events):
-    play = Play(rates)
+def test_no_revoked_key_is_accepted_beyond_the_bound(rates, events):
+    simulation = Simulation(rates)
     for event in events:
-        play.do(event)
+        simulation.apply(event)
 
 
-def test_the_play_does_get_proof_across_nodes():
-    play = Play([1.0, 1.0, 1.0])
+def test_simulation_passes_proofs_between_nodes():
+    simulation = Simulation([1.0, 1.0, 1.0])
     for event in (
-        ("asks_store", 0, 0, 0.0),
-        ("store_answers", 0, 0, 0.0),
-        ("read_arrives", 0, 0, 0.0),
-        ("asks_node", 1, 0, 0.0),
-        ("arrives", 0, 0, 0.0),
-        ("arrives", 1, 0, 0.0),
-        ("passes", 0, 0, 4.9),
+        ("start_read", 0, 0, 0.0),
+        ("answer_reads", 0, 0, 0.0),
+        ("finish_read", 0, 0, 0.0),
+        ("send_query", 1, 0, 0.0),
+        ("deliver", 0, 0, 0.0),
+        ("deliver", 1, 0, 0.0),
+        ("advance_time", 0, 0, 4.9),
     ):
-        play.do(event)
+        simulation.apply(event)
 
-    assert [n.proof.is_fresh(n.now()) for n in play.nodes] == [
+    assert [n.freshness.is_fresh(n.now()) for n in simulation.nodes] == [
         True,
         True,
         False,
--- a/src/radishwind/sidecar/recency.py
+++ b/src/radishwind/sidecar/recency.py
@@ -52,7 +52,7 @@
         self.keeper = ProofRenewer(
             node_name=settings.node,
             failure_domain=settings.failure_domain,
-            times=ProofSchedule(settings.revoke_s),
+            schedule=ProofSchedule(settings.revoke_s),
             clock=clock,
             rng=rng,
             directory=directory,
@@ -60,7 +60,7 @@
             routes=routes,
             first_wait_s=start_spread_s(settings),
         )
-        self.proof = self.keeper.proof
+        self.proof = self.keeper.freshness
 
     def start(self, tasks: anyio.abc.TaskGroup, feed: RouteFeed) -> None:
         """Starts the task, which asks the store by `feed`."""
--- a/tests/support/recency_net.py
+++ b/tests/support/recency_net.py
@@ -1,4 +1,7 @@
-"""Nodes that keep proof of recent keys, a store and a network, in a loop."""
+"""Simulated nodes that renew freshness proofs, a store and a network.
+
+They run in an event loop with virtual time.
+"""
 
 import asyncio
 import random
@@ -24,7 +27,7 @@
 BOUND_S = 5.0
 KEYS = OperatorKeys("op/", "op/config", lambda key: None)
 ACCOUNTS = (Account("a", (digest_key("k"),)),)
-WAY_S = 0.001
+DELAY_S = 0.001
 
 
 def read_config(raw, accounts=ACCOUNTS):
@@ -32,24 +35,25 @@
 
 
 class Store:
-    """Counts its calls; `faults` says what each node gets.
+    """A store that counts its calls and has configurable faults.
 
     Attributes:
-      faults: by node name, `busy`, `silent`, or how long an answer takes (s).
+      faults: by node name: `busy`, `silent`, or the duration of a call (s).
+      callers: names of the nodes that called, in order.
     """
 
     def __init__(self):
-        self.version, self.at_revision, self.now_at = 1, 1, 1
+        self.version, self.version_revision, self.revision = 1, 1, 1
         self.calls = 0
         self.faults = {}
-        self.asked_by = []
+        self.callers = []
 
     def write(self, version):
-        self.now_at += 1
-        self.version, self.at_revision = version, self.now_at
+        self.revision += 1
+        self.version, self.version_revision = version, self.revision
 
     def write_other(self):
-        self.now_at += 1
+        self.revision += 1
 
     def for_node(self, name):
         return _Client(self, name)
@@ -59,9 +63,9 @@
     def __init__(self, store, name):
         self._store, self._name = store, name
 
-    async def _answer(self, make):
+    async def _call(self, make_result):
         self._store.calls += 1
-        self._store.asked_by.append(self._name)
+        self._store.callers.append(self._name)
         fault = self._store.faults.get(self._name, 0.004)
         if fault == "busy":
             raise StoreUnavailableError("expected status 200, got 503")
@@ -69,105 +73,117 @@
             await asyncio.sleep(1.0)
             raise StoreAnswerLostError("no answer")
         await asyncio.sleep(fault / 2)
-        made = make()
+        result = make_result()
         await asyncio.sleep(fault / 2)
-        return made
+        return result
 
     async def revision(self):
-        return await self._answer(lambda: self._store.now_at)
+        return await self._call(lambda: self._store.revision)
 
     async def list(self, prefix, limit=0, *, allow_stale=False):
         s = self._store
         raw = str(s.version).encode()
-        return await self._answer(
+        return await self._call(
             lambda: (
-                StoreEntry("op/config", raw, 1, s.at_revision, 0, s.now_at),
+                StoreEntry(
+                    "op/config", raw, 1, s.version_revision, 0, s.revision
+                ),
             )
         )
 
 
-class Nodes(Directory):
-    """The nodes that one knows."""
+class MutableDirectory(Directory):
+    """The nodes that a node knows."""
 
     def __init__(self, members):
-        self.known = list(members)
+        self.current = list(members)
 
     def eligible_members(self, service):
         return self.members()
 
     def members(self):
-        return tuple(self.known)
+        return tuple(self.current)
 
 
 class Node:
-    """One node: its proof, and where its datagrams go."""
+    """One node with its proof; also serves as its peer socket."""
 
-    def __init__(self, net, name, domain, rng, version=1):
-        self.net, self.name = net, name
+    def __init__(self, network, name, domain, rng, version=1):
+        self.network, self.name = network, name
         self.address = Address(name, 1)
-        self.frozen_until = 0.0
+        self.paused_until = 0.0
         self.routes = RoutesInForce(ManualClock())
-        self.known = Nodes(())
-        self.routes.adopt(read_config(version, net.accounts), b"", "test")
-        self.heard = []
+        self.directory = MutableDirectory(())
+        self.routes.adopt(read_config(version, network.accounts), b"", "test")
+        self.newer_versions = []
         self.handler = None
         self.sent = 0
-        self.keeper = ProofRenewer(
+        self.renewer = ProofRenewer(
             node_name=name,
             failure_domain=domain,
-            times=ProofSchedule(BOUND_S),
-            clock=net.clock,
+            schedule=ProofSchedule(BOUND_S),
+            clock=network.clock,
             rng=rng,
-            directory=self.known,
+            directory=self.directory,
             socket=self,
             routes=self.routes,
             first_wait_s=0.15,
         )
         self.side = StoreSide(
             keys=KEYS,
-            store=net.store.for_node(name),
-            clock=net.clock,
+            store=network.store.for_node(name),
+            clock=network.clock,
             rng=rng,
             is_watcher=lambda: False,
-            take_config=self._take,
+            take_config=self._adopt,
             take_emptied=lambda told, source: None,
             emptied=EmptiedDomains,
         )
-        self.keeper.connect(self.side.confirm, self._hear)
+        self.renewer.connect(self.side.confirm, self._on_newer_version)
 
-    # As a socket.
+    # Interface of a peer socket.
     def add(self, channel, handler):
         self.handler = handler
 
     def send(self, channel, data, peers):
         self.sent += 1
         for peer in peers:
-            self.net.send(self, peer, data)
+            self.network.send(self, peer, data)
         return True
 
-    def _take(self, raw, source):
-        self.routes.adopt(read_config(raw, self.net.accounts), raw, source)
+    def _adopt(self, raw, source):
+        self.routes.adopt(read_config(raw, self.network.accounts), raw, source)
         return int(raw)
 
-    def _hear(self, version):
-        self.heard.append(version)
-        if self.net.spreads:
+    def _on_newer_version(self, version):
+        self.newer_versions.append(version)
+        if self.network.delivers_versions:
             loop = asyncio.get_running_loop()
-            loop.call_later(0.05, self._take, str(version).encode(), "peer")
+            loop.call_later(0.05, self._adopt, str(version).encode(), "peer")
 
     def is_fresh(self):
-        return self.keeper.proof.is_fresh(self.net.clock.monotonic())
+        return self.renewer.freshness.is_fresh(self.network.clock.monotonic())
 
     def age_s(self):
-        return self.keeper.proof.age_s(self.net.clock.monotonic())
+        return self.renewer.freshness.age_s(self.network.clock.monotonic())
 
 
-class Net:
-    """The nodes, by name, and what is cut or lost between them."""
+class RecencyNetwork:
+    """The nodes, their store, and the network between them.
 
-    def __init__(self, names, seed=1, accounts=ACCOUNTS, spreads=True):
+    Attributes:
+      nodes: nodes by name.
+      cut: names of nodes whose datagrams are lost.
+      loss: fraction of other datagrams that are lost.
+      delivered: number of datagrams delivered.
+      delivers_versions: whether nodes get a newer version that they hear of.
+    """
+
+    def __init__(
+        self, names, seed=1, accounts=ACCOUNTS, delivers_versions=True
+    ):
         self.clock = LoopClock()
-        self.accounts, self.spreads = accounts, spreads
+        self.accounts, self.delivers_versions = accounts, delivers_versions
         self.rng = random.Random(seed)
         self.store = Store()
         self.cut = set()
@@ -177,26 +193,26 @@
         self._tasks = {}
         for name in names:
             self.start(name)
-        self.meet()
+        self.connect_all()
 
     def start(self, name, version=1):
         rng = random.Random(self.rng.getrandbits(32))
         self.nodes[name] = Node(self, name, name[0], rng, version)
-        keeper = self.nodes[name].keeper
-        self._tasks[name] = asyncio.ensure_future(keeper.run())
+        renewer = self.nodes[name].renewer
+        self._tasks[name] = asyncio.ensure_future(renewer.run())
 
     def kill(self, name):
         self._tasks.pop(name).cancel()
         del self.nodes[name]
 
-    def meet(self):
-        """Lets each node know all."""
+    def connect_all(self):
+        """Makes all nodes known to each other."""
         members = [
             Member(n.name, "s", n.name[0], n.address)
             for n in self.nodes.values()
         ]
         for node in self.nodes.values():
-            node.known.known = members
+            node.directory.current = members
 
     def send(self, sender, peer, data):
         if {sender.name, peer.host} & self.cut:
@@ -204,26 +220,28 @@
         if self.rng.random() < self.loss:
             return
         loop = asyncio.get_running_loop()
-        held_s = max(0.0, sender.frozen_until - loop.time())
-        loop.call_later(held_s + WAY_S, self._deliver, sender, peer.host, data)
+        paused_s = max(0.0, sender.paused_until - loop.time())
+        loop.call_later(
+            paused_s + DELAY_S, self._deliver, sender, peer.host, data
+        )
 
     def _deliver(self, sender, name, data):
         node = self.nodes.get(name)
         if node is None:
             return
         loop = asyncio.get_running_loop()
-        if node.frozen_until > loop.time():
+        if node.paused_until > loop.time():
             loop.call_at(
-                node.frozen_until + 1e-6, self._deliver, sender, name, data
+                node.paused_until + 1e-6, self._deliver, sender, name, data
             )
             return
         self.delivered += 1
         node.handler(data, sender.address)
 
-    async def pass_s(self, seconds):
+    async def advance(self, seconds):
         await asyncio.sleep(seconds)
 
-    def standing(self):
+    def fresh_nodes(self):
         return {name for name, node in self.nodes.items() if node.is_fresh()}
 
     def stop(self):
