--- a/src/radishwind/node/target.py
+++ b/src/radishwind/node/target.py
@@ -69,7 +69,7 @@
     @property
     def ready(self) -> bool:
         """Whether the server beside is known and takes new work."""
-        return self._server.ready
+        return self._server.is_ready
 
     async def run(self) -> None:
         """Probes the server until cancelled."""
--- a/src/radishwind/probing/prober.py
+++ b/src/radishwind/probing/prober.py
@@ -86,11 +86,11 @@
     async def tick(self) -> None:
         """Probes once if the policy allows."""
         view = self._server.view
-        if view is None or not view.health_path or not self._server.listed:
+        if view is None or not view.health_path or not self._server.is_listed:
             return
         now = self._clock.monotonic()
         is_uncertain = (
-            self._server.draining or self._server.warm_fraction(now) < 1
+            self._server.is_draining or self._server.warm_fraction(now) < 1
         )
         occupancy = Occupancy(
             self._admission.slots,
--- a/src/radishwind/probing/tests/test_probing.py
+++ b/src/radishwind/probing/tests/test_probing.py
@@ -121,7 +121,7 @@
     probed.answer = {"state": "draining", "warm": 1.0}
     await probed.prober.tick()
 
-    assert probed.server.draining
+    assert probed.server.is_draining
     assert probed.admission.in_flight == 0
     status = probed.prober.status()
     assert status["probes"] == 1
--- a/src/radishwind/sidecar/control.py
+++ b/src/radishwind/sidecar/control.py
@@ -13,7 +13,7 @@
 from radishwind.outcomes import problem
 from radishwind.platform.heartbeats import Heartbeat
 from radishwind.platform.heartbeats import read_call
-from radishwind.target.leaving import LeavingRecords
+from radishwind.target.leaving_records import LeavingRecords
 from radishwind.target.registered_server import Registration
 from radishwind.target.server_process import ServerProcess
 from radishwind.telemetry.logs import PartLogger
@@ -78,7 +78,7 @@
                 f"{heartbeat.service[:80]!r}",
             )
         told = _registration(heartbeat)
-        if told.leaving:
+        if told.is_leaving:
             return await self._leave(told)
         if self._known():
             self._register(told)
--- a/src/radishwind/sidecar/control_side.py
+++ b/src/radishwind/sidecar/control_side.py
@@ -30,8 +30,8 @@
 from radishwind.sidecar.records import RecordsAtStart
 from radishwind.sidecar.target_side import SidecarTarget
 from radishwind.store.base import Store
-from radishwind.target.leaving import CONTROL_NAME as LEAVING_CONTROL
-from radishwind.target.leaving import LeavingRecords
+from radishwind.target.leaving_records import CONTROL_NAME as LEAVING_CONTROL
+from radishwind.target.leaving_records import LeavingRecords
 
 
 class ControlSide:
--- a/src/radishwind/sidecar/records.py
+++ b/src/radishwind/sidecar/records.py
@@ -5,7 +5,7 @@
 import anyio
 
 from radishwind.core.clock import Clock
-from radishwind.target.leaving import LeavingRecords
+from radishwind.target.leaving_records import LeavingRecords
 
 #: Without the records of the store a node that has found peers goes on after
 #: this time (s), and one that has found nobody after the other.
--- a/src/radishwind/sidecar/tests/test_control.py
+++ b/src/radishwind/sidecar/tests/test_control.py
@@ -95,7 +95,7 @@
     stage.records.keeps = False
 
     assert await stage.beat(FIRST, 2, state="draining") == 503
-    assert stage.server.draining
+    assert stage.server.is_draining
     stage.records.keeps = True
 
     assert await stage.beat(FIRST, 3, state="draining") == 200
--- a/src/radishwind/sidecar/tests/test_forged.py
+++ b/src/radishwind/sidecar/tests/test_forged.py
@@ -44,7 +44,7 @@
 from radishwind.routing.chooser import LoadReport
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.app import SidecarNode
-from radishwind.target.leaving import CONTROL_NAME as LEAVING
+from radishwind.target.leaving_records import CONTROL_NAME as LEAVING
 from radishwind.telemetry.output import BoundedOutput
 
 pytestmark = pytest.mark.anyio
--- a/src/radishwind/target/announcement_handler.py
+++ b/src/radishwind/target/announcement_handler.py
@@ -68,7 +68,7 @@
 
     def _report_unlisted(self, target: str) -> None:
         """Logs once that the inventory does not list the target."""
-        unlisted = self._server.listed is False
+        unlisted = self._server.is_listed is False
         if unlisted and not self._reported_unlisted:
             self._log.error(
                 "The server is not in the inventory and gets no requests.",
--- a/src/radishwind/target/backend_server.py
+++ b/src/radishwind/target/backend_server.py
@@ -97,7 +97,7 @@
         self._reported_warm_fraction: float | None = None
         self._health_draining = False
         self._on_ready_changed = on_ready_changed
-        self._notified_ready = self.ready
+        self._notified_ready = self.is_ready
 
     @property
     def view(self) -> ServerView | None:
@@ -105,14 +105,14 @@
         return self._view
 
     @property
-    def listed(self) -> bool | None:
+    def is_listed(self) -> bool | None:
         """Whether the inventory lists the target; `None` if not known yet."""
         return self._listed
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether the server is known and reports that it accepts new work."""
-        return self._view is not None and not self.draining
+        return self._view is not None and not self.is_draining
 
     @property
     def is_domain_evacuated(self) -> bool:
@@ -120,7 +120,7 @@
         return False
 
     @property
-    def draining(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether the server reports that it accepts no new work."""
         if self._view is None:
             return False
@@ -187,10 +187,10 @@
         self._notify_ready()
 
     def _notify_ready(self) -> None:
-        if self.ready == self._notified_ready:
+        if self.is_ready == self._notified_ready:
             return
-        self._notified_ready = self.ready
-        self._on_ready_changed(self.ready)
+        self._notified_ready = self.is_ready
+        self._on_ready_changed(self.is_ready)
 
     def refusal(self) -> NotRun | None:
         """Returns why nothing may be sent to the server; `None` if it may."""
@@ -206,7 +206,7 @@
                 "The backend server has not announced itself.",
                 _RETRY_AFTER_S,
             )
-        if self.draining:
+        if self.is_draining:
             return NotRun(
                 ResultCode.LEAVING, "The server is draining.", _RETRY_AFTER_S
             )
@@ -232,7 +232,7 @@
             "announced": bool(view.instance),
             "listed": self._listed,
             "address": str(view.address),
-            "state": "draining" if self.draining else str(view.state),
+            "state": "draining" if self.is_draining else str(view.state),
             "warm": round(self.warm_fraction(now), 3),
             "heard_s_ago": (
                 round(now - view.last_announced, 1)
--- a/src/radishwind/target/change_grid.py
+++ b/src/radishwind/target/change_grid.py
@@ -296,7 +296,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Forgets the grid; it is estimated anew."""
+        """Forgets the grid, which is then estimated again."""
         self.interval_s = 0.0
         self._changes.clear()
         self._wide_changes = 0
--- a/src/radishwind/target/exchange_base.py
+++ b/src/radishwind/target/exchange_base.py
@@ -13,13 +13,15 @@
     """Sends calls to the server and determines their outcomes."""
 
     @abc.abstractmethod
-    async def send(self, call: Call, view: ServerView, alone: bool) -> Outcome:
+    async def send(
+        self, call: Call, view: ServerView, is_alone: bool
+    ) -> Outcome:
         """Runs `call` on the server; its deadline has not passed yet.
 
         Args:
           call: the call to run.
           view: the server as last announced.
-          alone: whether nothing else runs on the server meanwhile.
+          is_alone: whether nothing else runs on the server meanwhile.
         """
 
     @abc.abstractmethod
@@ -27,14 +29,14 @@
         self,
         call: Call,
         response: Response,
-        alone: bool,
-        ended: Callable[[], None],
+        is_alone: bool,
+        on_ended: Callable[[], None],
     ) -> Response:
-        """Returns a streamed `response` that calls `ended` once at its end.
+        """Returns a streamed `response` that calls `on_ended` once at its end.
 
         Args:
           call: the call that it answers.
           response: as returned by `send`, with a stream as its body.
-          alone: whether nothing else ran on the server.
-          ended: called when the slot is free again.
+          is_alone: whether nothing else ran on the server.
+          on_ended: called when the slot is free again.
         """
--- a/src/radishwind/target/exchange_recorder.py
+++ b/src/radishwind/target/exchange_recorder.py
@@ -21,7 +21,7 @@
         self._crashes = CrashDetector()
 
     def must_run_alone(self, call: Call) -> bool:
-        """Returns whether nothing else may run on the server beside `call`."""
+        """Returns whether `call` may run only if nothing else runs."""
         return self._quarantine.alone(call)
 
     def refusal(self, call: Call) -> NotRun | None:
@@ -32,17 +32,17 @@
         """Returns the health of the server, from 0 (failing) to 1 (healthy)."""
         return self._health.score(self._clock.monotonic())
 
-    def record_answer(self, call: Call, status: int, alone: bool) -> None:
+    def record_answer(self, call: Call, status: int, is_alone: bool) -> None:
         """Records a complete response.
 
         Args:
           call: the call that it answers.
           status: its HTTP status.
-          alone: whether nothing else ran on the server meanwhile.
+          is_alone: whether nothing else ran on the server meanwhile.
         """
         ok = not is_server_error(status)
         self._health.record_response(ok, self._clock.monotonic())
-        if alone:
+        if is_alone:
             self._quarantine.ran_safely(call)
 
     def record_broken_exchange(self, call: Call) -> None:
@@ -65,7 +65,7 @@
     def record_server_down(self) -> None:
         """Records that the server is gone.
 
-        Exchanges that broke shortly before are taken for the cause of a crash.
+        Exchanges that broke shortly before are taken to have crashed it.
         """
         now = self._clock.monotonic()
         self._quarantine.crashed(self._crashes.gone(now))
--- a/src/radishwind/target/load_monitor.py
+++ b/src/radishwind/target/load_monitor.py
@@ -21,7 +21,7 @@
 IDLE_REPORT_AGE_S = 0.5
 
 #: Time without requests after which change points are no longer tracked (s);
-#: they are learned anew once the server is used.
+#: they are learned again once the server is used.
 FORGET_UNUSED_S = 15.0
 
 #: A server counts as in use for this long after a request (s).
@@ -34,8 +34,9 @@
 LEARNING_S = 4.0
 
 #: The report age while learning where other nodes reported the interval, as a
-#: fraction of that interval. Two changes then identify the grid, and including
-#: the duration of a check each is located well enough to tell it from chance.
+#: fraction of that interval. Two changes then identify the grid: even including
+#: the duration of a check, each is located precisely enough to distinguish the
+#: grid from random changes.
 EXPECTED_REPORT_AGE_FRACTION = 0.07
 
 #: Window of the base pace, the best one reported (s): with a third of the pace
@@ -55,7 +56,8 @@
 
     Attributes:
       load: the latest report; `None` before the first.
-      last_reported: when it arrived, or a check failed (monotonic s).
+      last_reported: when it arrived, or when the latest check that brought no
+        report was sent (monotonic s).
       checks_sent: health checks sent.
       change_grid: when the pace of the server changes.
       pace_statistics: how often the server is slow, and how slow it is then.
@@ -261,7 +263,7 @@
         return not self._learns_for_others()
 
     def _next_grid_check_s(self, now: float) -> float:
-        """Returns the time until the next check beside a change point (s).
+        """Returns the time until the next check around a change point (s).
 
         A check is skipped if a response reported the load since it was due.
         """
--- a/src/radishwind/target/pipeline.py
+++ b/src/radishwind/target/pipeline.py
@@ -101,7 +101,7 @@
     @property
     def is_leaving(self) -> bool:
         """Whether new work is refused, by this node or by the server."""
-        return self._refuses_new_work or self._server.draining
+        return self._refuses_new_work or self._server.is_draining
 
     @property
     def queue_wait_s(self) -> float:
@@ -170,13 +170,13 @@
         if refusal is not None:
             return refusal
         now = self._clock.monotonic()
-        alone = self._recorder.must_run_alone(call)
+        is_alone = self._recorder.must_run_alone(call)
         ticket = Ticket(
             call.caller,
             call.deadline,
             now,
             _no_waiter,
-            alone,
+            is_alone,
             call.aim,
             call.priority,
             call.normal_run_s,
--- a/src/radishwind/target/registered_server.py
+++ b/src/radishwind/target/registered_server.py
@@ -28,7 +28,8 @@
 #: each 1.5 s, and a heartbeat may be seconds late.
 ACCEPT_OLDER_AFTER_S = 4.0
 
-#: Retry-After while the server is down (s); its node informs the others first.
+#: Retry-After while the server is down (s); its node informs the other nodes
+#: first.
 _DOWN_RETRY_AFTER_S = 0.2
 
 #: Retry-After while the failure domain is evacuated (s); servers elsewhere
@@ -47,7 +48,7 @@
       service: the service it provides; empty if not stated.
       address: where it receives requests.
       slots: requests it runs at once.
-      leaving: whether it accepts no new work any more.
+      is_leaving: whether it accepts no new work any more.
       warmup_left_s: remaining time for which it is slow after its start (s).
       sequence: increases with each heartbeat of a process.
       started_ms: its start time by its own clock (ms since the epoch, UTC); 0
@@ -58,7 +59,7 @@
     service: str
     address: Address | None
     slots: int
-    leaving: bool
+    is_leaving: bool
     warmup_left_s: float
     sequence: int
     started_ms: int = 0
@@ -115,8 +116,8 @@
         return self._view.instance if self._view else ""
 
     @property
-    def ready(self) -> bool:
-        return super().ready and self._down_since is None
+    def is_ready(self) -> bool:
+        return super().is_ready and self._down_since is None
 
     @property
     def health_path(self) -> str:
@@ -140,7 +141,7 @@
 
     def register(self, heartbeat: Registration) -> bool:
         """Accepts a heartbeat; returns whether the state changed."""
-        if heartbeat.leaving:
+        if heartbeat.is_leaving:
             return self.mark_leaving(heartbeat.process)
         if self._has_ended(heartbeat.process):
             return False
@@ -159,7 +160,7 @@
         return True
 
     def mark_leaving(self, process: ServerProcess) -> bool:
-        """Marks `process` as leaving for good; returns whether that is news."""
+        """Marks `process` as leaving for good; returns whether that is new."""
         process = self.resolve(process)
         if process.may_equal(self._process):
             # A response stated the incarnation only.
@@ -313,7 +314,11 @@
         )
 
     def _is_outdated(self, process: ServerProcess) -> bool:
-        """Returns whether `process` started before the current one."""
+        """Returns whether a heartbeat of `process` is taken to be outdated.
+
+        It is if the process did not start after the current one, whose own
+        heartbeats still arrive.
+        """
         current = self._process
         if process.incarnation != current.incarnation:
             return False
--- a/src/radishwind/target/server_exchange.py
+++ b/src/radishwind/target/server_exchange.py
@@ -50,7 +50,9 @@
         self._sender = sender
         self._recorder = recorder
 
-    async def send(self, call: Call, view: ServerView, alone: bool) -> Outcome:
+    async def send(
+        self, call: Call, view: ServerView, is_alone: bool
+    ) -> Outcome:
         now = self._clock.monotonic()
         try:
             with TimeLimit(call.deadline - now):
@@ -75,9 +77,11 @@
                 ResultCode.EXCHANGE_TIMEOUT,
                 "The server did not respond in time.",
             )
-        return self._received(call, response, alone)
+        return self._received(call, response, is_alone)
 
-    def _received(self, call: Call, response: Response, alone: bool) -> Outcome:
+    def _received(
+        self, call: Call, response: Response, is_alone: bool
+    ) -> Outcome:
         if _was_shed(response):
             abort_body(response.body)
             return NotRun(
@@ -86,24 +90,26 @@
                 _RETRY_AFTER_S,
             )
         if not isinstance(response.body, BodyStream):
-            self._recorder.record_answer(call, response.status, alone)
+            self._recorder.record_answer(call, response.status, is_alone)
         return Done(strip_node_fields(response))
 
     def wrap_stream(
         self,
         call: Call,
         response: Response,
-        alone: bool,
-        ended: Callable[[], None],
+        is_alone: bool,
+        on_ended: Callable[[], None],
     ) -> Response:
         def on_complete() -> None:
-            self._recorder.record_answer(call, response.status, alone)
+            self._recorder.record_answer(call, response.status, is_alone)
 
         def on_broken() -> None:
             self._recorder.record_broken_exchange(call)
 
         assert isinstance(response.body, BodyStream)
-        body = SlotHoldingStream(response.body, on_complete, on_broken, ended)
+        body = SlotHoldingStream(
+            response.body, on_complete, on_broken, on_ended
+        )
         return Response(
             response.status, response.headers, body, response.body_bytes
         )
@@ -122,7 +128,8 @@
       body: the stream of the response.
       on_complete: called if the response was read to its end.
       on_broken: called if the server cut it off or paused too long.
-      ended: called once when the stream ends for any reason, including abort.
+      on_ended: called once when the stream ends for any reason, including
+        abort.
     """
 
     def __init__(
@@ -130,9 +137,9 @@
         body: BodyStream,
         on_complete: Callable[[], None],
         on_broken: Callable[[], None],
-        ended: Callable[[], None],
+        on_ended: Callable[[], None],
     ) -> None:
-        super().__init__(body, ended)
+        super().__init__(body, on_ended)
         self._on_complete = on_complete
         self._on_broken = on_broken
 
--- a/src/radishwind/target/tests/test_backend_server.py
+++ b/src/radishwind/target/tests/test_backend_server.py
@@ -35,7 +35,7 @@
 def test_callback_runs_once_at_each_change_of_ready():
     changes = []
     server = BackendServer("a", None, changes.append)
-    assert not server.ready
+    assert not server.is_ready
 
     server.accept_announcement(Announcement("a", ADDRESS), 0.0)
     server.accept_announcement(Announcement("a", ADDRESS), 1.0)
@@ -58,7 +58,7 @@
     assert server.refusal() is None
 
     server.record_health(ServerState.DRAINING, None)
-    assert server.draining
+    assert server.is_draining
 
 
 def test_new_start_is_cold_and_warms_up():
--- a/src/radishwind/target/tests/test_leaving_records.py
+++ b/src/radishwind/target/tests/test_leaving_records.py
@@ -13,7 +13,7 @@
 from radishwind.membership.rumor_bus import NullRumorBus
 from radishwind.peers.client import HttpPeerClient
 from radishwind.store.base import StoreUnavailableError
-from radishwind.target.leaving import LeavingRecords
+from radishwind.target.leaving_records import LeavingRecords
 from radishwind.target.server_process import ServerProcess
 
 pytestmark = pytest.mark.anyio
--- a/src/radishwind/target/tests/test_registered_server.py
+++ b/src/radishwind/target/tests/test_registered_server.py
@@ -105,7 +105,7 @@
 
     server.mark_unreachable()
     assert code(server) is ResultCode.SERVER_DOWN
-    assert not server.ready
+    assert not server.is_ready
     server.mark_reachable()
 
     assert code(server) is None
--- a/src/radishwind/target/verifying_exchange.py
+++ b/src/radishwind/target/verifying_exchange.py
@@ -86,7 +86,9 @@
         self._on_replaced = on_replaced
         self.buffer_budget = BufferBudget()
 
-    async def send(self, call: Call, view: ServerView, alone: bool) -> Outcome:
+    async def send(
+        self, call: Call, view: ServerView, is_alone: bool
+    ) -> Outcome:
         self._monitor.record_request()
         left_s = call.deadline - self._clock.monotonic()
         request = self._dialect.build_request(call, view.instance, left_s)
@@ -110,23 +112,25 @@
                 ResultCode.EXCHANGE_TIMEOUT,
                 "The server did not respond in time.",
             )
-        return self._verify(call, view, response, body, alone)
+        return self._verify(call, view, response, body, is_alone)
 
     def wrap_stream(
         self,
         call: Call,
         response: Response,
-        alone: bool,
-        ended: Callable[[], None],
+        is_alone: bool,
+        on_ended: Callable[[], None],
     ) -> Response:
         def on_complete() -> None:
-            self._recorder.record_answer(call, response.status, alone)
+            self._recorder.record_answer(call, response.status, is_alone)
 
         def on_broken() -> None:
             self._recorder.record_broken_exchange(call)
 
         assert not isinstance(response.body, bytes)
-        body = SlotHoldingStream(response.body, on_complete, on_broken, ended)
+        body = SlotHoldingStream(
+            response.body, on_complete, on_broken, on_ended
+        )
         return Response(
             response.status, response.headers, body, response.body_bytes
         )
@@ -137,7 +141,7 @@
         view: ServerView,
         response: Response,
         body: Body,
-        alone: bool,
+        is_alone: bool,
     ) -> Outcome:
         metadata = self._dialect.parse_response(call, response)
         if not metadata.matches_request or not metadata.is_authentic:
@@ -157,7 +161,7 @@
             return Done(
                 Response(response.status, headers, body, response.body_bytes)
             )
-        self._recorder.record_answer(call, response.status, alone)
+        self._recorder.record_answer(call, response.status, is_alone)
         size = len(body)
         if size <= SMALL_BODY_BYTES:
             return Done(Response(response.status, headers, body, size))
--- a/src/radishwind/target/warmup_limiter.py
+++ b/src/radishwind/target/warmup_limiter.py
@@ -3,7 +3,7 @@
 A server that has just started sustains few requests a second, and crashes with
 everything it runs if it gets many more. After a power loss all servers of a
 fleet are cold at once: each server that crashes is cold again after its
-restart, and retrying callers crash it anew for as long as they come. The node
+restart, and retrying callers crash it again for as long as they come. The node
 beside a server is the only one that sends to it, so its count is exact.
 """
 
