--- a/src/radishwind/membership/__init__.py
+++ b/src/radishwind/membership/__init__.py
@@ -1,8 +1,9 @@
-"""Which nodes there are, where, and whether they take new work.
+"""Membership: which nodes exist, where, and whether they take new work.
 
-`gossip` is the state machine, free of sockets and clocks; `facts` says which
-of two facts is newer, `view` derives the data path's directory, `contacts`
-the few addresses in the store by which a new node finds the others.
+`gossip` is the protocol state machine, without sockets or clocks. `records`
+defines member records and rumors and which version is newer. `gossip_directory`
+derives the directory of the data path, and `contact_records` are the few
+addresses in the store by which a new node finds its first peers.
 """
 
 from radishwind.membership.directory import Directory
--- a/src/radishwind/membership/allowlist.py
+++ b/src/radishwind/membership/allowlist.py
@@ -1,4 +1,4 @@
-"""Which announced members may be given work."""
+"""Allowlists of the members that may take work."""
 
 import abc
 from collections.abc import Callable
@@ -8,23 +8,23 @@
 
 
 class MemberAllowlist(abc.ABC):
-    """Says which members may be given work."""
+    """Decides which of the advertised members may take work."""
 
     @abc.abstractmethod
     def version(self) -> object:
-        """Returns an object that is another one after each change."""
+        """Returns an object that is replaced by another at each change."""
 
     @abc.abstractmethod
-    def allows(self, fact: MemberRecord) -> bool:
-        """Returns whether the member of `fact` may be given work."""
+    def allows(self, record: MemberRecord) -> bool:
+        """Returns whether the member of `record` may take work."""
 
     @abc.abstractmethod
     def size(self) -> int:
-        """Returns how many members are listed, as far as that is known."""
+        """Returns the number of members listed; 0 if that isn't known."""
 
 
 class InventoryAllowlist(MemberAllowlist):
-    """Lists what the operators' inventory in force lists."""
+    """Allows the targets of the operators' inventory, as listed there."""
 
     def __init__(self, index: Callable[[], ConfigIndex]) -> None:
         self._index = index
@@ -32,13 +32,13 @@
     def version(self) -> object:
         return self._index()
 
-    def allows(self, fact: MemberRecord) -> bool:
-        target = self._index().targets.get(fact.name)
+    def allows(self, record: MemberRecord) -> bool:
+        target = self._index().targets.get(record.name)
         if target is None:
             return False
         return (
-            target.service == fact.service
-            and target.failure_domain == fact.failure_domain
+            target.service == record.service
+            and target.failure_domain == record.failure_domain
         )
 
     def size(self) -> int:
@@ -46,12 +46,12 @@
 
 
 class OpenAllowlist(MemberAllowlist):
-    """Lists everyone, where servers announce themselves and none is listed."""
+    """Allows every member, for fleets that keep no inventory of servers."""
 
     def version(self) -> object:
         return None
 
-    def allows(self, fact: MemberRecord) -> bool:
+    def allows(self, record: MemberRecord) -> bool:
         return True
 
     def size(self) -> int:
--- a/src/radishwind/membership/change_logger.py
+++ b/src/radishwind/membership/change_logger.py
@@ -1,8 +1,9 @@
-"""Tells changes of membership in sentences, a bounded number in a while.
+"""Logs membership changes, at a bounded rate.
 
-A fleet of thousands joins, or parts of it part, in seconds; a line for each
-member on each node would flood the logs. The first changes of a window are
-told by name, the others are counted and told in one line at its end.
+Thousands of members may join or be partitioned off within seconds, and a line
+for each of them on each node would flood the logs. The first changes of a
+window are logged one by one; the others are counted and summed up in one line
+after its end.
 """
 
 import collections
@@ -13,82 +14,88 @@
 from radishwind.membership.records import Liveness
 from radishwind.membership.records import MemberRecord
 
-#: Length of a window (s), and changes told by name in one.
+#: Length of a window (s), and the number of changes logged one by one in it.
 WINDOW_S = 30.0
 MAX_LINES_PER_WINDOW = 20
 
-Report: TypeAlias = Callable[[str], None]
+LogFunction: TypeAlias = Callable[[str], None]
 
-_WORD_BY_ANNOUNCED = {
+_PHRASE_BY_ADVERTISED = {
     AdvertisedState.SERVING: "joined",
-    AdvertisedState.DRAINING: "drains",
-    AdvertisedState.LEAVING: "leaves",
+    AdvertisedState.DRAINING: "is draining",
+    AdvertisedState.LEAVING: "is leaving",
     AdvertisedState.LEFT: "left",
 }
 
 
 class MembershipChangeLogger:
-    """Tells each change of state of another member once."""
+    """Logs each change of the state of another member once."""
 
-    def __init__(self, own: str, report: Report) -> None:
-        """Makes a teller.
+    def __init__(self, own_name: str, log: LogFunction) -> None:
+        """Initializes the logger.
 
         Args:
-          own: the name of this node, which is not told.
-          report: takes a sentence.
+          own_name: name of this node, whose changes aren't logged.
+          log: called with each line.
         """
-        self._own = own
-        self._report = report
-        self._ends = 0.0
-        self._told = 0
-        self._held: collections.Counter[str] = collections.Counter()
+        self._own_name = own_name
+        self._log = log
+        self._window_end = 0.0
+        self._logged = 0
+        self._suppressed: collections.Counter[str] = collections.Counter()
 
     def record_change(
         self, old: MemberRecord | None, new: MemberRecord | None, now: float
     ) -> None:
-        """Takes the old and the new fact of a member, at monotonic `now`."""
-        if new is None or new.name == self._own:
+        """Logs or counts the change of a member from `old` to `new`.
+
+        Args:
+          old: previous record; `None` if the member is new.
+          new: current record; `None` if the member was forgotten.
+          now: monotonic time (s).
+        """
+        if new is None or new.name == self._own_name:
             return
-        word = _word(old, new)
-        if word is None:
+        phrase = _change_phrase(old, new)
+        if phrase is None:
             return
         self.flush(now)
-        if self._told >= MAX_LINES_PER_WINDOW:
-            self._held[word] += 1
+        if self._logged >= MAX_LINES_PER_WINDOW:
+            self._suppressed[phrase] += 1
             return
-        self._told += 1
-        self._report(f"{new.name} {word} (incarnation {new.incarnation}).")
+        self._logged += 1
+        self._log(f"{new.name} {phrase} (incarnation {new.incarnation}).")
 
     def flush(self, now: float) -> None:
-        """Tells what was held back once the window is over."""
-        if now < self._ends:
+        """Logs the counts of suppressed lines once the window is over."""
+        if now < self._window_end:
             return
-        if self._held:
-            counts = ", ".join(f"{n} {w}" for w, n in self._held.items())
-            self._report(f"Further changes, by count: {counts}.")
-            self._held.clear()
-        self._ends = now + WINDOW_S
-        self._told = 0
-
-
-def _word(old: MemberRecord | None, new: MemberRecord) -> str | None:
-    """Returns what to tell of a change, `None` where the state is the same."""
-    before = None if old is None else _state(old)
-    now = _state(new)
-    if now == before:
+        if self._suppressed:
+            counts = ", ".join(f"{n} {p}" for p, n in self._suppressed.items())
+            self._log(f"Further changes, not logged one by one: {counts}.")
+            self._suppressed.clear()
+        self._window_end = now + WINDOW_S
+        self._logged = 0
+
+
+def _change_phrase(old: MemberRecord | None, new: MemberRecord) -> str | None:
+    """Returns the phrase for a change; `None` if the state is the same."""
+    before = None if old is None else _state_phrase(old)
+    after = _state_phrase(new)
+    if after == before:
         return None
-    if now == "joined" and before == "is suspected":
+    if after == "joined" and before == "is suspected":
         return "is no longer suspected"
-    if now == "joined" and before == "drains":
-        return "drains no longer"
-    return now
+    if after == "joined" and before == "is draining":
+        return "is no longer draining"
+    return after
 
 
-def _state(fact: MemberRecord) -> str:
-    if fact.advertised is AdvertisedState.LEFT:
+def _state_phrase(record: MemberRecord) -> str:
+    if record.advertised is AdvertisedState.LEFT:
         return "left"
-    if fact.liveness is Liveness.DEAD:
+    if record.liveness is Liveness.DEAD:
         return "is dead"
-    if fact.liveness is Liveness.SUSPECT:
+    if record.liveness is Liveness.SUSPECT:
         return "is suspected"
-    return _WORD_BY_ANNOUNCED[fact.advertised]
+    return _PHRASE_BY_ADVERTISED[record.advertised]
--- a/src/radishwind/membership/directory.py
+++ b/src/radishwind/membership/directory.py
@@ -1,4 +1,4 @@
-"""The members a node knows, indexed for the data path."""
+"""Directory of the known members, as the data path reads it."""
 
 import abc
 import dataclasses
@@ -8,7 +8,7 @@
 
 
 class MemberState(enum.StrEnum):
-    """What is believed of a member."""
+    """State of a member as this node sees it."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -19,17 +19,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Member:
-    """One node as announced.
+    """A node as it advertises itself, with its state.
 
     Attributes:
-      name: the name of the target it stands beside; unique.
-      service: the service of that target.
-      failure_domain: where it stands.
-      address: its peer listener.
-      incarnation: raised by the member itself at each start or refutation.
-      state: what is believed of it.
-      config_revision: the newest revision it is known to have in force; kept
-        up to date in `Directory.members` only, and not compared.
+      name: name of the target that the node runs beside; unique.
+      service: service of that target.
+      failure_domain: failure domain in which the node runs.
+      address: address of its peer listener.
+      incarnation: raised by the member itself at each start, change and
+        refutation.
+      state: state as this node sees it.
+      config_revision: configuration revision that the member last reported to
+        apply; current only in `Directory.members`, and not compared.
     """
 
     name: str
@@ -42,18 +43,18 @@
 
 
 class Directory(abc.ABC):
-    """The members a node knows, as of now."""
+    """The members that this node knows at present."""
 
     @abc.abstractmethod
     def eligible_members(self, service: str) -> tuple[Member, ...]:
         """Returns the members of `service` that may take new work.
 
-        The tuple is the same object until the membership changes, so callers
-        may keep what they derive from it. Targets that are missing from the
-        inventory are left out. Suspected members are given only where no
-        other is left.
+        The same tuple object is returned until the membership changes, so
+        callers may cache what they derive from it. Targets that aren't in the
+        inventory are left out. Suspect members are returned only if no other
+        member is left.
         """
 
     @abc.abstractmethod
     def members(self) -> tuple[Member, ...]:
-        """Returns every member known, in order of name."""
+        """Returns every known member, sorted by name."""
--- a/src/radishwind/membership/rumor_bus.py
+++ b/src/radishwind/membership/rumor_bus.py
@@ -1,4 +1,4 @@
-"""Small facts that every node learns within seconds."""
+"""Publish and subscribe for small values that reach all nodes in seconds."""
 
 import abc
 from collections.abc import Callable
@@ -12,38 +12,38 @@
 from radishwind.membership.records import MAX_RUMOR_VALUE_CHARS
 from radishwind.membership.records import Rumor
 
-#: Takes the key and the value of a fact that is new to this node.
+#: Called with the key and the value of a rumor that is new to this node.
 RumorHandler: TypeAlias = Callable[[str, bytes], None]
 
 
 class RumorBus(abc.ABC):
-    """Spreads facts between peers; the newest version of each key wins.
+    """Publishes rumors to all peers; the newest version of each key wins.
 
-    Facts are small (values up to 512 bytes of JSON), rare, and forgotten after
-    their time to live. Load never travels here.
+    Rumors are small (values up to 512 characters of JSON) and rare, and expire
+    after their time to live. Load reports aren't sent this way.
     """
 
     @abc.abstractmethod
     def publish(
         self, topic: str, key: str, version: int, value: bytes, ttl_s: float
     ) -> None:
-        """Spreads a fact.
+        """Publishes a rumor.
 
         Args:
-          topic: the kind of fact, for example `config` or `quarantine`.
-          key: what it is about, unique in the topic.
-          version: grows with each change of the key.
-          value: the fact, JSON.
-          ttl_s: when to forget it (s).
+          topic: the kind of value, for example `config` or `quarantine`.
+          key: identifies the value within its topic.
+          version: grows with each change of the value.
+          value: JSON.
+          ttl_s: time to live (s).
         """
 
     @abc.abstractmethod
     def subscribe(self, topic: str, handler: RumorHandler) -> None:
-        """Calls `handler` for each fact of `topic` new to this node."""
+        """Calls `handler` with each rumor of `topic` new to this node."""
 
 
 class NullRumorBus(RumorBus):
-    """Tells nobody; for a node alone and for tests."""
+    """Drops all rumors; for a node without peers and for tests."""
 
     def publish(
         self, topic: str, key: str, version: int, value: bytes, ttl_s: float
@@ -55,9 +55,10 @@
 
 
 class GossipRumorBus(RumorBus):
-    """Spreads rumors on the messages of membership.
+    """Disseminates rumors by gossip.
 
-    `publish` only adds to the state machine; its daemon is woken by `wake`.
+    `publish` only adds the rumor to the state machine, and calls `wake` so
+    that its driver sends it.
     """
 
     def __init__(
@@ -67,30 +68,34 @@
         self._clock = clock
         self._wake = wake
         self._handlers: dict[str, list[RumorHandler]] = {}
-        gossip.add_rumor_listener(self._heard)
+        gossip.add_rumor_listener(self._on_rumor)
 
     def publish(
         self, topic: str, key: str, version: int, value: bytes, ttl_s: float
     ) -> None:
-        fact = _checked(topic, key, version, value, ttl_s)
-        self._gossip.publish(fact, self._clock.monotonic())
+        rumor = _validated_rumor(topic, key, version, value, ttl_s)
+        self._gossip.publish(rumor, self._clock.monotonic())
         self._wake()
 
     def subscribe(self, topic: str, handler: RumorHandler) -> None:
         self._handlers.setdefault(topic, []).append(handler)
-        for fact in self._gossip.table.rumors():
-            if fact.topic == topic:
-                handler(fact.key, fact.value.encode())
+        for rumor in self._gossip.table.rumors():
+            if rumor.topic == topic:
+                handler(rumor.key, rumor.value.encode())
 
-    def _heard(self, fact: Rumor) -> None:
-        for handler in self._handlers.get(fact.topic, ()):
-            handler(fact.key, fact.value.encode())
+    def _on_rumor(self, rumor: Rumor) -> None:
+        for handler in self._handlers.get(rumor.topic, ()):
+            handler(rumor.key, rumor.value.encode())
 
 
-def _checked(
+def _validated_rumor(
     topic: str, key: str, version: int, value: bytes, ttl_s: float
 ) -> Rumor:
-    """Returns the fact, or raises `ValueError` if peers would refuse it."""
+    """Returns the rumor; its time to live is capped.
+
+    Raises:
+      ValueError: peers would reject a field as malformed.
+    """
     ttl_ms = min(MAX_RUMOR_TTL_MS, int(ttl_s * 1000))
     raw = (topic, key, version, value.decode(), ttl_ms)
     try:
--- a/src/radishwind/membership/tests/test_gossip_directory.py
+++ b/src/radishwind/membership/tests/test_gossip_directory.py
@@ -176,4 +176,4 @@
     setup.node.table.forget_member(name)
 
     assert name not in {m.name for m in setup.directory.members()}
-    assert name not in setup.directory._made
+    assert name not in setup.directory._member_cache
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -64,7 +64,7 @@
 
     assert own_line(lines, "ref-1").fields["code"] in range(3000, 4000)
     assert any("accepts no connections" in x.text for x in lines) or any(
-        "a-2 drains" in x.text for x in lines
+        "a-2 is draining" in x.text for x in lines
     )
 
 
