--- a/src/radishwind/membership/contact_records.py
+++ b/src/radishwind/membership/contact_records.py
@@ -1,9 +1,9 @@
-"""The few addresses kept in the store by which a new node finds the others.
+"""Contact records in the store, by which a new node finds its first peers.
 
-There is one small record for each failure domain. It is read by nodes that
-know nobody and by the few that rank first in their domain, and written only by
-those that find it short or stale, so the store carries a handful of calls an
-hour for each domain however many nodes there are.
+There is one small record of addresses per failure domain. It is read by nodes
+without peers and by the few that rank first in their domain, and written only
+by nodes that find too few or stale contacts in it. So each domain costs the
+store a handful of calls per hour, regardless of the number of nodes.
 """
 
 import msgspec
@@ -13,19 +13,19 @@
 
 CONTACTS_KEY_PREFIX = "/radishwind/contacts/"
 
-#: Addresses kept for each failure domain.
+#: Maximum number of addresses in the record of a failure domain.
 MAX_CONTACTS_PER_DOMAIN = 8
-#: An address that was not confirmed for this long may be replaced (ms).
+#: A contact that wasn't confirmed for this long may be replaced (ms).
 CONTACT_STALE_AFTER_MS = 3 * 3_600_000
-#: A contact confirms its address when it is older than this (ms).
+#: A contact renews its own entry when it is this old (ms).
 CONTACT_RENEW_AFTER_MS = 3_600_000
 
 
 class Contact(msgspec.Struct, frozen=True, array_like=True):
-    """An address of a node and when it was written.
+    """Address of a node and when the node last confirmed it.
 
     Attributes:
-      address: a peer listener, `HOST:PORT`.
+      address: address of a peer listener, `HOST:PORT`.
       confirmed_ms: wall-clock time (ms since the epoch, UTC).
     """
 
@@ -40,12 +40,12 @@
 
 
 def contact_key(failure_domain: str) -> str:
-    """Returns the key of the record of `failure_domain`."""
+    """Returns the store key of the record of `failure_domain`."""
     return CONTACTS_KEY_PREFIX + failure_domain
 
 
 def decode_contact_record(value: bytes) -> ContactRecord:
-    """Returns the record in `value`; an unreadable one counts as empty."""
+    """Returns the record decoded from `value`; empty if it is malformed."""
     try:
         return msgspec.json.decode(value, type=ContactRecord)
     except (msgspec.MsgspecError, UnicodeDecodeError):
@@ -53,8 +53,8 @@
 
 
 def contact_addresses(record: ContactRecord) -> tuple[Address, ...]:
-    """Returns the addresses of `record` that can be read."""
-    parsed = (_parsed(contact.address) for contact in record.contacts)
+    """Returns the valid addresses of `record`."""
+    parsed = (_parse_address(contact.address) for contact in record.contacts)
     return tuple(address for address in parsed if address is not None)
 
 
@@ -63,33 +63,39 @@
     own: Address,
     unreachable: frozenset[Address],
     now_ms: int,
-    most: int = MAX_CONTACTS_PER_DOMAIN,
+    max_contacts: int = MAX_CONTACTS_PER_DOMAIN,
 ) -> ContactRecord | None:
-    """Returns the record with `own` in it, or `None` where it may stay.
+    """Returns `record` with `own` added or confirmed, if that is needed.
 
     Args:
-      record: as read from the store.
-      own: the peer listener of this node.
-      unreachable: contacts that this node found dead.
+      record: the record as read from the store.
+      own: address of this node's peer listener.
+      unreachable: contacts that didn't answer this node.
       now_ms: wall-clock time (ms since the epoch, UTC).
-      most: addresses that the record holds at most.
+      max_contacts: maximum number of addresses in the record.
+
+    Returns:
+      The record to write; `None` if the stored one needs no change.
     """
     kept = [
         contact
         for contact in record.contacts
         if now_ms - contact.confirmed_ms < CONTACT_STALE_AFTER_MS
         and contact.address != str(own)
-        and _parsed(contact.address) not in unreachable
+        and _parse_address(contact.address) not in unreachable
     ]
-    mine = [c for c in record.contacts if c.address == str(own)]
-    if mine and now_ms - mine[0].confirmed_ms < CONTACT_RENEW_AFTER_MS:
+    own_entries = [c for c in record.contacts if c.address == str(own)]
+    if (
+        own_entries
+        and now_ms - own_entries[0].confirmed_ms < CONTACT_RENEW_AFTER_MS
+    ):
         return None
-    if len(kept) >= most:
+    if len(kept) >= max_contacts:
         return None
     return ContactRecord((*kept, Contact(str(own), now_ms)))
 
 
-def _parsed(text: str) -> Address | None:
+def _parse_address(text: str) -> Address | None:
     try:
         return Address.parse(text)
     except ValueError:
--- a/src/radishwind/membership/contact_registry.py
+++ b/src/radishwind/membership/contact_registry.py
@@ -1,4 +1,4 @@
-"""Finds first peers by settings and store, within a budget of store calls."""
+"""Reads and writes the contact records, within a budget of store calls."""
 
 from collections.abc import Callable
 import enum
@@ -26,26 +26,26 @@
 from radishwind.store import StoreError
 from radishwind.store import TokenBucket
 
-_WRITE_TRIES = 3
+_MAX_WRITE_ATTEMPTS = 3
 _MAX_UNREACHABLE = 1_024
-#: Beyond it a wait is at its bound anyway, and a float would overflow.
+#: By then a backoff delay has reached its bound; more would overflow a float.
 _MAX_DOUBLINGS = 16
 
 
 class DiscoveryOptions(msgspec.Struct, frozen=True):
-    """How often the store is asked.
+    """How often the store is called to find peers.
 
     Attributes:
-      spread_s: the first calls wait up to this long, at random (s), so that
-        many nodes that start at once don't call at once.
-      backoff_s: the wait after a first failed call (s); doubles.
-      max_backoff_s: the longest wait (s).
-      check_period_s: time between looks at the own domain's record by the
+      spread_s: upper bound of the random delay of the first calls (s), which
+        keeps nodes that start together from calling together.
+      backoff_s: delay after the first failed call (s); doubles each time.
+      max_backoff_s: longest delay (s).
+      check_period_s: time between checks of the own domain's record by the
         nodes that rank first in it (s).
-      early_checks: looks at short intervals after the start.
-      burst_calls: calls a node may make in a row.
-      calls_per_hour: the rate at which it may make further ones (1/h).
-      contacts: addresses kept for each failure domain.
+      early_checks: number of checks at short intervals after the start.
+      burst_calls: store calls that a node may make in a row.
+      calls_per_hour: rate at which the store calls are replenished (1/h).
+      contacts: maximum number of addresses kept per failure domain.
       prefers_stale_reads: whether contacts are first read from a possibly stale
         replica, which costs some stores less, and linearizably only if that
         list is empty.
@@ -67,12 +67,12 @@
 
 
 class RegistrationResult(enum.Enum):
-    """What became of entering the own address.
+    """Result of registering the own address as a contact.
 
     Attributes:
       FAILED: the store failed; try again.
-      UNCHANGED: the record may stay as it is.
-      WRITTEN: the address was written just now.
+      UNCHANGED: the record needs no change.
+      WRITTEN: the address has just been written.
     """
 
     FAILED = enum.auto()
@@ -81,13 +81,17 @@
 
 
 def backoff_delay_s(options: DiscoveryOptions, doublings: int) -> float:
-    """Returns the wait after `doublings` calls in a row of a kind (s)."""
-    wait_s = options.backoff_s * 2.0 ** min(doublings, _MAX_DOUBLINGS)
-    return min(options.max_backoff_s, wait_s)
+    """Returns the exponential backoff delay after `doublings` doublings (s)."""
+    delay_s = options.backoff_s * 2.0 ** min(doublings, _MAX_DOUBLINGS)
+    return min(options.max_backoff_s, delay_s)
 
 
 class ContactRegistry:
-    """Reads and writes the contact records; counts its calls."""
+    """Reads contact records and registers this node in its domain's record.
+
+    Attributes:
+      calls: number of store calls by kind: `read`, `write`, and those `failed`.
+    """
 
     def __init__(
         self,
@@ -98,21 +102,21 @@
         clock: Clock,
         rng: random.Random,
         options: DiscoveryOptions,
-        listed: Callable[[StoreEntry], None] | None = None,
+        on_listed: Callable[[StoreEntry], None] | None = None,
     ) -> None:
-        """Makes a finder.
+        """Initializes the registry.
 
         Args:
-          store: holds the records.
-          failure_domain: where this node stands.
-          own: where other nodes reach this one.
+          store: store that holds the records.
+          failure_domain: failure domain of this node.
+          own: address at which other nodes reach this one.
           clock: the clock.
-          rng: the random source of pauses.
-          options: how often the store is asked.
-          listed: takes each entry that was listed, also those that lie beside
-            the records and are none.
+          rng: random source of the delays.
+          options: how often the store is called.
+          on_listed: called with each entry listed, including other entries
+            under the same key prefix that aren't contact records.
         """
-        self._on_listed = listed
+        self._on_listed = on_listed
         self._store = store
         self._key = contact_key(failure_domain)
         self._own = own
@@ -125,38 +129,43 @@
             clock.monotonic(),
         )
         self._unreachable: set[Address] = set()
-        # The own domain's record as last known, and its entry where that was
-        # just listed, so that no second call is needed to write it.
+        # The own domain's record as last known.
         self._record = ContactRecord()
-        self._listed: tuple[StoreEntry | None] | None = None
-        # Whether the record is from a list that may have been old.
-        self._listed_stale = False
+        # The record's entry, if it was just listed, so that it can be written
+        # without a second read. The inner `None` means that there is none.
+        self._listed_entry: tuple[StoreEntry | None] | None = None
+        # Whether the record comes from a read that may have been stale.
+        self._is_record_stale = False
         self.calls: dict[str, int] = {"read": 0, "write": 0, "failed": 0}
 
     @property
     def contacts(self) -> tuple[Address, ...]:
-        """The addresses of the own domain's record as last known."""
+        """The addresses in the own domain's record as last known."""
         return contact_addresses(self._record)
 
     def mark_unreachable(self, address: Address) -> None:
-        """Notes that nothing answers at `address`; it may be replaced."""
+        """Records that `address` doesn't answer, so it may be replaced."""
         if len(self._unreachable) >= _MAX_UNREACHABLE:
             self._unreachable.clear()
         self._unreachable.add(address)
 
     def mark_reachable(self, address: Address) -> None:
-        """Notes that a node answers at `address`."""
+        """Records that `address` answers."""
         self._unreachable.discard(address)
 
     async def read_contacts(self, *, newest: bool = False) -> Contacts | None:
-        """Returns all contacts; `None` if the store failed.
+        """Returns the contacts of all failure domains, without this node.
 
-        A list that is seconds old will do where it names anybody: a contact
-        that is gone takes no connection, and one of those still there tells
-        of all others. Where it names nobody the newest is read.
+        A list that is seconds old suffices if it isn't empty: contacts that
+        are gone don't accept connections, and any remaining one knows all
+        other members. An empty stale list is read again from the newest state.
 
         Args:
-          newest: whether an old list won't do, after a write of one's own.
+          newest: whether to skip the stale read, as is needed after a write by
+            this node.
+
+        Returns:
+          The contacts; `None` if the store failed.
         """
         found: Contacts | None = ()
         if self._options.prefers_stale_reads and not newest:
@@ -182,45 +191,47 @@
         records = {e.key: decode_contact_record(e.value) for e in entries}
         self._record = records.get(self._key, ContactRecord())
         own = next((e for e in entries if e.key == self._key), None)
-        self._listed = None if allow_stale else (own,)
-        self._listed_stale = allow_stale
+        self._listed_entry = None if allow_stale else (own,)
+        self._is_record_stale = allow_stale
         found: list[Address] = []
         for record in records.values():
             found += contact_addresses(record)
         return tuple(a for a in dict.fromkeys(found) if a != self._own)
 
     async def register(self) -> RegistrationResult:
-        """Puts this node into the record if that is short.
+        """Adds this node to its domain's record if contacts are missing.
 
-        A record just listed is written at once. Who comes too late waits a
-        random time and looks, so that of many nodes that find the record empty
-        only the first few write. Where the record may stay it makes no call.
+        A record that was just listed is written without another read. A node
+        that loses the race for it waits a random time and reads it again, so
+        that of many nodes that find the record empty only the first few write.
+        If the record just read needs no change, no call is made.
         """
-        if self._listed_stale and self._revised(self._record) is None:
+        if self._is_record_stale and self._updated_record(self._record) is None:
             return RegistrationResult.UNCHANGED
-        written = self.calls["write"]
-        for attempt in range(_WRITE_TRIES):
-            if attempt or self._listed is None:
+        writes_before = self.calls["write"]
+        for attempt in range(_MAX_WRITE_ATTEMPTS):
+            if attempt or self._listed_entry is None:
                 await anyio.sleep(self._rng.random() * self._options.spread_s)
-            done = await self._register_once()
+            result = await self._register_once()
             if (
-                done is RegistrationResult.UNCHANGED
-                and self.calls["write"] > written
+                result is RegistrationResult.UNCHANGED
+                and self.calls["write"] > writes_before
             ):
-                # A write whose answer was lost, or another's: look once more.
+                # The reply to an earlier write was lost, or another node wrote
+                # meanwhile: the caller is to read the contacts once more.
                 return RegistrationResult.WRITTEN
-            if done is not None:
-                return done
+            if result is not None:
+                return result
         return RegistrationResult.FAILED
 
     async def _register_once(self) -> RegistrationResult | None:
-        """Returns what became of it; `None` after a lost race."""
+        """Returns the result of one attempt; `None` if it is to be repeated."""
         try:
             entry = await self._own_entry()
             self._record = (
                 decode_contact_record(entry.value) if entry else ContactRecord()
             )
-            new = self._revised(self._record)
+            new = self._updated_record(self._record)
             if new is None:
                 return RegistrationResult.UNCHANGED
             self._take_token()
@@ -230,7 +241,7 @@
                 (Put(self._key, msgspec.json.encode(new)),),
             )
         except StoreAnswerLostError:
-            # A second look settles it: the record has this node or not.
+            # The next attempt reads whether the record contains this node.
             self.calls["failed"] += 1
             return None
         except StoreBudgetError:
@@ -244,8 +255,8 @@
         return RegistrationResult.WRITTEN
 
     async def _own_entry(self) -> StoreEntry | None:
-        """Returns the own domain's record, as listed just before or anew."""
-        listed, self._listed = self._listed, None
+        """Returns the own domain's entry, from the last list or the store."""
+        listed, self._listed_entry = self._listed_entry, None
         if listed is not None:
             return listed[0]
         self._take_token()
@@ -253,12 +264,20 @@
         return await self._store.get(self._key)
 
     def _take_token(self) -> None:
-        """Raises `StoreBudgetError` where no call is left."""
+        """Takes one store call from the budget.
+
+        Raises:
+          StoreBudgetError: the budget is exhausted.
+        """
         if not self._budget.take(self._clock.monotonic()):
-            raise StoreBudgetError("contacts: not sent, budget spent")
+            raise StoreBudgetError(
+                "contacts: not sent, store call budget spent"
+            )
 
-    def _revised(self, record: ContactRecord) -> ContactRecord | None:
+    def _updated_record(self, record: ContactRecord) -> ContactRecord | None:
         now_ms = self._clock.wall_ms()
-        dead = frozenset(self._unreachable)
-        most = self._options.contacts
-        return updated_record(record, self._own, dead, now_ms, most)
+        unreachable = frozenset(self._unreachable)
+        max_contacts = self._options.contacts
+        return updated_record(
+            record, self._own, unreachable, now_ms, max_contacts
+        )
--- a/src/radishwind/membership/tests/test_contact_registry.py
+++ b/src/radishwind/membership/tests/test_contact_registry.py
@@ -1,4 +1,4 @@
-"""First peers by the store: few calls, no storm, no lost entry."""
+"""Contact records in the store: few calls, no write storm, no lost entry."""
 
 import random
 
@@ -42,14 +42,14 @@
     return "asyncio"
 
 
-class Platform:
+class StoreSetup:
     def __init__(self):
         self.clock = ManualClock()
         self.sender = DirectSender()
         self.standin = StoreStandin(self.clock)
         self.sender.handlers[STORE] = self.standin.handle
 
-    def finder(self, number, options=OPTIONS):
+    def make_registry(self, number, options=OPTIONS):
         return ContactRegistry(
             store=EtcdStore(self.sender, STORE),
             failure_domain="genova-a",
@@ -68,13 +68,13 @@
 OWN = Address("10.0.0.1", 99)
 
 
-def test_short_record_is_joined():
+def test_node_is_added_to_a_record_with_room():
     new = updated_record(ContactRecord((contact(1),)), OWN, frozenset(), NOW_MS)
 
     assert contact_addresses(new) == (Address("10.0.0.1", 1), OWN)
 
 
-def test_full_record_stays():
+def test_full_record_is_unchanged():
     record = ContactRecord(
         tuple(contact(n) for n in range(MAX_CONTACTS_PER_DOMAIN))
     )
@@ -89,7 +89,7 @@
         (0, frozenset({Address("10.0.0.1", 3)})),
     ],
 )
-def test_stale_or_dead_contact_is_replaced(age_ms, unreachable):
+def test_stale_or_unreachable_contact_is_replaced(age_ms, unreachable):
     contacts = [contact(n) for n in range(MAX_CONTACTS_PER_DOMAIN)]
     contacts[3] = contact(3, age_ms)
 
@@ -105,7 +105,7 @@
 @pytest.mark.parametrize(
     ("age_ms", "renewed"), [(0, False), (CONTACT_RENEW_AFTER_MS, True)]
 )
-def test_own_entry_is_confirmed_when_old(age_ms, renewed):
+def test_own_entry_is_renewed_when_old(age_ms, renewed):
     record = ContactRecord((contact(OWN.port, age_ms),))
 
     assert (
@@ -114,130 +114,130 @@
 
 
 @given(st.binary(max_size=60))
-def test_unreadable_record_counts_as_empty(data):
+def test_malformed_record_counts_as_empty(data):
     assert contact_addresses(decode_contact_record(data)) == ()
 
 
-async def test_of_many_that_start_at_once_few_write():
-    platform = Platform()
-    finders = [platform.finder(number) for number in range(1, 41)]
+async def test_few_of_many_nodes_that_start_together_write():
+    setup = StoreSetup()
+    registries = [setup.make_registry(number) for number in range(1, 41)]
 
     async with anyio.create_task_group() as tasks:
-        for finder in finders:
-            tasks.start_soon(finder.register)
+        for registry in registries:
+            tasks.start_soon(registry.register)
 
-    entry = await EtcdStore(platform.sender, STORE).get(contact_key("genova-a"))
+    entry = await EtcdStore(setup.sender, STORE).get(contact_key("genova-a"))
     assert (
         len(decode_contact_record(entry.value).contacts)
         == MAX_CONTACTS_PER_DOMAIN
     )
-    assert platform.standin.calls["txn"] <= 3 * len(finders)
-    assert all(sum(f.calls.values()) <= 6 for f in finders)
+    assert setup.standin.calls["txn"] <= 3 * len(registries)
+    assert all(sum(r.calls.values()) <= 6 for r in registries)
 
 
-async def test_record_that_may_stay_costs_no_further_call():
-    platform = Platform()
+async def test_record_that_needs_no_change_costs_no_further_call():
+    setup = StoreSetup()
     for number in range(1, MAX_CONTACTS_PER_DOMAIN + 1):
-        await platform.finder(number).register()
-    finder = platform.finder(99)
+        await setup.make_registry(number).register()
+    registry = setup.make_registry(99)
 
-    await finder.read_contacts()
-    entered = await finder.register()
+    await registry.read_contacts()
+    result = await registry.register()
 
-    assert entered is RegistrationResult.UNCHANGED
-    assert finder.calls == {"read": 1, "write": 0, "failed": 0}
+    assert result is RegistrationResult.UNCHANGED
+    assert registry.calls == {"read": 1, "write": 0, "failed": 0}
 
 
-async def test_contact_that_is_found_dead_is_replaced():
-    platform = Platform()
+async def test_contact_marked_unreachable_is_replaced():
+    setup = StoreSetup()
     for number in range(1, MAX_CONTACTS_PER_DOMAIN + 1):
-        await platform.finder(number).register()
-    finder = platform.finder(99)
-    finder.mark_unreachable(Address("10.0.0.1", 3))
+        await setup.make_registry(number).register()
+    registry = setup.make_registry(99)
+    registry.mark_unreachable(Address("10.0.0.1", 3))
 
-    await finder.read_contacts()
-    await finder.register()
+    await registry.read_contacts()
+    await registry.register()
 
-    contacts = await platform.finder(100).read_contacts()
+    contacts = await setup.make_registry(100).read_contacts()
     assert Address("10.0.0.1", 99) in contacts
     assert Address("10.0.0.1", 3) not in contacts
 
 
-async def test_lost_answer_is_settled_by_a_look_not_by_a_second_write():
-    platform = Platform()
-    finder = platform.finder(1)
-    platform.sender.next_faults = [None, Fault.ANSWER_LOST]
+async def test_write_with_a_lost_reply_is_settled_by_a_read():
+    setup = StoreSetup()
+    registry = setup.make_registry(1)
+    setup.sender.next_faults = [None, Fault.ANSWER_LOST]
 
-    entered = await finder.register()
+    result = await registry.register()
 
-    assert entered is RegistrationResult.WRITTEN
-    assert platform.standin.calls["txn"] == 1
+    assert result is RegistrationResult.WRITTEN
+    assert setup.standin.calls["txn"] == 1
 
 
-async def test_record_just_listed_is_written_without_a_second_look():
-    platform = Platform()
-    finder = platform.finder(1)
+async def test_record_just_listed_is_written_without_another_read():
+    setup = StoreSetup()
+    registry = setup.make_registry(1)
 
-    await finder.read_contacts()
-    entered = await finder.register()
+    await registry.read_contacts()
+    result = await registry.register()
 
-    assert entered is RegistrationResult.WRITTEN
-    assert finder.calls == {"read": 1, "write": 1, "failed": 0}
-    assert finder.contacts == (Address("10.0.0.1", 1),)
+    assert result is RegistrationResult.WRITTEN
+    assert registry.calls == {"read": 1, "write": 1, "failed": 0}
+    assert registry.contacts == (Address("10.0.0.1", 1),)
 
 
-async def test_record_listed_before_another_wrote_is_read_again():
-    platform = Platform()
-    finder = platform.finder(1)
-    await finder.read_contacts()
-    await platform.finder(2).register()
+async def test_record_written_by_another_node_since_is_read_again():
+    setup = StoreSetup()
+    registry = setup.make_registry(1)
+    await registry.read_contacts()
+    await setup.make_registry(2).register()
 
-    entered = await finder.register()
+    result = await registry.register()
 
-    assert entered is RegistrationResult.WRITTEN
-    assert finder.contacts == (Address("10.0.0.1", 2), Address("10.0.0.1", 1))
+    assert result is RegistrationResult.WRITTEN
+    assert registry.contacts == (Address("10.0.0.1", 2), Address("10.0.0.1", 1))
 
 
-async def test_store_that_fails_is_told_apart_from_a_record_that_stands():
-    platform = Platform()
-    platform.sender.faults[STORE] = Fault.REFUSED
+async def test_store_failure_is_reported():
+    setup = StoreSetup()
+    setup.sender.faults[STORE] = Fault.REFUSED
 
-    assert await platform.finder(1).register() is RegistrationResult.FAILED
+    assert await setup.make_registry(1).register() is RegistrationResult.FAILED
 
 
-async def test_a_record_holds_no_more_than_is_wanted():
-    platform = Platform()
+async def test_record_holds_at_most_the_configured_contacts():
+    setup = StoreSetup()
     options = DiscoveryOptions(spread_s=0.0, contacts=3)
     for number in range(1, 6):
-        await platform.finder(number, options).register()
+        await setup.make_registry(number, options).register()
 
-    assert len(await platform.finder(9).read_contacts()) == 3
+    assert len(await setup.make_registry(9).read_contacts()) == 3
 
 
-async def test_store_that_is_down_costs_no_more_than_the_budget():
-    platform = Platform()
-    platform.sender.faults[STORE] = Fault.REFUSED
-    finder = platform.finder(1)
+async def test_calls_to_a_store_that_is_down_stay_within_the_budget():
+    setup = StoreSetup()
+    setup.sender.faults[STORE] = Fault.REFUSED
+    registry = setup.make_registry(1)
 
-    results = [await finder.read_contacts() for _ in range(50)]
+    results = [await registry.read_contacts() for _ in range(50)]
 
     assert set(results) == {None}
-    assert len(platform.sender.sent) == OPTIONS.burst_calls
+    assert len(setup.sender.sent) == OPTIONS.burst_calls
 
 
-async def test_contacts_of_all_domains_are_read_by_one_call():
-    platform = Platform()
-    await platform.finder(1).register()
-    await platform.finder(2).register()
-    calls = len(platform.sender.sent)
+async def test_contacts_are_read_by_one_call():
+    setup = StoreSetup()
+    await setup.make_registry(1).register()
+    await setup.make_registry(2).register()
+    calls = len(setup.sender.sent)
 
-    contacts = await platform.finder(3).read_contacts()
+    contacts = await setup.make_registry(3).read_contacts()
 
     assert contacts == (Address("10.0.0.1", 1), Address("10.0.0.1", 2))
-    assert len(platform.sender.sent) == calls + 1
+    assert len(setup.sender.sent) == calls + 1
 
 
-def test_budget_refills_by_time():
+def test_call_budget_is_replenished_over_time():
     options = DiscoveryOptions()
     budget = TokenBucket(options.calls_per_hour / 3600, 2, 0.0)
     taken = [budget.take(0.0) for _ in range(3)]
@@ -247,17 +247,17 @@
     assert not budget.take(60.0)
 
 
-def test_wait_stays_bounded_in_a_store_outage_of_days():
+def test_backoff_stays_bounded_during_a_long_store_outage():
     options = DiscoveryOptions(backoff_s=0.5, max_backoff_s=60.0)
 
-    waits_s = [
+    delays_s = [
         backoff_delay_s(options, failures) for failures in (1, 2, 7, 5_000)
     ]
 
-    assert waits_s == [1.0, 2.0, 60.0, 60.0]
+    assert delays_s == [1.0, 2.0, 60.0, 60.0]
 
 
-def test_all_nodes_name_the_same_first_few():
+def test_ranking_selects_the_requested_number_of_names():
     names = [f"target-{number}" for number in range(50)]
 
     first = [n for n in names if ranks_among_first(n, names, 8)]
@@ -265,77 +265,81 @@
     assert len(first) == 8
 
 
-class Remembering(EtcdStore):
-    """A store that answers stale reads with what it was given as old."""
+class StaleReadStore(EtcdStore):
+    """Store that answers stale reads with the entries set by the test."""
 
     def __init__(self, sender):
         super().__init__(sender, STORE)
-        self.old = ()
-        self.asked = []
+        self.stale_entries = ()
+        self.reads = []
 
     async def list(self, prefix, limit=0, *, allow_stale=False):
-        self.asked.append("stale" if allow_stale else "newest")
+        self.reads.append("stale" if allow_stale else "newest")
         if allow_stale:
-            return self.old
+            return self.stale_entries
         return await super().list(prefix, limit)
 
 
 @pytest.fixture
-def remembering():
-    platform = Platform()
-    store = Remembering(platform.sender)
+def stale_read_store():
+    setup = StoreSetup()
+    store = StaleReadStore(setup.sender)
 
-    def finder(number):
+    def make_registry(number):
         return ContactRegistry(
             store=store,
             failure_domain="genova-a",
             own=Address("10.0.0.1", number),
-            clock=platform.clock,
+            clock=setup.clock,
             rng=random.Random(number),
             options=msgspec.structs.replace(OPTIONS, prefers_stale_reads=True),
         )
 
-    return store, finder
+    return store, make_registry
 
 
-async def enter(finder):
-    await finder.read_contacts()
-    await finder.register()
+async def read_and_register(registry):
+    await registry.read_contacts()
+    await registry.register()
 
 
-async def test_old_contacts_will_do_where_they_name_somebody(remembering):
-    store, finder = remembering
-    await enter(finder(1))
-    store.old = await EtcdStore.list(store, CONTACTS_KEY_PREFIX)
-    store.asked.clear()
+async def test_stale_contacts_suffice_if_there_are_any(stale_read_store):
+    store, make_registry = stale_read_store
+    await read_and_register(make_registry(1))
+    store.stale_entries = await EtcdStore.list(store, CONTACTS_KEY_PREFIX)
+    store.reads.clear()
 
-    assert await finder(2).read_contacts() == (Address("10.0.0.1", 1),)
-    assert store.asked == ["stale"]
+    assert await make_registry(2).read_contacts() == (Address("10.0.0.1", 1),)
+    assert store.reads == ["stale"]
 
 
-async def test_the_newest_are_read_where_the_old_ones_name_nobody(remembering):
-    store, finder = remembering
-    await enter(finder(1))
-    store.asked.clear()
+async def test_newest_contacts_are_read_if_there_are_no_stale_ones(
+    stale_read_store,
+):
+    store, make_registry = stale_read_store
+    await read_and_register(make_registry(1))
+    store.reads.clear()
 
-    assert await finder(2).read_contacts() == (Address("10.0.0.1", 1),)
-    assert store.asked == ["stale", "newest"]
+    assert await make_registry(2).read_contacts() == (Address("10.0.0.1", 1),)
+    assert store.reads == ["stale", "newest"]
 
 
-async def test_who_wrote_just_now_reads_the_newest(remembering):
-    store, finder = remembering
-    store.old = (StoreEntry(contact_key("genova-b"), b"{}", 1, 1),)
+async def test_newest_read_skips_the_stale_one(stale_read_store):
+    store, make_registry = stale_read_store
+    store.stale_entries = (StoreEntry(contact_key("genova-b"), b"{}", 1, 1),)
 
-    await finder(1).read_contacts(newest=True)
+    await make_registry(1).read_contacts(newest=True)
 
-    assert store.asked == ["newest"]
+    assert store.reads == ["newest"]
 
 
-async def test_an_own_entry_in_old_contacts_stands_without_a_call(remembering):
-    store, finder = remembering
-    await enter(finder(1))
-    store.old = await EtcdStore.list(store, CONTACTS_KEY_PREFIX)
-    again = finder(1)
+async def test_own_entry_in_stale_contacts_costs_no_further_call(
+    stale_read_store,
+):
+    store, make_registry = stale_read_store
+    await read_and_register(make_registry(1))
+    store.stale_entries = await EtcdStore.list(store, CONTACTS_KEY_PREFIX)
+    again = make_registry(1)
     await again.read_contacts()
     calls = dict(again.calls)
 
--- a/src/radishwind/node/membership_tasks.py
+++ b/src/radishwind/node/membership_tasks.py
@@ -120,7 +120,7 @@
             clock=clock,
             rng=rng,
             options=discovery,
-            listed=listed,
+            on_listed=listed,
         )
         self._search = PeerSearch(
             settings=settings,
--- a/src/radishwind/node/tests/test_peer_search.py
+++ b/src/radishwind/node/tests/test_peer_search.py
@@ -137,7 +137,7 @@
     monkeypatch.setattr(node.finder._store, call, fail)
     if call == "get":
         # A first write that lost its race reads once more.
-        monkeypatch.setattr(node.finder, "_listed", None)
+        monkeypatch.setattr(node.finder, "_listed_entry", None)
         monkeypatch.setattr(node.finder, "read_contacts", _nobody)
 
     await node.search._look()
