--- a/src/radishwind/target/announcement_handler.py
+++ b/src/radishwind/target/announcement_handler.py
@@ -16,7 +16,7 @@
 from radishwind.telemetry.logs import PartLogger
 
 #: The largest body of an announcement (bytes); a larger one is not read.
-MAX_BYTES = 4096
+MAX_ANNOUNCEMENT_BYTES = 4096
 
 _decoder = msgspec.json.Decoder(Announcement)
 _NO_CONTENT = Response(204)
@@ -45,8 +45,13 @@
 
     async def handle(self, request: Request) -> Response:
         """Handles one announcement; responds with 204 if it was accepted."""
-        if request.body_bytes is None or request.body_bytes > MAX_BYTES:
-            return _refused(f"expected a body of at most {MAX_BYTES} bytes")
+        if (
+            request.body_bytes is None
+            or request.body_bytes > MAX_ANNOUNCEMENT_BYTES
+        ):
+            return _refused(
+                f"expected a body of at most {MAX_ANNOUNCEMENT_BYTES} bytes"
+            )
         try:
             announcement = _decoder.decode(await whole_body(request.body))
             is_new = self._server.accept_announcement(
--- a/src/radishwind/target/load_poller.py
+++ b/src/radishwind/target/load_poller.py
@@ -68,7 +68,7 @@
                 await self._wait(wait_s)
                 continue
             self._monitor.record_check_sent()
-            await self.check(view)
+            await self.send_check(view)
 
     async def _wait(self, for_s: float) -> None:
         """Waits until a check is due or an idle server is used.
@@ -83,7 +83,7 @@
             await self._use_resumed.wait()
         self._use_resumed = anyio.Event()
 
-    async def check(self, view: ServerView) -> None:
+    async def send_check(self, view: ServerView) -> None:
         """Sends one health check; a failed one also delays the next."""
         self._monitor.checks_sent += 1
         began = self._clock.monotonic()
--- a/src/radishwind/target/registered_server.py
+++ b/src/radishwind/target/registered_server.py
@@ -200,10 +200,10 @@
         )
 
     def record_answering_incarnation(
-        self, meant: str, incarnation: str
+        self, addressed: str, incarnation: str
     ) -> None:
-        """Records that `incarnation` answered a request for `meant`."""
-        if meant != self.incarnation or not incarnation:
+        """Records that `incarnation` answered a request for `addressed`."""
+        if addressed != self.incarnation or not incarnation:
             return
         self._remember_ended(self._process)
         view = self._view
@@ -218,7 +218,7 @@
         self._start_process(ServerProcess(incarnation), 0)
         self._log.change(
             "Another incarnation answers at the server's address.",
-            meant=meant,
+            meant=addressed,
             answered=incarnation,
         )
         self._notify_ready()
