--- a/src/radishwind/quotas/lender_map.py
+++ b/src/radishwind/quotas/lender_map.py
@@ -70,7 +70,7 @@
 
         Args:
           live: names of the nodes that are presumed reachable and not leaving.
-          known: number of nodes that may exist, suspected dead ones included.
+          known: number of nodes that may exist, including those believed dead.
           now: monotonic time (s).
         """
         names = frozenset(live) or frozenset((self.own_name,))
--- a/src/radishwind/quotas/messages.py
+++ b/src/radishwind/quotas/messages.py
@@ -23,7 +23,8 @@
 
     Attributes:
       account: name of the account.
-      session: identifies the counts below, which begin at zero; increases.
+      session: identifies the counts below; increases. A new session begins
+        with the use that no lender has acknowledged.
       admitted: requests admitted in this session.
       refunded: of these, those refunded since they did not run.
       admitted_acked: value of `admitted` that a lender has acknowledged.
--- a/src/radishwind/quotas/token_lease.py
+++ b/src/radishwind/quotas/token_lease.py
@@ -15,8 +15,8 @@
 class TokenLease:
     """State of one account at a node that receives requests of it.
 
-    The counts of a session begin at zero. A new session begins with each change
-    of the lender.
+    A new session begins with each change of the lender. Its counts begin with
+    the use that the previous lender has not acknowledged.
 
     Attributes:
       lender: name of the lender.
