--- a/bench/membership_states.py
+++ b/bench/membership_states.py
@@ -7,8 +7,8 @@
 import tracemalloc
 from typing import Any
 
-from tests.support.gossip_net import GossipNet
-from tests.support.gossip_net import member_record
+from tests.support.gossip_simulation import GossipSimulation
+from tests.support.gossip_simulation import member_record
 
 from radishwind.config import Configuration
 from radishwind.config.index import ConfigIndex
@@ -41,14 +41,14 @@
 
 def load_row(size: int, seed: int, seconds: float, churn: bool) -> Row:
     """Returns messages, payload bytes and CPU of nodes that know each other."""
-    net = GossipNet(seed=seed, coded=True)
-    net.fill(size)
-    net.run(_SETTLE_S)
+    net = GossipSimulation(seed=seed, encode_messages=True)
+    net.start_known_nodes(size)
+    net.run_for(_SETTLE_S)
     net.messages = net.bytes = 0
     if churn:
         _schedule_churn(net, size, seconds)
     began = time.process_time()
-    net.run(seconds)
+    net.run_for(seconds)
     cpu_s = time.process_time() - began
     per_node = size * seconds
     return {
@@ -61,7 +61,7 @@
     }
 
 
-def _schedule_churn(net: GossipNet, size: int, seconds: float) -> None:
+def _schedule_churn(net: GossipSimulation, size: int, seconds: float) -> None:
     rng = random.Random(net.rng.random())
     at = net.now
     version = 0
@@ -74,12 +74,14 @@
             fact = Rumor(
                 "config", "root", version, '{"revision":1,"id":"x"}', 30_000
             )
-            net.at(at, _publisher(net, number, fact))
+            net.schedule(at, _publisher(net, number, fact))
         else:
-            net.at(at, _turner(net, number))
+            net.schedule(at, _turner(net, number))
 
 
-def _publisher(net: GossipNet, number: int, fact: Rumor) -> Callable[[], None]:
+def _publisher(
+    net: GossipSimulation, number: int, fact: Rumor
+) -> Callable[[], None]:
     def publish() -> None:
         net.nodes[number].publish(fact, net.now)
         net.send(number, net.nodes[number].tick(net.now))
@@ -87,7 +89,7 @@
     return publish
 
 
-def _turner(net: GossipNet, number: int) -> Callable[[], None]:
+def _turner(net: GossipSimulation, number: int) -> Callable[[], None]:
     def turn() -> None:
         node = net.nodes[number]
         new = AdvertisedState.DRAINING
@@ -100,18 +102,18 @@
 
 def spread_row(size: int, seed: int) -> Row:
     """Returns the times for a leave, a death and a rumour to reach all."""
-    net = GossipNet(seed=seed)
+    net = GossipSimulation(seed=seed)
     if size > _MOST_FULL:
         # Partial tables never become equal: anti-entropy would not end.
         net.options = GossipOptions(sync_period_s=1e9)
         _fill_views(net, size)
     else:
-        net.fill(size)
-    net.run(_SETTLE_S)
+        net.start_known_nodes(size)
+    net.run_for(_SETTLE_S)
     net.send(1, net.nodes[1].advertise(AdvertisedState.LEAVING, net.now))
     leave = _time_to_all(
         net,
-        lambda: net.count_holding(
+        lambda: net.count_nodes_holding(
             1, lambda f: f.advertised is AdvertisedState.LEAVING
         ),
     )
@@ -130,21 +132,25 @@
     return row
 
 
-def _death_s(net: GossipNet) -> float | None:
-    net.kill(3)
-    return _time_to_all(net, lambda: net.count_holding(3, lambda f: f.is_gone))
+def _death_s(net: GossipSimulation) -> float | None:
+    net.crash(3)
+    return _time_to_all(
+        net, lambda: net.count_nodes_holding(3, lambda f: f.is_gone)
+    )
 
 
-def _time_to_all(net: GossipNet, count: Callable[[], int]) -> float | None:
+def _time_to_all(
+    net: GossipSimulation, count: Callable[[], int]
+) -> float | None:
     size = len(net.nodes)
     return net.run_until(lambda: count() == size, _LIMIT_S, 0.05)
 
 
-def _fill_views(net: GossipNet, size: int) -> None:
+def _fill_views(net: GossipSimulation, size: int) -> None:
     """Starts nodes that know some of the others each, to save memory."""
     facts = [member_record(number) for number in range(size)]
     for number in range(size):
-        node = net.add(number)
+        node = net.start_node(number)
         for fact in net.rng.sample(facts, _VIEW):
             node.table.merge_member(fact)
     net.discard_pending_updates()
@@ -152,9 +158,9 @@
 
 def start_row(size: int, seed: int) -> Row:
     """Returns what a start of all at once costs, by eight contacts."""
-    net = GossipNet(seed=seed, coded=True)
+    net = GossipSimulation(seed=seed, encode_messages=True)
     for number in range(size):
-        net.add(number)
+        net.start_node(number)
         net.join(number, range(8))
     took = net.run_until(
         lambda: all(len(n.table.members) == size for n in net.nodes.values()),
@@ -170,11 +176,13 @@
 
 def merge_row(size: int, seed: int) -> Row:
     """Returns how long two sides apart for ten minutes take to merge."""
-    net = GossipNet(seed=seed, coded=True)
-    net.fill(size)
-    net.side = {number: int(number >= size // 3) for number in range(size)}
-    net.run(600.0)
-    net.side = {}
+    net = GossipSimulation(seed=seed, encode_messages=True)
+    net.start_known_nodes(size)
+    net.partitions = {
+        number: int(number >= size // 3) for number in range(size)
+    }
+    net.run_for(600.0)
+    net.partitions = {}
     net.bytes = 0
 
     def merged() -> bool:
--- a/src/radishwind/membership/tests/test_gossip.py
+++ b/src/radishwind/membership/tests/test_gossip.py
@@ -1,10 +1,10 @@
-"""Failure detection and spreading, on many state machines in one process."""
+"""Failure detection and dissemination, simulated on many nodes."""
 
 import random
 
 import pytest
-from tests.support.gossip_net import GossipNet
-from tests.support.gossip_net import member_record
+from tests.support.gossip_simulation import GossipSimulation
+from tests.support.gossip_simulation import member_record
 
 from radishwind.membership import AdvertisedState
 from radishwind.membership import GossipOptions
@@ -18,20 +18,20 @@
 
 @pytest.fixture
 def net():
-    net = GossipNet()
-    net.fill(SIZE)
-    net.run(5.0)
+    net = GossipSimulation()
+    net.start_known_nodes(SIZE)
+    net.run_for(5.0)
     return net
 
 
-def everyone_holds(net, number, test):
-    return lambda: net.count_holding(number, test) == len(net.nodes)
+def all_hold(net, number, predicate):
+    return lambda: net.count_nodes_holding(number, predicate) == len(net.nodes)
 
 
-def test_nodes_that_know_one_contact_learn_of_all():
-    net = GossipNet()
+def test_nodes_that_join_by_one_contact_learn_all_members():
+    net = GossipSimulation()
     for number in range(SIZE):
-        net.add(number)
+        net.start_node(number)
         net.join(number, [0])
 
     took = net.run_until(
@@ -42,47 +42,45 @@
     assert took is not None
 
 
-def test_nobody_is_suspected_at_rest(net):
-    net.run(60.0)
+def test_no_member_is_suspected_without_faults(net):
+    net.run_for(60.0)
 
-    facts = [f for n in net.nodes.values() for f in n.table.members.values()]
-    assert {f.liveness for f in facts} == {Liveness.ALIVE}
-    assert {f.incarnation for f in facts} == {1_000}
+    records = [r for n in net.nodes.values() for r in n.table.members.values()]
+    assert {r.liveness for r in records} == {Liveness.ALIVE}
+    assert {r.incarnation for r in records} == {1_000}
 
 
-def test_death_is_found_and_told_to_all(net):
-    net.kill(3)
+def test_crash_is_detected_and_disseminated(net):
+    net.crash(3)
 
-    took = net.run_until(everyone_holds(net, 3, lambda f: f.is_gone), 60.0)
+    took = net.run_until(all_hold(net, 3, lambda r: r.is_gone), 60.0)
 
     assert took is not None
 
 
-def test_leaving_is_told_to_all_within_two_seconds(net):
+def test_leaving_reaches_all_nodes_within_two_seconds(net):
     net.send(4, net.nodes[4].advertise(AdvertisedState.LEAVING, net.now))
 
     took = net.run_until(
-        everyone_holds(
-            net, 4, lambda f: f.advertised is AdvertisedState.LEAVING
-        ),
+        all_hold(net, 4, lambda r: r.advertised is AdvertisedState.LEAVING),
         2.0,
     )
 
     assert took is not None
 
 
-def test_drain_that_ends_is_told_to_all(net):
-    for announced in (AdvertisedState.DRAINING, AdvertisedState.SERVING):
-        net.send(4, net.nodes[4].advertise(announced, net.now))
+def test_start_and_end_of_draining_reach_all_nodes(net):
+    for state in (AdvertisedState.DRAINING, AdvertisedState.SERVING):
+        net.send(4, net.nodes[4].advertise(state, net.now))
         took = net.run_until(
-            everyone_holds(net, 4, lambda f, a=announced: f.advertised is a),
+            all_hold(net, 4, lambda r, s=state: r.advertised is s),
             2.0,
         )
         assert took is not None
 
 
-def test_end_of_a_drain_does_not_take_leaving_back():
-    node = GossipNet().add(1)
+def test_end_of_draining_does_not_revoke_leaving():
+    node = GossipSimulation().start_node(1)
     node.advertise(AdvertisedState.LEAVING, 0.0)
 
     node.advertise(AdvertisedState.SERVING, 0.0)
@@ -90,21 +88,22 @@
     assert node.own_record.advertised is AdvertisedState.LEAVING
 
 
-def test_paused_process_that_comes_back_refutes(net):
+def test_resumed_process_refutes_suspicion(net):
     net.pause(5)
     suspected = net.run_until(
         lambda: (
-            net.count_holding(5, lambda f: f.liveness is Liveness.SUSPECT) > 0
+            net.count_nodes_holding(5, lambda r: r.liveness is Liveness.SUSPECT)
+            > 0
         ),
         60.0,
     )
     net.resume(5)
 
     took = net.run_until(
-        everyone_holds(
+        all_hold(
             net,
             5,
-            lambda f: f.liveness is Liveness.ALIVE and f.incarnation > 1_000,
+            lambda r: r.liveness is Liveness.ALIVE and r.incarnation > 1_000,
         ),
         20.0,
     )
@@ -113,111 +112,113 @@
     assert took is not None
 
 
-def test_paused_process_believed_dead_comes_back(net):
+def test_resumed_process_refutes_its_death(net):
     net.pause(5)
-    net.run(60.0)
-    believed = net.count_holding(5, lambda f: f.liveness is Liveness.DEAD)
+    net.run_for(60.0)
+    dead_views = net.count_nodes_holding(
+        5, lambda r: r.liveness is Liveness.DEAD
+    )
     net.resume(5)
 
     took = net.run_until(
-        everyone_holds(net, 5, lambda f: f.liveness is Liveness.ALIVE), 30.0
+        all_hold(net, 5, lambda r: r.liveness is Liveness.ALIVE), 30.0
     )
 
-    assert believed == SIZE - 1
+    assert dead_views == SIZE - 1
     assert took is not None
 
 
-def test_paused_process_suspects_nobody_when_it_resumes(net):
+def test_resumed_process_suspects_no_member(net):
     net.pause(5)
-    net.run(120.0)
+    net.run_for(120.0)
     net.resume(5)
 
-    net.run(0.2)
+    net.run_for(0.2)
 
-    beliefs = {f.liveness for f in net.nodes[5].table.members.values()}
-    assert beliefs == {Liveness.ALIVE}
+    states = {r.liveness for r in net.nodes[5].table.members.values()}
+    assert states == {Liveness.ALIVE}
 
 
-def test_sides_apart_for_an_hour_merge():
-    net = GossipNet(GossipOptions(probe_period_s=5.0, probe_timeout_s=1.0))
-    net.fill(12)
-    net.side = {number: number % 2 for number in range(12)}
-    net.run(3_600.0)
-    apart = net.count_holding(0, lambda f: f.is_gone)
+def test_sides_of_a_partition_merge_after_an_hour():
+    net = GossipSimulation(
+        GossipOptions(probe_period_s=5.0, probe_timeout_s=1.0)
+    )
+    net.start_known_nodes(12)
+    net.partitions = {number: number % 2 for number in range(12)}
+    net.run_for(3_600.0)
+    gone_views = net.count_nodes_holding(0, lambda r: r.is_gone)
     net.send(2, net.nodes[2].advertise(AdvertisedState.DRAINING, net.now))
-    net.side = {}
+    net.partitions = {}
 
     def merged():
         tables = [n.table.members for n in net.nodes.values()]
         return all(t == tables[0] for t in tables) and all(
-            f.liveness is Liveness.ALIVE for f in tables[0].values()
+            r.liveness is Liveness.ALIVE for r in tables[0].values()
         )
 
     took = net.run_until(merged, 120.0)
 
-    assert apart == 6
+    assert gone_views == 6
     assert took is not None
     assert net.nodes[1].table.members[member_record(2).name].advertised == 1
 
 
-def test_restarted_process_replaces_its_dead_self(net):
-    net.kill(6)
-    net.run(40.0)
-    net.add(6, incarnation=2_000)
+def test_restarted_process_supersedes_its_dead_incarnation(net):
+    net.crash(6)
+    net.run_for(40.0)
+    net.start_node(6, incarnation=2_000)
     net.join(6, [1])
 
     took = net.run_until(
-        everyone_holds(
-            net, 6, lambda f: not f.is_gone and f.incarnation == 2_000
-        ),
+        all_hold(net, 6, lambda r: not r.is_gone and r.incarnation == 2_000),
         20.0,
     )
 
     assert took is not None
 
 
-def test_restart_with_the_wall_clock_behind_is_alive_again(net):
-    net.kill(6)
-    net.run(40.0)
-    net.add(6, incarnation=10)
+def test_process_restarted_with_an_earlier_wall_clock_is_alive_again(net):
+    net.crash(6)
+    net.run_for(40.0)
+    net.start_node(6, incarnation=10)
     net.join(6, [1])
 
-    took = net.run_until(everyone_holds(net, 6, lambda f: not f.is_gone), 20.0)
+    took = net.run_until(all_hold(net, 6, lambda r: not r.is_gone), 20.0)
 
     assert took is not None
 
 
-def test_dead_are_forgotten_by_rule():
-    net = GossipNet(GossipOptions(forget_after_s=30.0))
-    net.fill(5)
-    net.kill(2)
+def test_dead_members_are_forgotten_after_their_time():
+    net = GossipSimulation(GossipOptions(forget_after_s=30.0))
+    net.start_known_nodes(5)
+    net.crash(2)
 
-    net.run(120.0)
+    net.run_for(120.0)
 
-    assert net.count_holding(2, lambda f: True) == 0
+    assert net.count_nodes_holding(2, lambda r: True) == 0
 
 
-def test_rumour_reaches_all_and_is_forgotten(net):
-    heard = []
+def test_rumor_reaches_all_nodes_once_and_expires(net):
+    received = []
     for node in net.nodes.values():
-        node.add_rumor_listener(heard.append)
-    fact = Rumor("config", "root", 7, '{"revision":7}', 20_000)
-    net.nodes[0].publish(fact, net.now)
+        node.add_rumor_listener(received.append)
+    rumor = Rumor("config", "root", 7, '{"revision":7}', 20_000)
+    net.nodes[0].publish(rumor, net.now)
     net.send(0, net.nodes[0].tick(net.now))
 
-    net.run(2.0)
-    count = len(heard)
-    net.run(30.0)
+    net.run_for(2.0)
+    count = len(received)
+    net.run_for(30.0)
 
     assert count == SIZE
-    assert len(heard) == SIZE
+    assert len(received) == SIZE
     assert all(not n.table.rumors() for n in net.nodes.values())
 
 
-def test_late_joiner_hears_of_rumours(net):
+def test_late_joiner_receives_earlier_rumors(net):
     net.nodes[0].publish(Rumor("q", "k", 1, "{}", 600_000), net.now)
-    net.run(20.0)
-    net.add(SIZE)
+    net.run_for(20.0)
+    net.start_node(SIZE)
     net.join(SIZE, [3])
 
     took = net.run_until(lambda: net.nodes[SIZE].table.rumors() != (), 20.0)
@@ -225,45 +226,47 @@
     assert took is not None
 
 
-def test_hint_makes_the_member_be_probed_next():
-    net = GossipNet()
-    net.fill(10)
+def test_member_with_a_failed_connection_is_probed_next():
+    net = GossipSimulation()
+    net.start_known_nodes(10)
     node = net.nodes[0]
-    net.run(0.01)
+    net.run_for(0.01)
     node.probe_soon(member_record(7).name, net.now)
 
-    calls = [c for c in node.tick(net.now) if c.purpose is MessagePurpose.PROBE]
+    probes = [
+        m for m in node.tick(net.now) if m.purpose is MessagePurpose.PROBE
+    ]
 
-    assert [call.member for call in calls] == [member_record(7).name]
+    assert [probe.member for probe in probes] == [member_record(7).name]
 
 
-def test_answer_by_another_member_is_a_failed_probe():
-    net = GossipNet()
-    net.fill(10)
-    calls = net.nodes[0].tick(1.0)
-    probe = next(c for c in calls if c.purpose is MessagePurpose.PROBE)
+def test_reply_of_another_member_is_a_failed_probe():
+    net = GossipSimulation()
+    net.start_known_nodes(10)
+    messages = net.nodes[0].tick(1.0)
+    probe = next(m for m in messages if m.purpose is MessagePurpose.PROBE)
     other = next(n for n in net.nodes if member_record(n).name != probe.member)
-    answer, _ = net.nodes[other].receive(probe.message, 1.0)
+    reply, _ = net.nodes[other].receive(probe.message, 1.0)
 
-    asked = net.nodes[0].handle_reply(probe, answer, 1.0)
+    messages = net.nodes[0].handle_reply(probe, reply, 1.0)
 
-    assert {c.purpose for c in asked} == {MessagePurpose.REQUEST_PROBE}
+    assert {m.purpose for m in messages} == {MessagePurpose.REQUEST_PROBE}
 
 
-def test_second_process_of_our_name_is_counted_and_contradicted_rarely():
-    node = GossipNet().add(1)
-    place = (*_fields(member_record(1))[:3], "10.9.9.9:8081")
+def test_process_with_the_same_name_is_counted_and_refuted_rarely():
+    node = GossipSimulation().start_node(1)
+    conflicting_fields = (*_fields(member_record(1))[:3], "10.9.9.9:8081")
 
     for incarnation in range(9_000, 14_000, 1_000):
-        other = type(node.own_record)(*place, incarnation)
+        other = type(node.own_record)(*conflicting_fields, incarnation)
         node.receive(Ping("x", members=(other,)), 1.0)
 
     assert node.name_conflicts == 5
     assert node.own_record.incarnation == 9_001
 
 
-def test_unknown_dead_are_not_learnt():
-    node = GossipNet().add(1)
+def test_unknown_dead_members_are_not_added():
+    node = GossipSimulation().start_node(1)
     dead = type(member_record(2))(
         *_fields(member_record(2))[:5], 0, Liveness.DEAD
     )
@@ -273,18 +276,18 @@
     assert list(node.table.members) == [member_record(1).name]
 
 
-def test_same_seed_gives_the_same_session():
-    def session():
-        net = GossipNet(seed=5)
-        net.fill(8)
-        net.kill(2)
-        net.run(30.0)
+def test_same_seed_gives_the_same_run():
+    def simulate():
+        net = GossipSimulation(seed=5)
+        net.start_known_nodes(8)
+        net.crash(2)
+        net.run_for(30.0)
         return net.messages, [dict(n.table.members) for n in net.nodes.values()]
 
-    assert session() == session()
+    assert simulate() == simulate()
 
 
-def test_random_faults_settle(net):
+def test_all_members_are_alive_again_after_random_pauses(net):
     rng = random.Random(11)
     for _ in range(20):
         number = rng.randrange(SIZE)
@@ -292,53 +295,53 @@
             net.resume(number)
         elif number in net.nodes and rng.random() < 0.5:
             net.pause(number)
-        net.run(rng.random() * 4)
+        net.run_for(rng.random() * 4)
     for number in list(net.paused):
         net.resume(number)
 
     def settled():
         return all(
-            f.liveness is Liveness.ALIVE
+            r.liveness is Liveness.ALIVE
             for n in net.nodes.values()
-            for f in n.table.members.values()
+            for r in n.table.members.values()
         )
 
     assert net.run_until(settled, 60.0) is not None
 
 
-def _fields(fact):
-    return tuple(getattr(fact, name) for name in fact.__struct_fields__)
+def _fields(record):
+    return tuple(getattr(record, name) for name in record.__struct_fields__)
 
 
 @pytest.mark.parametrize("how", ["killed", "stopped as planned"])
-def test_a_node_that_starts_again_and_finds_nobody_is_found(net, how):
-    """As where the store, by which it would find others, is away."""
+def test_restarted_node_without_contacts_is_found(net, how):
+    """The store, by which it would find its peers, may be unavailable."""
     if how == "stopped as planned":
         net.send(3, net.nodes[3].advertise(AdvertisedState.LEFT, net.now))
-        net.run(0.2)
-    net.kill(3)
-    net.run(3.0)
+        net.run_for(0.2)
+    net.crash(3)
+    net.run_for(3.0)
 
-    again = net.add(3, incarnation=2_000)
+    restarted = net.start_node(3, incarnation=2_000)
 
-    took = net.run_until(lambda: len(again.table.members) == SIZE, 15.0)
+    took = net.run_until(lambda: len(restarted.table.members) == SIZE, 15.0)
     assert took is not None
-    back = everyone_holds(net, 3, lambda f: f.incarnation >= 2_000)
-    assert net.run_until(back, 5.0) is not None
+    is_back = all_hold(net, 3, lambda r: r.incarnation >= 2_000)
+    assert net.run_until(is_back, 5.0) is not None
 
 
-def test_who_left_for_good_is_not_looked_for_without_end(net):
+def test_member_that_left_is_sent_rejoin_probes_for_a_limited_time(net):
     net.send(3, net.nodes[3].advertise(AdvertisedState.LEFT, net.now))
-    net.run(0.2)
-    net.kill(3)
-    net.run(60.0)
+    net.run_for(0.2)
+    net.crash(3)
+    net.run_for(60.0)
 
-    tried = [
-        call
+    rejoin_probes = [
+        message
         for _ in range(200)
         for node in net.nodes.values()
-        for call in node.tick(net.now + 1.0)
-        if call.purpose is MessagePurpose.REJOIN
+        for message in node.tick(net.now + 1.0)
+        if message.purpose is MessagePurpose.REJOIN
     ]
 
-    assert tried == []
+    assert rejoin_probes == []
--- a/src/radishwind/membership/tests/test_gossip_directory.py
+++ b/src/radishwind/membership/tests/test_gossip_directory.py
@@ -1,9 +1,9 @@
-"""The directory gives what the inventory lists and what takes new work."""
+"""The directory returns listed members that may take new work."""
 
 import msgspec
 import pytest
-from tests.support.gossip_net import GossipNet
-from tests.support.gossip_net import member_record
+from tests.support.gossip_simulation import GossipSimulation
+from tests.support.gossip_simulation import member_record
 
 from radishwind.config import Configuration
 from radishwind.config import Inventory
@@ -21,11 +21,11 @@
 GRACE_S = 10.0
 
 
-class Setup:
+class DirectorySetup:
     def __init__(self):
         self.clock = ManualClock()
-        self.node = GossipNet().add(0)
-        self.index = self.allowlist(range(4))
+        self.node = GossipSimulation().start_node(0)
+        self.index = self.make_index(range(4))
         self.directory = GossipDirectory(
             self.node,
             InventoryAllowlist(lambda: self.index),
@@ -33,109 +33,109 @@
             GRACE_S,
         )
         for number in (1, 2):
-            self.hear(member_record(number))
+            self.receive(member_record(number))
 
-    def allowlist(self, numbers):
-        facts = [member_record(number) for number in numbers]
+    def make_index(self, numbers):
+        records = [member_record(number) for number in numbers]
         targets = tuple(
-            Target(f.name, f.service, f.failure_domain, 9) for f in facts
+            Target(r.name, r.service, r.failure_domain, 9) for r in records
         )
         return ConfigIndex(Configuration(1, "c", Inventory(targets=targets)))
 
-    def hear(self, fact, **changes):
-        fact = msgspec.structs.replace(fact, **changes)
-        ping = Ping("x", members=(fact,))
+    def receive(self, record, **changes):
+        record = msgspec.structs.replace(record, **changes)
+        ping = Ping("x", members=(record,))
         self.node.receive(ping, self.clock.monotonic())
 
-    def names(self):
+    def eligible_names(self):
         return [m.name[-1] for m in self.directory.eligible_members(SERVICE)]
 
 
 @pytest.fixture
 def setup():
-    return Setup()
+    return DirectorySetup()
 
 
-def test_same_tuple_until_the_service_changes(setup):
+def test_same_tuple_is_returned_until_the_service_changes(setup):
     first = setup.directory.eligible_members(SERVICE)
-    setup.hear(member_record(20))
-    setup.index = setup.allowlist(range(5))
+    setup.receive(member_record(20))
+    setup.index = setup.make_index(range(5))
     same = setup.directory.eligible_members(SERVICE)
-    setup.hear(member_record(3))
+    setup.receive(member_record(3))
 
     assert same is first
-    assert setup.names() == ["0", "1", "2", "3"]
+    assert setup.eligible_names() == ["0", "1", "2", "3"]
 
 
-def test_member_missing_from_the_inventory_is_reported_and_left_out(setup):
-    setup.hear(member_record(5))
+def test_member_missing_from_the_inventory_is_reported_and_excluded(setup):
+    setup.receive(member_record(5))
 
-    assert setup.names() == ["0", "1", "2"]
+    assert setup.eligible_names() == ["0", "1", "2"]
     assert setup.directory.disallowed_names() == (member_record(5).name,)
 
 
 @pytest.mark.parametrize(
     "changes", [{"service": "service-9"}, {"failure_domain": "elsewhere"}]
 )
-def test_member_announced_otherwise_than_listed_is_left_out(setup, changes):
-    setup.hear(member_record(3), **changes)
+def test_member_advertised_differently_than_listed_is_excluded(setup, changes):
+    setup.receive(member_record(3), **changes)
 
-    assert setup.names() == ["0", "1", "2"]
+    assert setup.eligible_names() == ["0", "1", "2"]
     assert setup.directory.eligible_members("service-9") == ()
     assert setup.directory.disallowed_names() == (member_record(3).name,)
 
 
 @pytest.mark.parametrize(
-    "announced",
+    "state",
     [AdvertisedState.DRAINING, AdvertisedState.LEAVING, AdvertisedState.LEFT],
 )
-def test_leaving_and_draining_take_no_new_work(setup, announced):
-    setup.hear(member_record(1), incarnation=1_001, advertised=announced)
+def test_draining_and_leaving_members_take_no_new_work(setup, state):
+    setup.receive(member_record(1), incarnation=1_001, advertised=state)
 
-    assert setup.names() == ["0", "2"]
+    assert setup.eligible_names() == ["0", "2"]
 
 
-def test_suspected_member_is_the_last_resort(setup):
-    setup.hear(member_record(1), liveness=Liveness.SUSPECT)
-    beside = setup.names()
-    setup.hear(member_record(2), liveness=Liveness.SUSPECT)
-    setup.hear(
+def test_suspect_members_are_returned_only_without_alive_ones(setup):
+    setup.receive(member_record(1), liveness=Liveness.SUSPECT)
+    with_alive_ones = setup.eligible_names()
+    setup.receive(member_record(2), liveness=Liveness.SUSPECT)
+    setup.receive(
         member_record(0), incarnation=1_001, advertised=AdvertisedState.LEAVING
     )
     setup.node.advertise(AdvertisedState.LEAVING, 0.0)
 
-    assert beside == ["0", "2"]
-    assert setup.names() == ["1", "2"]
+    assert with_alive_ones == ["0", "2"]
+    assert setup.eligible_names() == ["1", "2"]
 
 
-def test_leaving_member_that_is_suspected_takes_no_new_work(setup):
-    setup.hear(
+def test_suspect_member_that_is_leaving_takes_no_new_work(setup):
+    setup.receive(
         member_record(1),
         incarnation=1_001,
         advertised=AdvertisedState.LEAVING,
         liveness=Liveness.SUSPECT,
     )
-    setup.hear(member_record(2), liveness=Liveness.SUSPECT)
+    setup.receive(member_record(2), liveness=Liveness.SUSPECT)
     setup.node.advertise(AdvertisedState.LEAVING, 0.0)
 
-    assert setup.names() == ["2"]
+    assert setup.eligible_names() == ["2"]
 
 
-def test_death_on_hearsay_is_usable_only_until_the_grace_is_over(setup):
+def test_reported_dead_member_is_usable_only_within_the_grace_period(setup):
     for number in (1, 2):
-        setup.hear(member_record(number), liveness=Liveness.DEAD)
+        setup.receive(member_record(number), liveness=Liveness.DEAD)
     setup.node.advertise(AdvertisedState.DRAINING, 0.0)
-    at_once = setup.names()
+    within_grace = setup.eligible_names()
     setup.clock.advance(GRACE_S)
 
-    assert at_once == ["1", "2"]
-    assert setup.names() == []
+    assert within_grace == ["1", "2"]
+    assert setup.eligible_names() == []
 
 
-def test_members_tell_state_and_revision(setup):
+def test_members_have_state_and_config_revision(setup):
     setup.node.config_revision = 8
     setup.node.receive(Ping(member_record(1).name, config_revision=7), 0.0)
-    setup.hear(member_record(2), liveness=Liveness.DEAD)
+    setup.receive(member_record(2), liveness=Liveness.DEAD)
 
     members = setup.directory.members()
 
@@ -147,10 +147,10 @@
     ]
 
 
-def test_a_member_is_made_anew_only_where_its_fact_changed(setup):
+def test_member_is_rebuilt_only_if_its_record_changed(setup):
     before = {m.name: m for m in setup.directory.members()}
 
-    setup.hear(
+    setup.receive(
         member_record(2), incarnation=1_001, advertised=AdvertisedState.DRAINING
     )
 
@@ -160,7 +160,7 @@
     assert after[member_record(2).name].state is MemberState.DRAINING
 
 
-def test_a_member_tells_the_revision_heard_last(setup):
+def test_member_has_the_config_revision_received_last(setup):
     name = member_record(1).name
     setup.node.receive(Ping(name, 7), setup.clock.monotonic())
 
@@ -169,7 +169,7 @@
     assert by_name[name].config_revision == 7
 
 
-def test_a_member_that_is_forgotten_is_listed_no_more(setup):
+def test_forgotten_member_is_removed(setup):
     name = member_record(2).name
     setup.directory.members()
 
--- a/src/radishwind/membership/tests/test_records.py
+++ b/src/radishwind/membership/tests/test_records.py
@@ -4,8 +4,8 @@
 from hypothesis import strategies as st
 import msgspec
 import pytest
-from tests.support.gossip_net import GossipNet
-from tests.support.gossip_net import member_record
+from tests.support.gossip_simulation import GossipSimulation
+from tests.support.gossip_simulation import member_record
 
 from radishwind.membership.membership_table import MembershipTable
 from radishwind.membership.messages import decode_message
@@ -126,7 +126,7 @@
     )
 )
 def test_arbitrary_json_is_rejected_or_handled(value):
-    node = GossipNet().add(0)
+    node = GossipSimulation().start_node(0)
     try:
         message = decode_message(msgspec.json.encode(value))
     except MessageError:
--- a/tests/proofs/test_leaving.py
+++ b/tests/proofs/test_leaving.py
@@ -23,8 +23,8 @@
 from tests.proofs.failures import FAILURES
 from tests.proofs.stage import quiet
 from tests.proofs.stage import Stage
-from tests.support.gossip_net import GossipNet
-from tests.support.gossip_net import member_record
+from tests.support.gossip_simulation import GossipSimulation
+from tests.support.gossip_simulation import member_record
 
 scenarios("leaving.feature", "planned_stop.feature")
 
@@ -34,9 +34,9 @@
 
 @given("30 nodes that know each other", target_fixture="net")
 def nodes():
-    net = GossipNet()
-    net.fill(SIZE)
-    net.run(5.0)
+    net = GossipSimulation()
+    net.start_known_nodes(SIZE)
+    net.run_for(5.0)
     return net
 
 
@@ -47,12 +47,12 @@
         for number in first:
             net.pause(number)
     if "cut off" in failure:
-        net.side = dict.fromkeys(first, 1)
+        net.partitions = dict.fromkeys(first, 1)
     if "killed" in failure:
         for number in second:
-            net.kill(number)
+            net.crash(number)
     net.send(0, net.nodes[0].advertise(AdvertisedState.LEAVING, net.now))
-    net.run(5.0)
+    net.run_for(5.0)
 
 
 @then("5 s later no node that it can reach gives it new work")
@@ -65,7 +65,7 @@
     reached = [
         node
         for number, node in net.nodes.items()
-        if number not in net.paused and not net.side.get(number)
+        if number not in net.paused and not net.partitions.get(number)
     ]
     assert len(reached) >= SIZE // 3
     for node in reached:
