--- a/bench/admission.py
+++ b/bench/admission.py
@@ -27,7 +27,7 @@
 from radishwind.admission import FairAdmission
 from radishwind.admission import FifoAdmission
 from radishwind.admission import Ticket
-from radishwind.admission.fair import _Flow
+from radishwind.admission.fair_admission import _Flow
 from radishwind.node.target import OVERLAP
 
 SLOTS = 9
@@ -64,7 +64,7 @@
         backlogged = [f for f in self._flows.values() if f.queue]
         least = min(f.start for f in backlogged)
         near = [f for f in backlogged if f.start <= least + self._lead_s]
-        return min(near, key=lambda f: f.queue[0].offered)
+        return min(near, key=lambda f: f.queue[0].offered_at)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -167,16 +167,16 @@
         self.offered[caller] = self.offered.get(caller, 0) + 1
         self.decisions += 1
         ticket = Ticket(caller, now + DEADLINE_S, now, _nothing)
-        ticket.notify = lambda: self._start(ticket, arrival)
+        ticket.on_decided = lambda: self._start(ticket, arrival)
         self._admission.offer(ticket, now)
-        if ticket.admitted and not self._sent(ticket):
+        if ticket.is_admitted and not self._sent(ticket):
             self._start(ticket, arrival)
 
     def _sent(self, ticket: Ticket) -> bool:
         return any(entry[2] is ticket for entry in self._ends)
 
     def _start(self, ticket: Ticket, arrival: Arrival) -> None:
-        if not ticket.admitted:
+        if not ticket.is_admitted:
             return
         sent = self._now
         end = self._server.run(sent, arrival.service_s, ticket.deadline)
--- a/bench/data_path.py
+++ b/bench/data_path.py
@@ -42,7 +42,7 @@
 from radishwind.peers import PeerVerifier
 from radishwind.probing import HealthEstimator
 from radishwind.quarantine import Quarantine
-from radishwind.quarantine.runner import CarefulRunner
+from radishwind.quarantine.isolating_runner import IsolatingRunner
 from radishwind.retries import BudgetedRetryPolicy
 from radishwind.routing import make_chooser
 from radishwind.routing import RoutingPolicy
@@ -145,7 +145,7 @@
         ),
         retries=BudgetedRetryPolicy(),
         hedges=hedges,
-        runner=CarefulRunner(runner or forward),
+        runner=IsolatingRunner(runner or forward),
         claims=NoClaims(),
     )
     peers = PeerListener(
--- a/src/radishwind/admission/__init__.py
+++ b/src/radishwind/admission/__init__.py
@@ -1,10 +1,10 @@
 """Who gets a slot of the server beside the node, and when to say no."""
 
-from radishwind.admission.fair import FairAdmission
-from radishwind.admission.fifo import FifoAdmission
-from radishwind.admission.gate import Admission
-from radishwind.admission.gate import AdmissionLimits
-from radishwind.admission.gate import Ticket
+from radishwind.admission.admission import Admission
+from radishwind.admission.admission import AdmissionLimits
+from radishwind.admission.admission import Ticket
+from radishwind.admission.fair_admission import FairAdmission
+from radishwind.admission.fifo_admission import FifoAdmission
 
 __all__ = [
     "Admission",
--- a/src/radishwind/admission/gate.py
+++ b/src/radishwind/admission/admission.py
@@ -39,19 +39,19 @@
 
     caller: str
     deadline: float
-    offered: float
-    notify: Callable[[], None]
-    alone: bool = False
+    offered_at: float
+    on_decided: Callable[[], None]
+    must_run_alone: bool = False
     aim: float = math.inf
     priority: int = 0
-    work_s: float = 0.0
-    lot: float = 0.0
-    run_s: float = 0.0
+    normal_run_s: float = 0.0
+    group_rank: float = 0.0
+    mean_run_s: float = 0.0
     likely_s: float = 0.0
-    nested: bool = False
-    admitted: bool = False
-    refused: NotRun | None = None
-    released: bool = False
+    is_nested: bool = False
+    is_admitted: bool = False
+    refusal: NotRun | None = None
+    is_released: bool = False
 
 
 class AdmissionLimits(msgspec.Struct, frozen=True):
@@ -69,9 +69,9 @@
 
     slots: int = 0
     connections: int = 0
-    overlap: int = 0
-    queue_length: int = 0
-    queue_wait_s: float = 0.0
+    overcommit: int = 0
+    max_queued: int = 0
+    max_queue_wait_s: float = 0.0
     caller_weights: Mapping[str, float] = msgspec.field(default_factory=dict)
 
     @property
@@ -80,11 +80,11 @@
         return min(self.slots, self._usable_connections)
 
     @property
-    def most_sent(self) -> int:
+    def max_in_flight(self) -> int:
         """Requests that may be at the server at once."""
         if not self.slots:
             return 0
-        return min(self.slots + self.overlap, self._usable_connections)
+        return min(self.slots + self.overcommit, self._usable_connections)
 
     @property
     def _usable_connections(self) -> int:
@@ -115,15 +115,15 @@
         """Refuses the waiting tickets that cannot run in time any more."""
 
     @abc.abstractmethod
-    def turn_away_all(self, refusal: NotRun) -> None:
+    def refuse_all(self, refusal: NotRun) -> None:
         """Refuses all waiting tickets; those admitted keep their slots."""
 
     @abc.abstractmethod
-    def shed(self, now: float) -> None:
+    def record_shed(self, now: float) -> None:
         """Takes that the server refused a request that was admitted."""
 
     @abc.abstractmethod
-    def resize(self, limits: AdmissionLimits) -> None:
+    def set_limits(self, limits: AdmissionLimits) -> None:
         """Takes new limits; those already admitted keep their slots."""
 
     @property
--- a/src/radishwind/admission/room.py
+++ b/src/radishwind/admission/concurrency_estimator.py
@@ -1,10 +1,10 @@
 """How many requests at once a server runs best, learned from its run times.
 
 Some servers slow down when they are nearly full: with one request more, all
-take so much longer that fewer end in a second. `RoomLearner` compares run times
-by the number in progress when each began, and finds the number at which most
-end in a second. Where run times don't depend on that number it leaves every
-slot in use.
+take so much longer that fewer end in a second. `ConcurrencyEstimator` compares
+run times by the number in progress when each began, and finds the number at
+which most end in a second. Where run times don't depend on that number it
+leaves every slot in use.
 
 It answers a load beyond what the server carries, where a node that fills every
 slot keeps its server beyond that point for as long as the load lasts.
@@ -68,7 +68,7 @@
 _CLIP = 4.0
 
 
-class Run(msgspec.Struct, frozen=True):
+class CompletedRun(msgspec.Struct, frozen=True):
     """One run that went well.
 
     Attributes:
@@ -77,9 +77,9 @@
       took_s: what it took (s).
     """
 
-    begun_with: int
-    usual_s: float
-    took_s: float
+    concurrency_at_start: int
+    expected_s: float
+    duration_s: float
 
 
 class Knee(msgspec.Struct, frozen=True):
@@ -90,8 +90,8 @@
       slower: how many times as long runs take beyond it.
     """
 
-    part: float
-    slower: float
+    slot_fraction: float
+    slowdown: float
 
 
 class _Evidence(msgspec.Struct):
@@ -132,7 +132,7 @@
         return math.sqrt(max(0.01, variance) / self.weight)
 
 
-class RoomLearner:
+class ConcurrencyEstimator:
     """Learns one server's best number of requests in progress."""
 
     def __init__(self) -> None:
@@ -159,7 +159,7 @@
         slower = math.exp(beyond.mean - below.mean)
         return Knee(self._best / self._slots, slower)
 
-    def evidence(self) -> dict[str, float]:
+    def describe(self) -> dict[str, float]:
         """Returns what the number in use was decided by, for the log."""
         below, beyond = self._split(self._best)
         slower = 1.0
@@ -173,14 +173,14 @@
         }
 
     @property
-    def is_sure_of_none(self) -> bool:
+    def has_no_knee(self) -> bool:
         """Whether enough was seen to say that every slot is best."""
         if self._best < self._slots or self._slots < 2:
             return False
         below, beyond = self._split(math.ceil(self._slots * TRIED_PARTS[0]))
         return min(below.weight, beyond.weight) >= ENOUGH
 
-    def expect(self, knee: Knee | None) -> None:
+    def set_prior(self, knee: Knee | None) -> None:
         """Takes what others found of servers of the same service.
 
         It counts for as much as it takes to be believed, and fades like what
@@ -190,7 +190,7 @@
         if not self._by_number:
             self._begin()
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Begins anew, with a server of which nothing was seen."""
         self._by_number.clear()
         self._level = None
@@ -203,24 +203,24 @@
         knee = self._expected
         if knee is None or not self._slots:
             return
-        number = round(knee.part * self._slots)
+        number = round(knee.slot_fraction * self._slots)
         if not 2 <= number < self._slots:
             return
         self._by_number[number] = _expected(EXPECTED, 0.0)
         beyond = range(number + 1, self._slots + 1)
         for at in beyond:
             self._by_number[at] = _expected(
-                EXPECTED / len(beyond), math.log(knee.slower)
+                EXPECTED / len(beyond), math.log(knee.slowdown)
             )
         self._best = number
 
-    def ran(self, run: Run, now: float) -> None:
+    def record_run(self, run: CompletedRun, now: float) -> None:
         """Takes one run (at monotonic time `now`, s)."""
-        if run.usual_s <= 0 or run.took_s <= 0:
+        if run.expected_s <= 0 or run.duration_s <= 0:
             return
-        ratio = min(_CLIP, max(1 / _CLIP, run.took_s / run.usual_s))
-        self._learn(run.begun_with, math.log(ratio))
-        if run.begun_with > self._best:
+        ratio = min(_CLIP, max(1 / _CLIP, run.duration_s / run.expected_s))
+        self._learn(run.concurrency_at_start, math.log(ratio))
+        if run.concurrency_at_start > self._best:
             self._probed = now
         before = now if self._compared_at is None else self._compared_at
         if now - before >= _COMPARE_S or self._compared_at is None:
@@ -228,7 +228,7 @@
             self._compared_at = now
             self._best = self._find_best()
 
-    def best(self, slots: int) -> int:
+    def best_concurrency(self, slots: int) -> int:
         """Returns how many of `slots` are to be in use."""
         if slots != self._slots:
             self._slots = slots
@@ -237,7 +237,7 @@
                 self._begin()
         return self._best
 
-    def probes(self, now: float) -> bool:
+    def is_probe_due(self, now: float) -> bool:
         """Returns whether one more than the best number may be let in."""
         if not 0 < self._best < self._slots:
             return False
--- a/src/radishwind/admission/urgent.py
+++ b/src/radishwind/admission/deadline_admission.py
@@ -11,16 +11,16 @@
 import abc
 from collections.abc import Iterable
 
-from radishwind.admission.gate import AdmissionLimits
-from radishwind.admission.gate import Ticket
-from radishwind.admission.queueing import QueueingAdmission
+from radishwind.admission.admission import AdmissionLimits
+from radishwind.admission.admission import Ticket
+from radishwind.admission.queueing_admission import QueueingAdmission
 
 #: The lead of each step of rank over a nearer aim (s): about one run time, so
 #: that a request of the highest rank waits for one slot at most.
 RANK_LEAD_S = 0.1
 
 #: Steps of rank that a nested call is ahead of its route's: the run that waits
-#: for it holds a slot elsewhere meanwhile.
+#: for it should_delay a slot elsewhere meanwhile.
 NESTED_STEPS = 1
 
 #: What the whole width of lots counts for in a congestion, as a lead (s): more
@@ -33,32 +33,32 @@
 
 #: More than this time of work waits for each slot: the newest go first (s).
 #: It is about one run time of the longest kind.
-CONGESTED_S = 0.1
+CONGESTION_THRESHOLD_S = 0.1
 
 
 class StartGate(abc.ABC):
     """Says whether a request had better begin later, though a slot is free."""
 
     @abc.abstractmethod
-    def holds(self, ticket: Ticket, now: float) -> bool:
+    def should_delay(self, ticket: Ticket, now: float) -> bool:
         """Returns whether `ticket` is to wait on."""
 
     @abc.abstractmethod
-    def stretch(self) -> float:
+    def queue_slowdown(self) -> float:
         """Returns how much longer a queue takes than its work, at least 1."""
 
 
-class OpenGate(StartGate):
+class OpenStartGate(StartGate):
     """Holds nothing."""
 
-    def holds(self, ticket: Ticket, now: float) -> bool:
+    def should_delay(self, ticket: Ticket, now: float) -> bool:
         return False
 
-    def stretch(self) -> float:
+    def queue_slowdown(self) -> float:
         return 1.0
 
 
-class UrgentAdmission(QueueingAdmission):
+class DeadlineAdmission(QueueingAdmission):
     """Slots go first to what can still be in time."""
 
     def __init__(
@@ -66,25 +66,25 @@
         limits: AdmissionLimits | None = None,
         gate: StartGate | None = None,
         *,
-        congested_s: float = CONGESTED_S,
-        refuses_hopeless: bool = True,
+        congestion_threshold_s: float = CONGESTION_THRESHOLD_S,
+        refuses_late_starts: bool = True,
     ) -> None:
         """Makes an admission with nobody in it.
 
         Args:
           limits: of the server.
           gate: says what had better begin later.
-          congested_s: work that waits for each slot from which on the newest
-            go first (s).
-          refuses_hopeless: whether what will come to its turn too late is
+          congestion_threshold_s: queued work for each slot from which on the
+            newest requests start first (s).
+          refuses_late_starts: whether what will come to its turn too late is
             refused before.
         """
         super().__init__(limits or AdmissionLimits())
-        self._congested_s = congested_s
-        self._refuses_hopeless = refuses_hopeless
+        self._congestion_threshold_s = congestion_threshold_s
+        self._refuses_late_starts = refuses_late_starts
         self._queue: list[Ticket] = []
         self._queued_work_s = 0.0
-        self._gate = gate or OpenGate()
+        self._gate = gate or OpenStartGate()
 
     def _waiting(self) -> int:
         return len(self._queue)
@@ -97,7 +97,7 @@
         self._count_work()
 
     def _pop(self, now: float) -> Ticket | None:
-        ready = [t for t in self._queue if not self._gate.holds(t, now)]
+        ready = [t for t in self._queue if not self._gate.should_delay(t, now)]
         if not ready:
             return None
         first = min(ready, key=lambda t: self._order(t, now))
@@ -105,10 +105,10 @@
         return first
 
     def _may_start(self, ticket: Ticket, now: float) -> bool:
-        return not self._gate.holds(ticket, now)
+        return not self._gate.should_delay(ticket, now)
 
     def _cost_s(self, ticket: Ticket) -> float:
-        return ticket.work_s or self._service_s
+        return ticket.normal_run_s or self._service_s
 
     def _remove(self, ticket: Ticket) -> None:
         self._queue.remove(ticket)
@@ -122,7 +122,7 @@
         super().expire(now)
 
     def _wait_s(self, ticket: Ticket) -> float:
-        now = ticket.offered
+        now = ticket.offered_at
         own = self._order(ticket, now)
         ahead = [t for t in self._queue if self._order(t, now) < own]
         return self._begin_s(ahead)
@@ -133,15 +133,17 @@
         By what their runs take there, with what they wait for, where that is
         known; it is far more than their work in an overload of what they call.
         """
-        stretched_s = self._gate.stretch()
-        runs_s = sum(t.run_s or self._cost_s(t) * stretched_s for t in ahead)
+        stretched_s = self._gate.queue_slowdown()
+        runs_s = sum(
+            t.mean_run_s or self._cost_s(t) * stretched_s for t in ahead
+        )
         if self._in_flight >= self._slots:
             runs_s += self._service_s
         return runs_s / max(1, self._slots)
 
     def _refuse_hopeless(self, now: float) -> None:
         """Refuses those whose turn will come too late, in today's order."""
-        if not self._refuses_hopeless or not self._is_congested():
+        if not self._refuses_late_starts or not self._is_congested():
             return
         ahead: list[Ticket] = []
         for ticket in sorted(self._queue, key=lambda t: self._order(t, now)):
@@ -152,21 +154,26 @@
             ahead.append(ticket)
 
     def _victim(self, ticket: Ticket) -> Ticket:
-        now = ticket.offered
+        now = ticket.offered_at
         last = max(self._queue, key=lambda t: self._order(t, now))
         if self._order(last, now) > self._order(ticket, now):
             return last
         return ticket
 
     def _is_congested(self) -> bool:
-        return self._queued_work_s > self._congested_s * max(1, self._slots)
+        return self._queued_work_s > self._congestion_threshold_s * max(
+            1, self._slots
+        )
 
     def _order(self, ticket: Ticket, now: float) -> tuple[bool, float]:
         """Returns what sorts `ticket`: whether it is late, then its rank."""
-        aim = ticket.deadline if ticket.nested else ticket.aim
+        aim = ticket.deadline if ticket.is_nested else ticket.aim
         late = now + _AIM_MARGIN * self._cost_s(ticket) > aim
-        rank = ticket.priority - NESTED_STEPS * ticket.nested
+        rank = ticket.priority - NESTED_STEPS * ticket.is_nested
         lead_s = rank * RANK_LEAD_S
         if self._is_congested():
-            return late, lead_s - ticket.offered + LOT_LEAD_S * ticket.lot
+            return (
+                late,
+                lead_s - ticket.offered_at + LOT_LEAD_S * ticket.group_rank,
+            )
         return late, (ticket.deadline if late else ticket.aim) + lead_s
--- a/src/radishwind/admission/fair.py
+++ b/src/radishwind/admission/fair_admission.py
@@ -15,12 +15,12 @@
 import msgspec
 import xxhash
 
-from radishwind.admission.gate import AdmissionLimits
-from radishwind.admission.gate import Ticket
-from radishwind.admission.queueing import QueueingAdmission
+from radishwind.admission.admission import AdmissionLimits
+from radishwind.admission.admission import Ticket
+from radishwind.admission.queueing_admission import QueueingAdmission
 
 #: Callers told apart at one time.
-MOST_CALLERS = 256
+MAX_CALLERS = 256
 
 #: Flows that further callers share, by a hash of their name.
 SHARED_FLOWS = 16
@@ -82,8 +82,8 @@
         """Callers tracked at the moment."""
         return len(self._flows)
 
-    def resize(self, limits: AdmissionLimits) -> None:
-        super().resize(limits)
+    def set_limits(self, limits: AdmissionLimits) -> None:
+        super().set_limits(limits)
         for name, flow in self._flows.items():
             flow.weight = self._weight(name)
 
@@ -204,9 +204,9 @@
         """Returns the flow of `caller`; late comers share a few."""
         if caller in self._flows:
             return caller
-        if len(self._flows) >= MOST_CALLERS:
+        if len(self._flows) >= MAX_CALLERS:
             self._sweep()
-        if len(self._flows) < MOST_CALLERS:
+        if len(self._flows) < MAX_CALLERS:
             return caller
         shared = xxhash.xxh32_intdigest(caller.encode()) % SHARED_FLOWS
         return f"\0{shared}"
--- a/src/radishwind/admission/fifo.py
+++ b/src/radishwind/admission/fifo_admission.py
@@ -3,9 +3,9 @@
 import collections
 from collections.abc import Iterable
 
-from radishwind.admission.gate import AdmissionLimits
-from radishwind.admission.gate import Ticket
-from radishwind.admission.queueing import QueueingAdmission
+from radishwind.admission.admission import AdmissionLimits
+from radishwind.admission.admission import Ticket
+from radishwind.admission.queueing_admission import QueueingAdmission
 
 
 class FifoAdmission(QueueingAdmission):
--- a/src/radishwind/admission/queueing.py
+++ b/src/radishwind/admission/queueing_admission.py
@@ -9,23 +9,23 @@
 from collections.abc import Iterable
 import math
 
-from radishwind.admission.gate import Admission
-from radishwind.admission.gate import AdmissionLimits
-from radishwind.admission.gate import Ticket
+from radishwind.admission.admission import Admission
+from radishwind.admission.admission import AdmissionLimits
+from radishwind.admission.admission import Ticket
 from radishwind.core.codes import ResultCode
 from radishwind.outcomes.model import NotRun
 
 #: Tickets that may wait to run alone.
-MOST_ALONE = 8
+MAX_ALONE_QUEUED = 8
 
 #: The least that a refused caller is told to wait (s).
-LEAST_RETRY_S = 0.05
+MIN_RETRY_AFTER_S = 0.05
 
 #: Multiples of its expected run time that a request must have left to start.
 _COST_MARGIN = 2.0
 
 #: How long nothing is sent beyond the slots after the server shed it (s).
-NO_OVERLAP_S = 60.0
+OVERCOMMIT_PAUSE_S = 60.0
 
 #: The share that the newest request has in the mean service time.
 _SMOOTHING = 0.1
@@ -72,7 +72,7 @@
     def queued(self) -> int:
         return self._waiting() + len(self._alone)
 
-    def resize(self, limits: AdmissionLimits) -> None:
+    def set_limits(self, limits: AdmissionLimits) -> None:
         self._take(limits)
         self._earliest = 0.0
 
@@ -80,27 +80,27 @@
         self._limits = limits
         # Read several times a request, so they are derived here.
         self._slots = limits.usable_slots
-        self._most_sent = limits.most_sent
+        self._max_in_flight = limits.max_in_flight
 
-    def shed(self, now: float) -> None:
+    def record_shed(self, now: float) -> None:
         if self._in_flight > self.slots:
-            self._overlap_after = now + NO_OVERLAP_S
+            self._overlap_after = now + OVERCOMMIT_PAUSE_S
 
     def offer(self, ticket: Ticket, now: float) -> None:
-        if ticket.alone:
+        if ticket.must_run_alone:
             self._offer_alone(ticket, now)
             return
         free = self._has_free_slot() and not self.queued
         if free and self._may_start(ticket, now):
             self._admit(ticket)
             return
-        ticket.refused = self._too_late(ticket, now)
-        if ticket.refused is not None:
+        ticket.refusal = self._too_late(ticket, now)
+        if ticket.refusal is not None:
             return
-        if self._waiting() >= self._limits.queue_length:
+        if self._waiting() >= self._limits.max_queued:
             victim = self._victim(ticket)
             if victim is ticket:
-                ticket.refused = self._refusal(ticket, "The queue is full.")
+                ticket.refusal = self._refusal(ticket, "The queue is full.")
                 return
             self._remove(victim)
             self._turn_away(victim, "Another caller's share goes first.")
@@ -109,10 +109,10 @@
         self._dispatch(now)
 
     def release(self, ticket: Ticket, now: float, service_s: float) -> None:
-        if ticket.released or ticket.refused is not None:
+        if ticket.is_released or ticket.refusal is not None:
             return
-        ticket.released = True
-        if not ticket.admitted:
+        ticket.is_released = True
+        if not ticket.is_admitted:
             self._withdraw(ticket)
             self._dispatch(now)
             return
@@ -136,11 +136,11 @@
             self._earliest = min(map(self._latest, left), default=math.inf)
         self._dispatch(now)
 
-    def turn_away_all(self, refusal: NotRun) -> None:
+    def refuse_all(self, refusal: NotRun) -> None:
         for ticket in [*self._tickets(), *self._alone]:
             self._withdraw(ticket)
-            ticket.refused = refusal
-            ticket.notify()
+            ticket.refusal = refusal
+            ticket.on_decided()
 
     def _has_free_slot(self) -> bool:
         return self._alone_runs is None and self._in_flight < self.slots
@@ -153,20 +153,20 @@
             return
         most = self.slots
         if now >= self._overlap_after:
-            most = self._most_sent
+            most = self._max_in_flight
         while self._in_flight < most and self._waiting():
             ticket = self._pop(now)
             if ticket is None:
                 return
             self._admit(ticket)
-            ticket.notify()
+            ticket.on_decided()
 
     def _offer_alone(self, ticket: Ticket, now: float) -> None:
-        if not self.slots or len(self._alone) >= MOST_ALONE:
-            ticket.refused = NotRun(
+        if not self.slots or len(self._alone) >= MAX_ALONE_QUEUED:
+            ticket.refusal = NotRun(
                 ResultCode.QUARANTINED,
                 "Too many requests wait to run alone.",
-                max(LEAST_RETRY_S, self._service_s * MOST_ALONE),
+                max(MIN_RETRY_AFTER_S, self._service_s * MAX_ALONE_QUEUED),
             )
             return
         if not self._in_flight and not self.queued:
@@ -196,15 +196,15 @@
         self._alone_since = min(now, max(self._alone_since, self._alone_after))
         self._alone_runs = ticket
         self._admit(ticket)
-        ticket.notify()
+        ticket.on_decided()
 
     def _admit(self, ticket: Ticket) -> None:
-        ticket.admitted = True
+        ticket.is_admitted = True
         self._in_flight += 1
         self._charge(ticket)
 
     def _withdraw(self, ticket: Ticket) -> None:
-        if ticket.alone:
+        if ticket.must_run_alone:
             self._alone.remove(ticket)
         else:
             self._remove(ticket)
@@ -216,7 +216,7 @@
         """
         run_s = max(_COST_MARGIN * self._cost_s(ticket), ticket.likely_s)
         ends = ticket.deadline - run_s
-        return min(ends, ticket.offered + self._limits.queue_wait_s)
+        return min(ends, ticket.offered_at + self._limits.max_queue_wait_s)
 
     def _cost_s(self, ticket: Ticket) -> float:
         """Returns how long `ticket` is expected to run (s)."""
@@ -230,12 +230,12 @@
         return None
 
     def _refusal(self, ticket: Ticket, detail: str) -> NotRun:
-        retry_s = max(LEAST_RETRY_S, self._wait_s(ticket))
+        retry_s = max(MIN_RETRY_AFTER_S, self._wait_s(ticket))
         return NotRun(ResultCode.OVERLOADED, detail, round(retry_s, 3))
 
     def _turn_away(self, ticket: Ticket, detail: str) -> None:
-        ticket.refused = self._refusal(ticket, detail)
-        ticket.notify()
+        ticket.refusal = self._refusal(ticket, detail)
+        ticket.on_decided()
 
     @abc.abstractmethod
     def _waiting(self) -> int:
--- a/src/radishwind/admission/tests/test_admission.py
+++ b/src/radishwind/admission/tests/test_admission.py
@@ -3,7 +3,7 @@
 import pytest
 
 from radishwind.admission import AdmissionLimits
-from radishwind.admission import fair
+from radishwind.admission import fair_admission
 from radishwind.admission import FairAdmission
 from radishwind.admission import FifoAdmission
 from radishwind.admission import Ticket
@@ -23,14 +23,16 @@
 
     def offer(self, caller="a", now=0.0, deadline=100.0, alone=False):
         ticket = Ticket(caller, deadline, now, lambda: None, alone)
-        ticket.notify = lambda: self.notified.append(ticket)
+        ticket.on_decided = lambda: self.notified.append(ticket)
         self.admission.offer(ticket, now)
         return ticket
 
     def serve(self, tickets, now, service_s=1.0):
         """Ends the one admitted ticket again and again; returns the order."""
         order = []
-        while running := [t for t in tickets if t.admitted and not t.released]:
+        while running := [
+            t for t in tickets if t.is_admitted and not t.is_released
+        ]:
             order.append(running[0].caller)
             now += service_s
             self.admission.release(running[0], now, service_s)
@@ -42,11 +44,11 @@
     def test_a_freed_slot_goes_to_who_waits(self, cls):
         driver = Driver(cls, limits())
         first, second = driver.offer(), driver.offer()
-        assert (first.admitted, second.admitted) == (True, False)
+        assert (first.is_admitted, second.is_admitted) == (True, False)
 
         driver.admission.release(first, 1.0, 1.0)
 
-        assert second.admitted
+        assert second.is_admitted
         assert driver.notified == [second]
 
     def test_who_cannot_start_in_time_is_refused_at_once(self, cls):
@@ -56,9 +58,9 @@
         waiting = driver.offer(now=2.0, deadline=8.5)
         late = driver.offer(now=2.0, deadline=8.5)
 
-        assert waiting.refused is None
-        assert late.refused.code is ResultCode.OVERLOADED
-        assert late.refused.retry_after_s == pytest.approx(4.0)
+        assert waiting.refusal is None
+        assert late.refusal.code is ResultCode.OVERLOADED
+        assert late.refusal.retry_after_s == pytest.approx(4.0)
 
     def test_a_lapsed_wait_is_refused_and_gives_no_slot(self, cls):
         driver = Driver(cls, limits(wait_s=0.5))
@@ -67,40 +69,40 @@
         driver.admission.release(waiting, 0.6, 0.0)
         driver.admission.release(running, 0.7, 0.7)
 
-        assert waiting.refused is not None
+        assert waiting.refusal is not None
         assert (driver.admission.in_flight, driver.admission.queued) == (0, 0)
 
     def test_connections_bound_what_runs_and_one_is_left(self, cls):
         driver = Driver(cls, AdmissionLimits(9, 3, 2, 8, 1.0))
-        admitted = [driver.offer().admitted for _ in range(3)]
+        admitted = [driver.offer().is_admitted for _ in range(3)]
         assert admitted == [True, True, False]
 
     def test_without_slots_nobody_waits(self, cls):
-        assert Driver(cls, limits(slots=0)).offer().refused is not None
+        assert Driver(cls, limits(slots=0)).offer().refusal is not None
 
     def test_a_few_go_beyond_the_slots_until_the_server_sheds_one(self, cls):
         driver = Driver(cls, AdmissionLimits(1, 100, 1, 8, 100.0))
         tickets = [driver.offer() for _ in range(4)]
-        assert [t.admitted for t in tickets] == [True, True, False, False]
+        assert [t.is_admitted for t in tickets] == [True, True, False, False]
 
-        driver.admission.shed(0.0)
+        driver.admission.record_shed(0.0)
         driver.admission.release(tickets[1], 0.0, 0.0)
-        assert not tickets[2].admitted
+        assert not tickets[2].is_admitted
         driver.admission.expire(60.0)
-        assert tickets[2].admitted
+        assert tickets[2].is_admitted
 
     def test_who_runs_alone_runs_with_nobody(self, cls):
         driver = Driver(cls, limits(slots=3))
         before = driver.offer()
         alone = driver.offer(now=1.0, alone=True)
         after = driver.offer(now=1.0)
-        assert (alone.admitted, after.admitted) == (False, False)
+        assert (alone.is_admitted, after.is_admitted) == (False, False)
 
         driver.admission.release(before, 2.0, 2.0)
-        assert (alone.admitted, after.admitted) == (True, False)
+        assert (alone.is_admitted, after.is_admitted) == (True, False)
 
         driver.admission.release(alone, 3.0, 1.0)
-        assert after.admitted
+        assert after.is_admitted
 
     def test_a_row_of_lone_tickets_leaves_time_to_others(self, cls):
         driver = Driver(cls, limits(slots=2))
@@ -108,11 +110,11 @@
         other = driver.offer()
         driver.admission.release(lone[0], 1.0, 1.0)
 
-        assert other.admitted
-        assert not lone[1].admitted
+        assert other.is_admitted
+        assert not lone[1].is_admitted
         driver.admission.expire(2.0)
         driver.admission.release(other, 2.5, 1.5)
-        assert lone[1].admitted
+        assert lone[1].is_admitted
 
 
 def test_a_greedy_caller_does_not_starve_a_modest_one():
@@ -139,10 +141,10 @@
     greedy = [driver.offer("greedy") for _ in range(6)]
     modest = driver.offer("modest")
 
-    assert greedy[5].refused is not None
-    assert greedy[4].refused is not None
+    assert greedy[5].refusal is not None
+    assert greedy[4].refusal is not None
     assert driver.notified == [greedy[4]]
-    assert modest.refused is None
+    assert modest.refusal is None
     assert driver.admission.queued == 4
 
 
@@ -151,7 +153,7 @@
     for number in range(1500):
         driver.offer(f"caller-{number}")
 
-    most = fair.MOST_CALLERS + fair.SHARED_FLOWS
+    most = fair_admission.MAX_CALLERS + fair_admission.SHARED_FLOWS
     assert driver.admission.callers <= most
 
 
@@ -178,19 +180,19 @@
             tickets.append(driver.offer(caller, now, now + 5, kind == "alone"))
         elif kind == "resize":
             cfg = limits(slots=1 + number % 3, length=3, overlap=overlap)
-            driver.admission.resize(cfg)
+            driver.admission.set_limits(cfg)
         elif kind == "shed":
-            driver.admission.shed(now)
+            driver.admission.record_shed(now)
         elif tickets:
             ticket = tickets[number % len(tickets)]
             driver.admission.release(ticket, now, pause_s)
-        running = [t for t in tickets if t.admitted and not t.released]
+        running = [t for t in tickets if t.is_admitted and not t.is_released]
         assert driver.admission.in_flight == len(running)
         assert len(running) <= 3 + overlap
-        assert sum(t.alone for t in running) in (0, len(running) == 1)
+        assert sum(t.must_run_alone for t in running) in (0, len(running) == 1)
 
     for _ in range(2):
         for ticket in tickets:
             driver.admission.release(ticket, now, 0.1)
     assert (driver.admission.in_flight, driver.admission.queued) == (0, 0)
-    assert driver.offer(now=now).admitted
+    assert driver.offer(now=now).is_admitted
--- a/src/radishwind/admission/tests/test_room.py
+++ b/src/radishwind/admission/tests/test_concurrency_estimator.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from radishwind.admission.room import Knee
-from radishwind.admission.room import RoomLearner
-from radishwind.admission.room import Run
+from radishwind.admission.concurrency_estimator import CompletedRun
+from radishwind.admission.concurrency_estimator import ConcurrencyEstimator
+from radishwind.admission.concurrency_estimator import Knee
 
 SLOTS = 9
 USUAL_S = 0.1
@@ -22,23 +22,23 @@
         self.spread = spread
         self.now = 0.0
         self.usual_s = USUAL_S
-        self.learner = RoomLearner()
-        self.learner.best(SLOTS)
+        self.learner = ConcurrencyEstimator()
+        self.learner.best_concurrency(SLOTS)
 
     def run(self, number):
         took_s = self.usual_s * self.rng.lognormvariate(0, self.spread)
         if number > self.knee:
             took_s *= self.slower
         self.now += took_s / number
-        self.learner.ran(Run(number, USUAL_S, took_s), self.now)
+        self.learner.record_run(CompletedRun(number, USUAL_S, took_s), self.now)
 
     def overload(self, for_s):
         """Fills whatever is allowed; returns the numbers in use."""
         until = self.now + for_s
         numbers = []
         while self.now < until:
-            number = self.learner.best(SLOTS)
-            number += self.learner.probes(self.now)
+            number = self.learner.best_concurrency(SLOTS)
+            number += self.learner.is_probe_due(self.now)
             numbers.append(number)
             self.run(number)
         return numbers
@@ -46,12 +46,12 @@
 
 def test_it_begins_with_every_slot_and_tries_fewer_from_the_first_run_on():
     server = Server(1)
-    assert server.learner.best(SLOTS) == SLOTS
+    assert server.learner.best_concurrency(SLOTS) == SLOTS
 
     server.now = 1.0
     server.run(SLOTS)
 
-    assert server.learner.best(SLOTS) == 7
+    assert server.learner.best_concurrency(SLOTS) == 7
 
 
 def part(numbers, wanted):
@@ -145,7 +145,7 @@
     server = Server(1, knee=6, slower=2.0)
     server.overload(10.0)
 
-    server.learner.forget()
+    server.learner.reset()
     server.slower = 1.0
     server.overload(2.0)
 
@@ -156,7 +156,7 @@
 def test_the_word_of_others_holds_while_no_run_speaks_against_it(seed):
     server = Server(seed, knee=7, slower=1.7)
     server.now = 1_000_000.0
-    server.learner.expect(Knee(7 / 9, 1.7))
+    server.learner.set_prior(Knee(7 / 9, 1.7))
 
     numbers = server.overload(3.0)
 
@@ -165,10 +165,10 @@
 
 
 def test_runs_that_say_nothing_are_left_out():
-    learner = RoomLearner()
-    before = learner.best(SLOTS)
+    learner = ConcurrencyEstimator()
+    before = learner.best_concurrency(SLOTS)
 
     for i in range(100):
-        learner.ran(Run(9, 0.0, 0.1), i * 0.1)
+        learner.record_run(CompletedRun(9, 0.0, 0.1), i * 0.1)
 
-    assert learner.best(SLOTS) == before
+    assert learner.best_concurrency(SLOTS) == before
--- a/src/radishwind/admission/tests/test_urgent.py
+++ b/src/radishwind/admission/tests/test_deadline_admission.py
@@ -5,18 +5,18 @@
 
 import pytest
 
-from radishwind.admission.gate import AdmissionLimits
-from radishwind.admission.gate import Ticket
-from radishwind.admission.urgent import StartGate
-from radishwind.admission.urgent import UrgentAdmission
+from radishwind.admission.admission import AdmissionLimits
+from radishwind.admission.admission import Ticket
+from radishwind.admission.deadline_admission import DeadlineAdmission
+from radishwind.admission.deadline_admission import StartGate
 from radishwind.core.codes import ResultCode
 
 ONE_SLOT = AdmissionLimits(
-    slots=1, connections=9, queue_length=99, queue_wait_s=math.inf
+    slots=1, connections=9, max_queued=99, max_queue_wait_s=math.inf
 )
 
 
-def ticket(name, aim=1.0, deadline=2.0, work_s=0.01, priority=0, at=0.0):
+def ticket(name, aim=1.0, deadline=2.0, normal_run_s=0.01, priority=0, at=0.0):
     return Ticket(
         name,
         deadline,
@@ -24,7 +24,7 @@
         lambda: None,
         aim=aim,
         priority=priority,
-        work_s=work_s,
+        normal_run_s=normal_run_s,
     )
 
 
@@ -32,16 +32,16 @@
     def __init__(self):
         self.slow = True
 
-    def holds(self, ticket, now):
+    def should_delay(self, ticket, now):
         return self.slow
 
-    def stretch(self):
+    def queue_slowdown(self):
         return 1.0
 
 
 @pytest.fixture
 def admission():
-    return UrgentAdmission(ONE_SLOT)
+    return DeadlineAdmission(ONE_SLOT)
 
 
 def order(admission, *tickets):
@@ -54,7 +54,7 @@
     waiting = list(tickets)
     while running is not None:
         admission.release(running, 0.0, 0.01)
-        running = next((t for t in waiting if t.admitted), None)
+        running = next((t for t in waiting if t.is_admitted), None)
         if running is not None:
             waiting.remove(running)
             names.append(running.caller)
@@ -83,8 +83,8 @@
 
 
 def test_in_a_congestion_the_newest_goes_first(admission):
-    old = [ticket(f"old{i}", work_s=0.2, aim=0.9) for i in range(2)]
-    new = ticket("new", work_s=0.2, aim=1.5, at=0.1)
+    old = [ticket(f"old{i}", normal_run_s=0.2, aim=0.9) for i in range(2)]
+    new = ticket("new", normal_run_s=0.2, aim=1.5, at=0.1)
 
     assert order(admission, *old, new)[0] == "new"
 
@@ -92,38 +92,40 @@
 def test_who_would_start_too_late_is_refused_at_once(admission):
     admission.offer(ticket("running"), 0.0)
     tickets = [
-        ticket(f"w{i}", work_s=0.2, aim=0.9, deadline=1.0) for i in range(9)
+        ticket(f"w{i}", normal_run_s=0.2, aim=0.9, deadline=1.0)
+        for i in range(9)
     ]
 
     for one in tickets:
         admission.offer(one, 0.0)
     admission.expire(0.0)
 
-    refused = [t for t in tickets if t.refused]
+    refused = [t for t in tickets if t.refusal]
     assert refused
-    assert {t.refused.code for t in refused} == {ResultCode.OVERLOADED}
+    assert {t.refusal.code for t in refused} == {ResultCode.OVERLOADED}
     assert len(tickets) - len(refused) == admission.queued
 
 
 def test_a_ticket_held_back_starts_once_the_gate_opens():
     gate = SlowSpell()
-    admission = UrgentAdmission(ONE_SLOT, gate)
+    admission = DeadlineAdmission(ONE_SLOT, gate)
     held = ticket("held")
 
     admission.offer(held, 0.0)
-    assert not held.admitted
+    assert not held.is_admitted
     gate.slow = False
     admission.expire(0.1)
 
-    assert held.admitted
+    assert held.is_admitted
 
 
 def test_what_would_not_end_in_time_is_refused_by_what_runs_take_there():
     """Runs take half a second there, with the calls that they wait for."""
-    admission = UrgentAdmission(ONE_SLOT)
-    admission.offer(ticket("running", work_s=0.1), 0.0)
+    admission = DeadlineAdmission(ONE_SLOT)
+    admission.offer(ticket("running", normal_run_s=0.1), 0.0)
     short, long = (
-        ticket(name, work_s=0.1, aim=0.4, deadline=1.0) for name in ("s", "l")
+        ticket(name, normal_run_s=0.1, aim=0.4, deadline=1.0)
+        for name in ("s", "l")
     )
     long.likely_s = 0.5
     admission.offer(short, 0.0)
@@ -131,8 +133,8 @@
 
     admission.expire(0.55)
 
-    assert not short.refused
-    assert long.refused.code is ResultCode.OVERLOADED
+    assert not short.refusal
+    assert long.refusal.code is ResultCode.OVERLOADED
 
 
 def test_what_belongs_together_begins_alike_at_different_servers():
@@ -141,19 +143,21 @@
     began = ([], [])
     lots = [rng.random() - 0.5 for _ in range(20)]
     for names in began:
-        admission = UrgentAdmission(ONE_SLOT)
-        running = ticket("running", work_s=0.1)
+        admission = DeadlineAdmission(ONE_SLOT)
+        running = ticket("running", normal_run_s=0.1)
         admission.offer(running, 0.0)
         waiting = []
         for i in rng.sample(range(20), 20):
             at = rng.random() * 0.05
-            one = ticket(f"p{i}", work_s=0.05, aim=9.0, deadline=10.0, at=at)
-            one.lot = lots[i]
+            one = ticket(
+                f"p{i}", normal_run_s=0.05, aim=9.0, deadline=10.0, at=at
+            )
+            one.group_rank = lots[i]
             waiting.append(one)
             admission.offer(one, at)
         for _ in range(10):
             admission.release(running, 0.1, 0.05)
-            running = next(t for t in waiting if t.admitted)
+            running = next(t for t in waiting if t.is_admitted)
             waiting.remove(running)
             names.append(running.caller)
 
@@ -165,7 +169,7 @@
 ):
     caller = ticket("caller", aim=0.30, priority=1)
     call = ticket("call", aim=0.35, deadline=0.40, priority=1)
-    call.nested = True
+    call.is_nested = True
 
     assert order(admission, caller, call) == ["call", "caller"]
 
@@ -173,7 +177,7 @@
 def test_a_call_past_its_aim_is_not_late_for_the_run_that_waits(admission):
     caller = ticket("caller", aim=0.9, priority=1)
     call = ticket("call", aim=0.005, deadline=0.8, priority=1)
-    call.nested = True
+    call.is_nested = True
 
     assert order(admission, caller, call) == ["call", "caller"]
 
@@ -181,6 +185,6 @@
 def test_callers_far_nearer_to_their_aim_go_before_calls(admission):
     caller = ticket("caller", aim=0.1, priority=1)
     call = ticket("call", aim=0.5, deadline=0.9, priority=1)
-    call.nested = True
+    call.is_nested = True
 
     assert order(admission, call, caller) == ["caller", "call"]
--- a/src/radishwind/entry/call_executor.py
+++ b/src/radishwind/entry/call_executor.py
@@ -14,8 +14,8 @@
 from radishwind.entry.runner import AttemptRunner
 from radishwind.hedging.policy import HedgePolicy
 from radishwind.membership.directory import Member
+from radishwind.outcomes import combine_outcomes
 from radishwind.outcomes import Done
-from radishwind.outcomes import graver
 from radishwind.outcomes import NotRun
 from radishwind.outcomes import Outcome
 from radishwind.retries.policy import RetryPolicy
@@ -84,14 +84,14 @@
                 return last or self._placement.refusal(call)
             shed = self._shedder.refusal(call, member, self._clock.monotonic())
             if shed is not None:
-                return graver(last, shed)
+                return combine_outcomes(last, shed)
             outcome = await self._attempt_or_race(
                 history, member, hedge_delay_s
             )
             if not isinstance(outcome, NotRun):
                 # A retry is not hedged if a server may have been reached.
                 hedge_delay_s = None
-            last = graver(last, outcome)
+            last = combine_outcomes(last, outcome)
             now = self._clock.monotonic()
             if history.reached >= call.max_server_attempts:
                 return last
--- a/src/radishwind/entry/pipeline.py
+++ b/src/radishwind/entry/pipeline.py
@@ -23,11 +23,11 @@
 from radishwind.hedging.policy import NoHedging
 from radishwind.http.types import Request
 from radishwind.http.types import Response
-from radishwind.outcomes import answer
 from radishwind.outcomes import NotRun
 from radishwind.outcomes import Outcome
-from radishwind.quarantine.gate import OpenGate
-from radishwind.quarantine.gate import QuarantineGate
+from radishwind.outcomes import outcome_response
+from radishwind.quarantine.quarantine import NoQuarantine
+from radishwind.quarantine.quarantine import QuarantineCheck
 from radishwind.quotas import NoQuotas
 from radishwind.quotas import QuotaGate
 from radishwind.retries.policy import RetryPolicy
@@ -56,9 +56,9 @@
         claims: ClaimGuard,
         hedges: HedgePolicy | None = None,
         observers: Sequence[CallObserver] = (),
-        quarantine: QuarantineGate | None = None,
+        quarantine: QuarantineCheck | None = None,
         retry_after: RetryAfter | None = None,
-        respond: Callable[[Outcome], Response] = answer,
+        respond: Callable[[Outcome], Response] = outcome_response,
         shedder: LoadShedder | None = None,
         quotas: QuotaGate | None = None,
     ) -> None:
@@ -67,7 +67,7 @@
         self._claims = claims
         self._quotas = quotas or NoQuotas()
         self._observers = tuple(observers)
-        self._quarantine = quarantine or OpenGate()
+        self._quarantine = quarantine or NoQuarantine()
         self._retry_after = retry_after or RetryAfter()
         self._respond = respond
         self._executor = CallExecutor(
--- a/src/radishwind/entry/race.py
+++ b/src/radishwind/entry/race.py
@@ -6,8 +6,8 @@
 import anyio
 
 from radishwind.http.types import abort_body
+from radishwind.outcomes import combine_outcomes
 from radishwind.outcomes import Done
-from radishwind.outcomes import graver
 from radishwind.outcomes import Outcome
 
 
@@ -65,4 +65,4 @@
             if isinstance(outcome, Done):
                 abort_body(outcome.response.body)
             return
-        self._kept = graver(self._kept, outcome)
+        self._kept = combine_outcomes(self._kept, outcome)
--- a/src/radishwind/node/admin.py
+++ b/src/radishwind/node/admin.py
@@ -10,7 +10,7 @@
 from radishwind.core import ResultCode
 from radishwind.http import Request
 from radishwind.http import Response
-from radishwind.outcomes import problem
+from radishwind.outcomes import problem_response
 
 AdminHandler: TypeAlias = Callable[[Request], Awaitable[Response]]
 StatusPart: TypeAlias = Callable[[], dict[str, Any]]
@@ -40,7 +40,7 @@
         handler = self._routes.get((request.method, path))
         if handler is None:
             known = ", ".join(sorted(" ".join(r) for r in self._routes))
-            return problem(
+            return problem_response(
                 ResultCode.REQUEST_MALFORMED,
                 f"expected one of {known}; got {request.method} {path[:80]}",
                 "not-run",
--- a/src/radishwind/node/app.py
+++ b/src/radishwind/node/app.py
@@ -36,7 +36,7 @@
 from radishwind.peers import HttpPeerClient
 from radishwind.peers import PeerListener
 from radishwind.peers.attempts import is_attempt
-from radishwind.quarantine.runner import CarefulRunner
+from radishwind.quarantine.isolating_runner import IsolatingRunner
 from radishwind.retries import BudgetedRetryPolicy
 from radishwind.routing.placement import UnrestrictedPlacement
 from radishwind.settings import NodeSettings
@@ -137,7 +137,7 @@
             ),
             retries=BudgetedRetryPolicy(),
             hedges=QuantileHedgePolicy(),
-            runner=CarefulRunner(forward),
+            runner=IsolatingRunner(forward),
             claims=self._claims.guard,
             quarantine=self._target_side.quarantine,
             observers=self._observation.observers,
--- a/src/radishwind/node/callers.py
+++ b/src/radishwind/node/callers.py
@@ -7,7 +7,7 @@
 from radishwind.http.hygiene import check_request
 from radishwind.http.hygiene import end_to_end
 from radishwind.http.hygiene import origin_path
-from radishwind.outcomes import problem
+from radishwind.outcomes import problem_response
 
 
 class CallerListener:
@@ -21,7 +21,7 @@
         try:
             clean = cleaned(request)
         except RequestRejectedError as exc:
-            return problem(exc.code, exc.args[0], "not-run")
+            return problem_response(exc.code, exc.args[0], "not-run")
         response = await self._entry.handle(clean)
         return Response(
             response.status,
--- a/src/radishwind/node/config_tasks.py
+++ b/src/radishwind/node/config_tasks.py
@@ -33,7 +33,7 @@
 from radishwind.node.config_periods import ConfigPeriods
 from radishwind.node.config_store import StoreFollower
 from radishwind.node.peer_security import advertised
-from radishwind.outcomes import problem
+from radishwind.outcomes import problem_response
 from radishwind.peers import PeerClient
 from radishwind.peers import PeerError
 from radishwind.settings import NodeSettings
@@ -159,7 +159,9 @@
             content = await whole_body(request.body)
             return _json(self.exchange.answer(content))
         except RevisionRefusedError as exc:
-            return problem(ResultCode.PEER_MALFORMED, str(exc), "not-run")
+            return problem_response(
+                ResultCode.PEER_MALFORMED, str(exc), "not-run"
+            )
 
     async def ask(self, address: Address) -> int | None:
         """Asks one peer; returns the revision it told, `None` for no answer."""
--- a/src/radishwind/node/membership_tasks.py
+++ b/src/radishwind/node/membership_tasks.py
@@ -35,7 +35,7 @@
 from radishwind.node.gossip_datagrams import RoundTripTaker
 from radishwind.node.peer_search import PeerSearch
 from radishwind.node.peer_security import advertised
-from radishwind.outcomes import problem
+from radishwind.outcomes import problem_response
 from radishwind.peers import PeerClient
 from radishwind.peers import PeerError
 from radishwind.peers import PeerListener
@@ -302,7 +302,7 @@
         try:
             message = decode_message(body)
         except MessageError as exc:
-            return problem(exc.code, exc.args[0], "not-run")
+            return problem_response(exc.code, exc.args[0], "not-run")
         self.traffic.received(len(body))
         data = encode_message(self._received(message))
         self.traffic.sent(len(data))
--- a/src/radishwind/node/target.py
+++ b/src/radishwind/node/target.py
@@ -118,12 +118,12 @@
         limits = AdmissionLimits(
             slots=own.slots if own else 0,
             connections=own.connections if own else 0,
-            overlap=OVERLAP,
-            queue_length=rules.queue_length,
-            queue_wait_s=rules.queue_wait_ms / 1000,
+            overcommit=OVERLAP,
+            max_queued=rules.queue_length,
+            max_queue_wait_s=rules.queue_wait_ms / 1000,
             caller_weights=rules.caller_weights,
         )
-        self._admission.resize(limits)
+        self._admission.set_limits(limits)
         self._prober.set_budget_share(rules.probe_share)
 
     def _status(self) -> dict[str, Any]:
--- a/src/radishwind/outcomes/__init__.py
+++ b/src/radishwind/outcomes/__init__.py
@@ -1,19 +1,19 @@
 """NotRun, Done and Unknown: what became of an attempt, and how it is told."""
 
-from radishwind.outcomes.answers import answer
-from radishwind.outcomes.answers import problem
-from radishwind.outcomes.graver import graver
+from radishwind.outcomes.combining import combine_outcomes
 from radishwind.outcomes.model import Done
 from radishwind.outcomes.model import NotRun
 from radishwind.outcomes.model import Outcome
 from radishwind.outcomes.model import Unknown
+from radishwind.outcomes.responses import outcome_response
+from radishwind.outcomes.responses import problem_response
 
 __all__ = [
     "Done",
     "NotRun",
     "Outcome",
     "Unknown",
-    "answer",
-    "graver",
-    "problem",
+    "combine_outcomes",
+    "outcome_response",
+    "problem_response",
 ]
--- a/src/radishwind/outcomes/graver.py
+++ b/src/radishwind/outcomes/combining.py
@@ -6,7 +6,7 @@
 from radishwind.outcomes.model import Outcome
 
 
-def graver(before: Outcome | None, outcome: Outcome) -> Outcome:
+def combine_outcomes(before: Outcome | None, outcome: Outcome) -> Outcome:
     """Returns what holds of both attempts.
 
     An answer goes before none, and an answer of success before one of
--- a/src/radishwind/outcomes/answers.py
+++ b/src/radishwind/outcomes/responses.py
@@ -30,20 +30,20 @@
 _STATUS_UNKNOWN = 502
 
 
-def answer(outcome: Outcome) -> Response:
+def outcome_response(outcome: Outcome) -> Response:
     """Returns the final answer to the caller for `outcome`."""
     if isinstance(outcome, Done):
         return outcome.response
     if isinstance(outcome, NotRun):
-        return problem(
+        return problem_response(
             outcome.code, outcome.detail, "not-run", outcome.retry_after_s
         )
-    return problem(
+    return problem_response(
         outcome.code, outcome.detail, "unknown", outcome.retry_after_s
     )
 
 
-def problem(
+def problem_response(
     code: ResultCode,
     detail: str,
     outcome: str,
--- a/src/radishwind/peers/attempts.py
+++ b/src/radishwind/peers/attempts.py
@@ -19,10 +19,10 @@
 from radishwind.http.types import Request
 from radishwind.http.types import Response
 from radishwind.membership.directory import Member
-from radishwind.outcomes import answer
 from radishwind.outcomes import Done
 from radishwind.outcomes import NotRun
 from radishwind.outcomes import Outcome
+from radishwind.outcomes import outcome_response
 from radishwind.outcomes import Unknown
 from radishwind.peers.signing import AUTH_FIELD
 from radishwind.peers.signing import RequestSigner
@@ -196,7 +196,7 @@
     attempt_id: str, outcome: Outcome, load: LoadReport | None
 ) -> Response:
     """Returns the answer to an attempt, with what only nodes read of it."""
-    response = answer(outcome)
+    response = outcome_response(outcome)
     field = _encoder.encode(_answer_info(attempt_id, outcome, load)).decode()
     return Response(
         response.status,
--- a/src/radishwind/peers/listener.py
+++ b/src/radishwind/peers/listener.py
@@ -22,7 +22,7 @@
 from radishwind.loads.link_admission import LinkAdmission
 from radishwind.outcomes import NotRun
 from radishwind.outcomes import Outcome
-from radishwind.outcomes import problem
+from radishwind.outcomes import problem_response
 from radishwind.outcomes import Unknown
 from radishwind.peers.attempts import ATTEMPT_FIELD
 from radishwind.peers.attempts import AttemptInfo
@@ -254,7 +254,9 @@
 
     def _refuse(self, code: ResultCode, detail: str) -> Response:
         self.refused[code] = self.refused.get(code, 0) + 1
-        return self._telling_how_to_sign(problem(code, detail, "not-run"))
+        return self._telling_how_to_sign(
+            problem_response(code, detail, "not-run")
+        )
 
     def _note_refused(
         self, code: ResultCode, what: str, request: Request
--- a/src/radishwind/peers/tests/test_malformed.py
+++ b/src/radishwind/peers/tests/test_malformed.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from radishwind.http import Response
-from radishwind.outcomes import answer
 from radishwind.outcomes import Done
+from radishwind.outcomes import outcome_response
 from radishwind.outcomes import Unknown
 from radishwind.peers.attempts import ANSWER_FIELD
 from radishwind.peers.attempts import PeerMalformedError
@@ -47,7 +47,7 @@
 
     outcome = read_result(response, "id").outcome
 
-    assert 200 <= answer(outcome).status <= 599
+    assert 200 <= outcome_response(outcome).status <= 599
     if '"id"' not in field:
         assert isinstance(outcome, Unknown)
     if isinstance(outcome, Done):
--- a/src/radishwind/platform/answers.py
+++ b/src/radishwind/platform/answers.py
@@ -5,10 +5,10 @@
 from radishwind.core.codes import ResultCode
 from radishwind.http.problems import problem_body
 from radishwind.http.types import Response
-from radishwind.outcomes import answer
 from radishwind.outcomes import Done
 from radishwind.outcomes import NotRun
 from radishwind.outcomes import Outcome
+from radishwind.outcomes import outcome_response
 from radishwind.outcomes import Unknown
 from radishwind.platform.fields import KEY_SCHEME
 
@@ -26,7 +26,7 @@
     Callers here read fractions of a second in `Retry-After`, which tells them
     to come back long before a whole second is over.
     """
-    response = answer(outcome)
+    response = outcome_response(outcome)
     if isinstance(outcome, Done):
         return response
     if outcome.code // 1000 == _OF_PEERS:
--- a/src/radishwind/probing/prober.py
+++ b/src/radishwind/probing/prober.py
@@ -7,8 +7,8 @@
 import anyio
 import msgspec
 
-from radishwind.admission.gate import Admission
-from radishwind.admission.gate import Ticket
+from radishwind.admission.admission import Admission
+from radishwind.admission.admission import Ticket
 from radishwind.core.clock import Clock
 from radishwind.http.errors import ConnectFailedError
 from radishwind.http.errors import SendError
@@ -110,12 +110,12 @@
         self._admission.offer(ticket, started_at)
         health = None
         try:
-            if ticket.admitted:
+            if ticket.is_admitted:
                 health = await self._send_probe(view)
         finally:
             now = self._clock.monotonic()
             self._admission.release(ticket, now, 0.0)
-        if ticket.refused is not None:
+        if ticket.refusal is not None:
             return
         self._policy.record_probe(now - started_at, health is not None, now)
         if health is not None and health.state is not None:
--- a/src/radishwind/quarantine/__init__.py
+++ b/src/radishwind/quarantine/__init__.py
@@ -1,19 +1,19 @@
 """Requests that crash servers: found, run alone, refused for a while."""
 
-from radishwind.quarantine.crashes import CrashDetector
-from radishwind.quarantine.crashes import Suspect
+from radishwind.quarantine.crash_detector import CrashDetector
+from radishwind.quarantine.crash_detector import CrashSuspect
 from radishwind.quarantine.fingerprint import fingerprint
-from radishwind.quarantine.gate import Quarantine
-from radishwind.quarantine.gate import QuarantineGate
-from radishwind.quarantine.suspects import SuspectBook
-from radishwind.quarantine.suspects import Verdict
+from radishwind.quarantine.quarantine import Quarantine
+from radishwind.quarantine.quarantine import QuarantineCheck
+from radishwind.quarantine.suspect_registry import SuspectRegistry
+from radishwind.quarantine.suspect_registry import Verdict
 
 __all__ = [
     "CrashDetector",
+    "CrashSuspect",
     "Quarantine",
-    "QuarantineGate",
-    "Suspect",
-    "SuspectBook",
+    "QuarantineCheck",
+    "SuspectRegistry",
     "Verdict",
     "fingerprint",
 ]
--- a/src/radishwind/quarantine/crashes.py
+++ b/src/radishwind/quarantine/crash_detector.py
@@ -10,10 +10,10 @@
 CRASH_WINDOW_S = 10.0
 
 #: Broken exchanges remembered; a server has fewer slots than that.
-MOST_BROKEN = 1024
+MAX_BROKEN_EXCHANGES = 1024
 
 
-class Suspect(msgspec.Struct, frozen=True):
+class CrashSuspect(msgspec.Struct, frozen=True):
     """A request in flight at a crash.
 
     Attributes:
@@ -22,7 +22,7 @@
     """
 
     fingerprint: str
-    alone: bool
+    ran_alone: bool
 
 
 class _Broken(msgspec.Struct, frozen=True):
@@ -43,16 +43,16 @@
     def __init__(self) -> None:
         self._broken: list[_Broken] = []
 
-    def broke(self, request: Request, now: float) -> None:
+    def record_broken_exchange(self, request: Request, now: float) -> None:
         """Takes an exchange that broke off before its answer was whole."""
         recent = [b for b in self._broken if now - b.at <= CRASH_WINDOW_S]
-        self._broken = recent[-MOST_BROKEN + 1 :]
+        self._broken = recent[-MAX_BROKEN_EXCHANGES + 1 :]
         self._broken.append(_Broken(request, now))
 
-    def gone(self, now: float) -> tuple[Suspect, ...]:
+    def record_server_down(self, now: float) -> tuple[CrashSuspect, ...]:
         """Takes a refused connection or a new start; returns the suspects."""
         broken, self._broken = self._broken, []
         recent = [b for b in broken if now - b.at <= CRASH_WINDOW_S]
         alone = len(recent) == 1
         prints = dict.fromkeys(fingerprint(b.request) for b in recent)
-        return tuple(Suspect(name, alone) for name in prints)
+        return tuple(CrashSuspect(name, alone) for name in prints)
--- a/src/radishwind/quarantine/runner.py
+++ b/src/radishwind/quarantine/isolating_runner.py
@@ -16,13 +16,13 @@
 from radishwind.outcomes.model import Unknown
 
 #: Calls remembered whose attempt broke off.
-MOST_BROKEN = 1024
+MAX_BROKEN_CALLS = 1024
 
 #: After so many attempts that broke off there is no further one.
-MOST_BREAKS = 2
+MAX_BROKEN_ATTEMPTS = 2
 
 
-class CarefulRunner(AttemptRunner):
+class IsolatingRunner(AttemptRunner):
     """Lets a call run alone after one broken attempt, and not after two."""
 
     def __init__(self, runner: AttemptRunner) -> None:
@@ -35,7 +35,7 @@
         self, call: Call, member: Member, attempt_id: str
     ) -> AttemptResult:
         breaks = self._breaks.get(call.call_id, 0) if self._breaks else 0
-        if breaks >= MOST_BREAKS:
+        if breaks >= MAX_BROKEN_ATTEMPTS:
             # It may have run, so this must not be told as "not run".
             return AttemptResult(
                 Unknown(
@@ -56,5 +56,5 @@
 
     def _note(self, call_id: str, breaks: int) -> None:
         self._breaks[call_id] = breaks
-        while len(self._breaks) > MOST_BROKEN:
+        while len(self._breaks) > MAX_BROKEN_CALLS:
             self._breaks.popitem(last=False)
--- a/src/radishwind/quarantine/gate.py
+++ b/src/radishwind/quarantine/quarantine.py
@@ -11,12 +11,12 @@
 from radishwind.core.codes import ResultCode
 from radishwind.membership.rumor_bus import RumorBus
 from radishwind.outcomes.model import NotRun
-from radishwind.quarantine.crashes import Suspect
+from radishwind.quarantine.crash_detector import CrashSuspect
 from radishwind.quarantine.fingerprint import fingerprint
-from radishwind.quarantine.suspects import Fact
-from radishwind.quarantine.suspects import QUARANTINE_S
-from radishwind.quarantine.suspects import Ruling
-from radishwind.quarantine.suspects import SuspectBook
+from radishwind.quarantine.suspect_registry import QUARANTINE_S
+from radishwind.quarantine.suspect_registry import Ruling
+from radishwind.quarantine.suspect_registry import SuspectRegistry
+from radishwind.quarantine.suspect_registry import SuspectReport
 from radishwind.telemetry.logs import PartLogger
 
 if TYPE_CHECKING:
@@ -25,10 +25,10 @@
 #: The topic of the facts between nodes.
 TOPIC = "quarantine"
 
-_decoder = msgspec.json.Decoder(Fact)
+_decoder = msgspec.json.Decoder(SuspectReport)
 
 
-class QuarantineGate(abc.ABC):
+class QuarantineCheck(abc.ABC):
     """Says before an attempt whether a request is refused everywhere."""
 
     @abc.abstractmethod
@@ -36,14 +36,14 @@
         """Returns the refusal of `call`, if it is quarantined."""
 
 
-class OpenGate(QuarantineGate):
+class NoQuarantine(QuarantineCheck):
     """Refuses nothing."""
 
     def refusal(self, call: "Call") -> NotRun | None:
         return None
 
 
-class Quarantine(QuarantineGate):
+class Quarantine(QuarantineCheck):
     """One book for each service called; facts come by the rumor bus."""
 
     def __init__(
@@ -53,11 +53,11 @@
         self._service = service
         self._clock = clock
         self._rumor_bus = rumor_bus
-        self._books: dict[str, SuspectBook] = {}
+        self._books: dict[str, SuspectRegistry] = {}
         self._log = PartLogger("quarantine", clock)
         rumor_bus.subscribe(TOPIC, self._learn)
 
-    def serve(self, service: str) -> None:
+    def set_service(self, service: str) -> None:
         """Takes that the server beside now gives `service`."""
         self._service = service
 
@@ -75,7 +75,7 @@
             round(verdict.retry_after_s, 3),
         )
 
-    def alone(self, call: "Call") -> bool:
+    def must_run_alone(self, call: "Call") -> bool:
         """Returns whether `call` must run alone."""
         book = self._books.get(call.service)
         if not book:
@@ -84,7 +84,7 @@
         verdict = book.judge(fingerprint(call.request), now)
         return call.suspect or verdict.ruling is not Ruling.RUN
 
-    def crashed(self, suspects: Sequence[Suspect]) -> None:
+    def record_crash(self, suspects: Sequence[CrashSuspect]) -> None:
         """Tells every node what ran when the server beside crashed."""
         if not suspects:
             return
@@ -95,10 +95,12 @@
         now_ms = self._clock.wall_ms()
         for suspect in suspects:
             self._tell(
-                Fact(suspect.fingerprint, self._target, now_ms, suspect.alone)
+                SuspectReport(
+                    suspect.fingerprint, self._target, now_ms, suspect.ran_alone
+                )
             )
 
-    def ran_safely(self, call: "Call") -> None:
+    def record_safe_run(self, call: "Call") -> None:
         """Clears a suspect that ran alone and harmed nothing."""
         book = self._books.get(call.service)
         if not book:
@@ -111,9 +113,11 @@
         """Returns what is refused, by service."""
         now = self._clock.monotonic()
         books = self._books.items()
-        return {name: list(book.refused(now)) for name, book in books}
+        return {
+            name: list(book.refused_fingerprints(now)) for name, book in books
+        }
 
-    def _tell(self, fact: Fact) -> None:
+    def _tell(self, fact: SuspectReport) -> None:
         self._take(self._service, fact)
         kind = "crash" if fact.crashed_ms else "clear"
         self._rumor_bus.publish(
@@ -131,6 +135,6 @@
         except msgspec.MsgspecError as exc:
             self._log.warning("A fact is malformed.", reason=str(exc))
 
-    def _take(self, service: str, fact: Fact) -> None:
-        book = self._books.setdefault(service, SuspectBook())
-        book.take(fact, self._clock.monotonic())
+    def _take(self, service: str, fact: SuspectReport) -> None:
+        book = self._books.setdefault(service, SuspectRegistry())
+        book.apply(fact, self._clock.monotonic())
--- a/src/radishwind/quarantine/suspects.py
+++ b/src/radishwind/quarantine/suspect_registry.py
@@ -9,19 +9,19 @@
 import msgspec
 
 #: How long one crash makes a request a suspect (s).
-SUSPECT_S = 120.0
+SUSPICION_S = 120.0
 
 #: How long a request is refused that was in flight at crashes of two targets,
 #: at one of them alone (s).
 QUARANTINE_S = 300.0
 
 #: How long one is refused that never was alone; then it is tried alone (s).
-DOUBT_S = 5.0
+UNPROVEN_QUARANTINE_S = 5.0
 
 #: Fingerprints kept; the oldest give way.
-MOST_SUSPECTS = 1024
+MAX_SUSPECTS = 1024
 
-_TARGETS_TO_REFUSE = 2
+_MIN_CRASHED_TARGETS = 2
 
 
 class Ruling(enum.Enum):
@@ -43,7 +43,7 @@
 RUN_ALONE = Verdict(Ruling.RUN_ALONE)
 
 
-class Fact(msgspec.Struct, frozen=True, array_like=True):
+class SuspectReport(msgspec.Struct, frozen=True, array_like=True):
     """What one target's node found out about a fingerprint.
 
     Attributes:
@@ -59,7 +59,7 @@
     fingerprint: str
     target: str
     crashed_ms: int = 0
-    alone: bool = False
+    ran_alone: bool = False
     cleared_ms: int = 0
 
 
@@ -73,7 +73,7 @@
     """
 
     at_ms: int
-    alone: bool
+    ran_alone: bool
     learned: float
 
 
@@ -92,7 +92,7 @@
     learned: float = 0.0
 
 
-class SuspectBook:
+class SuspectRegistry:
     """Judges fingerprints by the facts of all targets of a service."""
 
     def __init__(self) -> None:
@@ -101,7 +101,7 @@
     def __len__(self) -> int:
         return len(self._records)
 
-    def take(self, fact: Fact, now: float) -> None:
+    def apply(self, fact: SuspectReport, now: float) -> None:
         """Takes a fact from this node or another; again does no harm."""
         record = self._records.get(fact.fingerprint)
         if record is None:
@@ -111,7 +111,7 @@
         known = record.crashes.get(fact.target)
         if fact.crashed_ms and (not known or known.at_ms < fact.crashed_ms):
             record.crashes[fact.target] = _Crash(
-                fact.crashed_ms, fact.alone, now
+                fact.crashed_ms, fact.ran_alone, now
             )
         self._bound(now)
 
@@ -123,16 +123,16 @@
         counting = self._counting(record, now)
         if not counting:
             return RUN
-        if len(counting) < _TARGETS_TO_REFUSE:
+        if len(counting) < _MIN_CRASHED_TARGETS:
             return RUN_ALONE
         learned = max(c.learned for c in counting)
-        proven = any(c.alone for c in counting)
-        until = learned + (QUARANTINE_S if proven else DOUBT_S)
+        proven = any(c.ran_alone for c in counting)
+        until = learned + (QUARANTINE_S if proven else UNPROVEN_QUARANTINE_S)
         if now < until:
             return Verdict(Ruling.REFUSE, until - now)
         return RUN_ALONE
 
-    def clearance(self, fingerprint: str, target: str) -> Fact | None:
+    def clearance(self, fingerprint: str, target: str) -> SuspectReport | None:
         """Returns the fact that clears `fingerprint`, if it needs clearing."""
         record = self._records.get(fingerprint)
         if record is None or not record.crashes:
@@ -140,9 +140,9 @@
         newest_ms = max(c.at_ms for c in record.crashes.values())
         if newest_ms <= record.cleared_ms:
             return None
-        return Fact(fingerprint, target, cleared_ms=newest_ms)
+        return SuspectReport(fingerprint, target, cleared_ms=newest_ms)
 
-    def refused(self, now: float) -> tuple[str, ...]:
+    def refused_fingerprints(self, now: float) -> tuple[str, ...]:
         """Returns the fingerprints that are refused now."""
         return tuple(
             name
@@ -155,8 +155,8 @@
         crashes = [
             c for c in record.crashes.values() if c.at_ms > record.cleared_ms
         ]
-        many = len(crashes) >= _TARGETS_TO_REFUSE
-        term_s = QUARANTINE_S if many else SUSPECT_S
+        many = len(crashes) >= _MIN_CRASHED_TARGETS
+        term_s = QUARANTINE_S if many else SUSPICION_S
         return [c for c in crashes if now - c.learned < term_s]
 
     def _bound(self, now: float) -> None:
@@ -164,6 +164,6 @@
         for name, record in list(self._records.items()):
             if now - record.learned >= QUARANTINE_S:
                 del self._records[name]
-        while len(self._records) > MOST_SUSPECTS:
+        while len(self._records) > MAX_SUSPECTS:
             oldest = min(self._records, key=lambda n: self._records[n].learned)
             del self._records[oldest]
--- a/src/radishwind/routes/feed.py
+++ b/src/radishwind/routes/feed.py
@@ -23,7 +23,7 @@
 from radishwind.membership.directory import Member
 from radishwind.membership.records import MAX_RUMOR_VALUE_CHARS
 from radishwind.membership.rumor_bus import RumorBus
-from radishwind.outcomes import problem
+from radishwind.outcomes import problem_response
 from radishwind.peers.client import PeerClient
 from radishwind.peers.client import PeerError
 from radishwind.recency.model import FreshnessProof
@@ -185,7 +185,7 @@
                 self._take_offer(message, f"peer {request.remote}")
         except FeedMalformedError as exc:
             self._log.warning("A message is malformed.", reason=str(exc)[:120])
-            return problem(exc.code, str(exc), "not-run")
+            return problem_response(exc.code, str(exc), "not-run")
         answer: Offer | Nothing = Nothing()
         if isinstance(message, Ask):
             answer = self.answer(message)
--- a/src/radishwind/routes/unsigned.py
+++ b/src/radishwind/routes/unsigned.py
@@ -11,7 +11,7 @@
 from radishwind.http.types import whole_body
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
-from radishwind.outcomes import problem
+from radishwind.outcomes import problem_response
 from radishwind.peers.client import PeerClient
 from radishwind.peers.client import PeerError
 from radishwind.routes.feed import CONTROL_NAME
@@ -61,7 +61,7 @@
         try:
             message = decode(body)
         except FeedMalformedError as exc:
-            return problem(exc.code, str(exc), "not-run")
+            return problem_response(exc.code, str(exc), "not-run")
         member = self._known_at(request.remote)
         if isinstance(message, Ask) and member is not None:
             await self._bring(member, self._feed.answer(message))
--- a/src/radishwind/sidecar/control.py
+++ b/src/radishwind/sidecar/control.py
@@ -10,7 +10,7 @@
 from radishwind.http.types import Request
 from radishwind.http.types import Response
 from radishwind.http.types import whole_body
-from radishwind.outcomes import problem
+from radishwind.outcomes import problem_response
 from radishwind.platform.heartbeats import Heartbeat
 from radishwind.platform.heartbeats import read_call
 from radishwind.target.leaving_records import LeavingRecords
@@ -66,7 +66,7 @@
         except RadishwindError as exc:
             return self._left_out(exc.code, str(exc))
         if heartbeat is None:
-            return problem(
+            return problem_response(
                 ResultCode.SERVICE_UNKNOWN,
                 f"expected a heartbeat, got {request.path[:80]!r}",
                 "not-run",
@@ -90,7 +90,7 @@
         """Refuses a call that names no server to use; the others hold."""
         self.malformed += 1
         self._log.warning("A heartbeat is left out.", reason=reason)
-        return problem(code, reason, "not-run")
+        return problem_response(code, reason, "not-run")
 
     def records_known(self) -> None:
         """Takes that the records of before are known now."""
@@ -110,7 +110,7 @@
         self._register(told)
         if await self._records.persist(life, KEEP_WITHIN_S):
             return Response(200, _JSON, _ACKNOWLEDGED, len(_ACKNOWLEDGED))
-        return problem(
+        return problem_response(
             ResultCode.STORE_UNAVAILABLE,
             "Nobody keeps the word yet; call again.",
             "not-run",
--- a/src/radishwind/sidecar/entry_side.py
+++ b/src/radishwind/sidecar/entry_side.py
@@ -31,7 +31,7 @@
 from radishwind.platform import read_caller
 from radishwind.platform import with_account
 from radishwind.platform.answers import respond
-from radishwind.quarantine.runner import CarefulRunner
+from radishwind.quarantine.isolating_runner import IsolatingRunner
 from radishwind.quotas import QuotaGate
 from radishwind.retries.fleet import FleetRetryBudget
 from radishwind.retries.fleet import FleetRetryPolicy
@@ -167,7 +167,7 @@
                 budget, lambda: target.runs.retry_fraction
             ),
             hedges=hedges if switches.hedges else NoHedging(),
-            runner=CarefulRunner(forward) if switches.quarantine else forward,
+            runner=IsolatingRunner(forward) if switches.quarantine else forward,
             claims=NoClaims(),
             quarantine=target.quarantine,
             observers=observers,
--- a/src/radishwind/sidecar/habits.py
+++ b/src/radishwind/sidecar/habits.py
@@ -14,8 +14,8 @@
 import anyio
 import msgspec
 
-from radishwind.admission.room import Knee
-from radishwind.admission.room import RoomLearner
+from radishwind.admission.concurrency_estimator import ConcurrencyEstimator
+from radishwind.admission.concurrency_estimator import Knee
 from radishwind.core.clock import Clock
 from radishwind.membership.rumor_bus import NullRumorBus
 from radishwind.membership.rumor_bus import RumorBus
@@ -105,7 +105,7 @@
       pulse: learns when the pace changes.
     """
 
-    room: RoomLearner
+    room: ConcurrencyEstimator
     pulse: LoadMonitor
 
     @property
@@ -115,7 +115,7 @@
 
     def expect(self, record: HabitRecord) -> None:
         """Begins with what others found."""
-        self.room.expect(record.knee)
+        self.room.set_prior(record.knee)
         self.pulse.expect_interval(record.period_s)
 
     def merged(self, kept: HabitRecord) -> HabitRecord:
@@ -123,8 +123,8 @@
         knee = self.room.knee
         part, slower = kept.part, kept.slower
         if knee is not None:
-            part, slower = knee.part, knee.slower
-        elif self.room.is_sure_of_none:
+            part, slower = knee.slot_fraction, knee.slowdown
+        elif self.room.has_no_knee:
             part, slower = 1.0, 1.0
         period_s = self.spells.interval_s
         if not period_s and not self.spells.is_expected_refuted:
@@ -182,7 +182,7 @@
             await anyio.sleep(LOOK_S)
             found = self._findings.merged(self._kept)
             # For the next life of the server beside.
-            self._findings.room.expect(found.knee)
+            self._findings.room.set_prior(found.knee)
             self._tell(found)
             if self._is_due(found):
                 await self._keep(found)
--- a/src/radishwind/sidecar/target_side.py
+++ b/src/radishwind/sidecar/target_side.py
@@ -5,18 +5,18 @@
 import math
 import time
 
-from radishwind.admission.gate import AdmissionLimits
-from radishwind.admission.room import RoomLearner
-from radishwind.admission.room import Run
-from radishwind.admission.urgent import CONGESTED_S
-from radishwind.admission.urgent import OpenGate
-from radishwind.admission.urgent import UrgentAdmission
+from radishwind.admission.admission import AdmissionLimits
+from radishwind.admission.concurrency_estimator import CompletedRun
+from radishwind.admission.concurrency_estimator import ConcurrencyEstimator
+from radishwind.admission.deadline_admission import CONGESTION_THRESHOLD_S
+from radishwind.admission.deadline_admission import DeadlineAdmission
+from radishwind.admission.deadline_admission import OpenStartGate
 from radishwind.core.clock import Clock
 from radishwind.entry.nested_routes import LocalConcurrency
 from radishwind.http.sender import Sender
 from radishwind.membership.rumor_bus import RumorBus
 from radishwind.probing.health import HealthEstimator
-from radishwind.quarantine.gate import Quarantine
+from radishwind.quarantine.quarantine import Quarantine
 from radishwind.routes.emptied import EmptiedDomains
 from radishwind.routes.model import RouteConfig
 from radishwind.routes.model import ServiceInfo
@@ -101,16 +101,18 @@
             learns_for_others,
             callers_come_at_once=not settings.first_start,
         )
-        self.room = RoomLearner()
+        self.room = ConcurrencyEstimator()
         self.runs = LocalConcurrency()
         self.warmup = WarmupLimiter(clock, time.process_time())
         self._services: Mapping[str, ServiceInfo] = {}
         self._limits = AdmissionLimits()
-        self.admission = UrgentAdmission(
+        self.admission = DeadlineAdmission(
             None,
-            PaceGate(clock, self.pulse) if switches.hold else OpenGate(),
-            congested_s=CONGESTED_S if switches.newest_first else math.inf,
-            refuses_hopeless=switches.refuse_hopeless,
+            PaceGate(clock, self.pulse) if switches.hold else OpenStartGate(),
+            congestion_threshold_s=CONGESTION_THRESHOLD_S
+            if switches.newest_first
+            else math.inf,
+            refuses_late_starts=switches.refuse_hopeless,
         )
         watch = _Watch(clock, HealthEstimator(), self.quarantine, self.server)
         exchange = VerifyingExchange(
@@ -156,8 +158,8 @@
         if self.server.process_count != before:
             self._watch.record_restart()
             self.pulse.reset()
-            self.room.forget()
-            self.quarantine.serve(self.server.service)
+            self.room.reset()
+            self.quarantine.set_service(self.server.service)
             self._follow_service()
             self.warmup.record_start(told.warmup_left_s)
         elif told.incarnation == self.server.incarnation:
@@ -183,7 +185,7 @@
         )
         refused = self.server.refusal()
         if self.server.is_domain_evacuated and refused is not None:
-            self.admission.turn_away_all(refused)
+            self.admission.refuse_all(refused)
         if was_emptied and not self.server.is_domain_evacuated:
             self.warmup.mark_unknown(self._clock.monotonic())
 
@@ -255,24 +257,24 @@
         self.server.record_answering_incarnation(meant, incarnation)
         self.warmup.mark_unknown(self._clock.monotonic())
 
-    def _ran(self, run: Run) -> None:
+    def _ran(self, run: CompletedRun) -> None:
         """Learns from a run how many at once are best."""
         if self._switches.room:
-            self.room.ran(run, self._clock.monotonic())
+            self.room.record_run(run, self._clock.monotonic())
             self._resize()
 
     def _resize(self) -> None:
         slots = self.server.slots or FIRST_SLOTS
         if self.server.view is None:
             slots = 0
-        room = self.room.best(slots)
-        probes = self.room.probes(self._clock.monotonic())
+        room = self.room.best_concurrency(slots)
+        probes = self.room.is_probe_due(self._clock.monotonic())
         limits = AdmissionLimits(
             slots=room,
             connections=max(self._connections, FIRST_SLOTS),
-            overlap=1 if probes else 0,
-            queue_length=QUEUE_LENGTH,
-            queue_wait_s=QUEUE_WAIT_S,
+            overcommit=1 if probes else 0,
+            max_queued=QUEUE_LENGTH,
+            max_queue_wait_s=QUEUE_WAIT_S,
         )
         if limits == self._limits:
             return
@@ -282,10 +284,10 @@
                 slots=slots,
                 best=room,
                 before=self._limits.slots,
-                **self.room.evidence(),
+                **self.room.describe(),
             )
         self._limits = limits
-        self.admission.resize(limits)
+        self.admission.set_limits(limits)
 
 
 class _Watch(ExchangeRecorder):
--- a/src/radishwind/sidecar/tests/test_habits.py
+++ b/src/radishwind/sidecar/tests/test_habits.py
@@ -3,8 +3,8 @@
 import anyio
 import pytest
 
-from radishwind.admission.room import RoomLearner
-from radishwind.admission.room import Run
+from radishwind.admission.concurrency_estimator import CompletedRun
+from radishwind.admission.concurrency_estimator import ConcurrencyEstimator
 from radishwind.core import ManualClock
 from radishwind.sidecar import habits
 from radishwind.sidecar.habits import Findings
@@ -53,8 +53,8 @@
     ):
         self.clock = ManualClock()
         pulse = LoadMonitor(self.clock)
-        self.findings = Findings(RoomLearner(), pulse)
-        self.findings.room.best(SLOTS)
+        self.findings = Findings(ConcurrencyEstimator(), pulse)
+        self.findings.room.best_concurrency(SLOTS)
         self.keeper = HabitKeeper(
             clock=self.clock,
             store=store,
@@ -84,8 +84,10 @@
         for i in range(400):
             number = 5 + i % 5
             took_s = 0.1 * (1.7 if number > 7 else 1.0)
-            self.findings.room.ran(Run(number, 0.1, took_s), i * 0.02)
-        assert self.findings.room.best(SLOTS) == 7
+            self.findings.room.record_run(
+                CompletedRun(number, 0.1, took_s), i * 0.02
+            )
+        assert self.findings.room.best_concurrency(SLOTS) == 7
 
 
 @pytest.fixture
@@ -99,7 +101,7 @@
 
     await node.run(1.0)
 
-    assert node.findings.room.best(SLOTS) == 7
+    assert node.findings.room.best_concurrency(SLOTS) == 7
 
 
 async def test_what_is_found_is_kept_once(store, monkeypatch):
@@ -120,9 +122,9 @@
     node.find_knee()
     await node.run(5.0)
 
-    node.findings.room.forget()
+    node.findings.room.reset()
 
-    assert node.findings.room.best(SLOTS) == 7
+    assert node.findings.room.best_concurrency(SLOTS) == 7
 
 
 async def test_a_period_that_does_not_hold_is_withdrawn(store, monkeypatch):
@@ -168,7 +170,7 @@
     await node.run(3.0)
 
     assert store.reads == 3
-    assert node.findings.room.best(SLOTS) == 7
+    assert node.findings.room.best_concurrency(SLOTS) == 7
 
 
 @pytest.mark.parametrize(
@@ -194,7 +196,7 @@
 
     await node.run(1.0)
 
-    assert node.findings.room.best(SLOTS) == SLOTS
+    assert node.findings.room.best_concurrency(SLOTS) == SLOTS
 
 
 async def test_what_is_seen_soon_outweighs_what_was_kept(store, monkeypatch):
@@ -205,11 +207,11 @@
 
     now = 0.0
     for _ in range(1500):
-        number = room.best(SLOTS) + room.probes(now)
+        number = room.best_concurrency(SLOTS) + room.is_probe_due(now)
         now += 0.1 / number
-        room.ran(Run(number, 0.1, 0.1), now)
+        room.record_run(CompletedRun(number, 0.1, 0.1), now)
 
-    assert room.best(SLOTS) == SLOTS
+    assert room.best_concurrency(SLOTS) == SLOTS
 
 
 def test_a_period_that_was_kept_is_believed_after_two_changes():
--- a/src/radishwind/target/announcement_handler.py
+++ b/src/radishwind/target/announcement_handler.py
@@ -9,7 +9,7 @@
 from radishwind.http.types import Request
 from radishwind.http.types import Response
 from radishwind.http.types import whole_body
-from radishwind.outcomes.answers import problem
+from radishwind.outcomes.responses import problem_response
 from radishwind.target.backend_server import Announcement
 from radishwind.target.backend_server import AnnouncementRefusedError
 from radishwind.target.backend_server import BackendServer
@@ -83,4 +83,4 @@
 
 
 def _refused(detail: str) -> Response:
-    return problem(ResultCode.ANNOUNCEMENT_REFUSED, detail, "not-run")
+    return problem_response(ResultCode.ANNOUNCEMENT_REFUSED, detail, "not-run")
--- a/src/radishwind/target/exchange_recorder.py
+++ b/src/radishwind/target/exchange_recorder.py
@@ -5,8 +5,8 @@
 from radishwind.http.types import is_server_error
 from radishwind.outcomes.model import NotRun
 from radishwind.probing.health import HealthEstimator
-from radishwind.quarantine.crashes import CrashDetector
-from radishwind.quarantine.gate import Quarantine
+from radishwind.quarantine.crash_detector import CrashDetector
+from radishwind.quarantine.quarantine import Quarantine
 
 
 class ExchangeRecorder:
@@ -22,7 +22,7 @@
 
     def must_run_alone(self, call: Call) -> bool:
         """Returns whether `call` may run only if nothing else runs."""
-        return self._quarantine.alone(call)
+        return self._quarantine.must_run_alone(call)
 
     def refusal(self, call: Call) -> NotRun | None:
         """Returns the refusal of `call` if it is quarantined, else `None`."""
@@ -43,13 +43,13 @@
         ok = not is_server_error(status)
         self._health.record_response(ok, self._clock.monotonic())
         if is_alone:
-            self._quarantine.ran_safely(call)
+            self._quarantine.record_safe_run(call)
 
     def record_broken_exchange(self, call: Call) -> None:
         """Records an exchange that broke before its response was complete."""
         now = self._clock.monotonic()
         self._health.record_response(False, now)
-        self._crashes.broke(call.request, now)
+        self._crashes.record_broken_exchange(call.request, now)
 
     def record_timeout(self) -> None:
         """Records that the server did not respond by the deadline."""
@@ -68,7 +68,7 @@
         Exchanges that broke shortly before are taken to have crashed it.
         """
         now = self._clock.monotonic()
-        self._quarantine.crashed(self._crashes.gone(now))
+        self._quarantine.record_crash(self._crashes.record_server_down(now))
 
     def record_restart(self) -> None:
         """Records a new start of the server."""
--- a/src/radishwind/target/pace_gate.py
+++ b/src/radishwind/target/pace_gate.py
@@ -1,7 +1,7 @@
 """Defers work in a slow interval where it ends sooner if it starts later."""
 
-from radishwind.admission.gate import Ticket
-from radishwind.admission.urgent import StartGate
+from radishwind.admission.admission import Ticket
+from radishwind.admission.deadline_admission import StartGate
 from radishwind.core.clock import Clock
 from radishwind.routing.pace_statistics import SLOW_PACE
 from radishwind.target.load_monitor import LoadMonitor
@@ -25,7 +25,7 @@
         self._clock = clock
         self._monitor = monitor
 
-    def holds(self, ticket: Ticket, now: float) -> bool:
+    def should_delay(self, ticket: Ticket, now: float) -> bool:
         monitor = self._monitor
         if not monitor.change_grid.interval_s or monitor.load is None:
             return False
@@ -41,10 +41,10 @@
         pace = monitor.load.pace
         if pace <= SLOW_PACE * base:
             return False
-        run_s = ticket.work_s * pace
+        run_s = ticket.normal_run_s * pace
         if now + run_s <= ticket.aim and not self._is_busy():
             return False
-        normal_run_s = ticket.work_s * base
+        normal_run_s = ticket.normal_run_s * base
         delayed_run_s = monitor.pace_statistics.delayed_run_s(
             normal_run_s, monitor.change_grid.interval_s
         )
@@ -52,7 +52,7 @@
             return False
         return left_s + delayed_run_s < run_s
 
-    def stretch(self) -> float:
+    def queue_slowdown(self) -> float:
         statistics = self._monitor.pace_statistics
         if not self._monitor.change_grid.interval_s:
             return statistics.mean_pace * self._monitor.base_pace()
--- a/src/radishwind/target/pipeline.py
+++ b/src/radishwind/target/pipeline.py
@@ -6,9 +6,9 @@
 import anyio
 import msgspec
 
-from radishwind.admission.gate import Admission
-from radishwind.admission.gate import Ticket
-from radishwind.admission.room import Run
+from radishwind.admission.admission import Admission
+from radishwind.admission.admission import Ticket
+from radishwind.admission.concurrency_estimator import CompletedRun
 from radishwind.core.clock import Clock
 from radishwind.core.codes import ResultCode
 from radishwind.entry.call import Call
@@ -75,7 +75,7 @@
         recorder: ExchangeRecorder,
         exchange: Exchange | None = None,
         pace: Callable[[], Pace] | None = None,
-        on_run: Callable[[Run], None] | None = None,
+        on_run: Callable[[CompletedRun], None] | None = None,
         send_limiter: SendLimiter | None = None,
         run_times: RunTimeEstimator | None = None,
         link_free_kbps: Callable[[], int] | None = None,
@@ -182,18 +182,18 @@
             call.normal_run_s,
             call.group_rank,
             *self._estimate_run_time(call),
-            nested=call.depth > 0,
+            is_nested=call.depth > 0,
         )
         self._admission.offer(ticket, now)
         try:
-            if not ticket.admitted and ticket.refused is None:
+            if not ticket.is_admitted and ticket.refusal is None:
                 await self._wait(ticket)
                 self._queue_wait_s += self._clock.monotonic() - now
         except BaseException:
             self._release(ticket, 0.0)
             raise
-        if ticket.refused is not None:
-            return ticket.refused
+        if ticket.refusal is not None:
+            return ticket.refusal
         return await self._run_admitted(call, ticket, run)
 
     def _refusal(self, call: Call) -> NotRun | None:
@@ -215,7 +215,7 @@
 
     async def _wait(self, ticket: Ticket) -> None:
         decided = anyio.Event()
-        ticket.notify = decided.set
+        ticket.on_decided = decided.set
         while not decided.is_set():
             with anyio.move_on_after(_RECHECK_INTERVAL_S):
                 await decided.wait()
@@ -240,7 +240,9 @@
                 took_s = self._clock.monotonic() - began
                 run.normal_run_s = took_s / factor
                 self._on_run(
-                    Run(in_flight_at_start, call.normal_run_s * factor, took_s)
+                    CompletedRun(
+                        in_flight_at_start, call.normal_run_s * factor, took_s
+                    )
                 )
             self._record_run_time(call, outcome, began)
             self._finish(ticket, outcome, began)
@@ -253,7 +255,7 @@
         if isinstance(outcome, Done) and _is_streaming(outcome.response.body):
             return Done(
                 self._exchange.wrap_stream(
-                    call, outcome.response, ticket.alone, ended
+                    call, outcome.response, ticket.must_run_alone, ended
                 )
             )
         ended()
@@ -272,7 +274,7 @@
         refusal = self._send_limiter.try_send(call)
         if refusal is not None:
             return refusal
-        return await self._exchange.send(call, view, ticket.alone)
+        return await self._exchange.send(call, view, ticket.must_run_alone)
 
     def _estimate_run_time(self, call: Call) -> RunTimeEstimate:
         if self._run_times is None:
@@ -312,7 +314,7 @@
         if isinstance(outcome, NotRun):
             elapsed_s = 0.0
             if outcome.code is ResultCode.SERVER_SHED:
-                self._admission.shed(now)
+                self._admission.record_shed(now)
         if _is_success(outcome):
             weight = _SMOOTHING if self._service_s else 1.0
             self._service_s += weight * (elapsed_s - self._service_s)
@@ -352,7 +354,7 @@
     return Pace()
 
 
-def _ignore_run(run: Run) -> None:
+def _ignore_run(run: CompletedRun) -> None:
     """The default for `on_run`."""
 
 
--- a/src/radishwind/target/tests/test_pace_gate.py
+++ b/src/radishwind/target/tests/test_pace_gate.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from radishwind.admission.gate import Ticket
+from radishwind.admission.admission import Ticket
 from radishwind.core import ManualClock
 from radishwind.target.dialect import ServerLoad
 from radishwind.target.load_monitor import BUSY_REPORT_AGE_S
@@ -33,12 +33,12 @@
         self.clock.advance(INTERVAL_S + offset_s)
         self.monitor.record_load(load(pace, in_flight))
 
-    def holds(self, work_s, aim_s=0.3, deadline_s=1.0):
+    def should_delay(self, normal_run_s, aim_s=0.3, deadline_s=1.0):
         now = self.clock.monotonic()
-        return self.gate.holds(
+        return self.gate.should_delay(
             Ticket(
                 "c", now + deadline_s, now, lambda: None,
-                aim=now + aim_s, work_s=work_s,
+                aim=now + aim_s, normal_run_s=normal_run_s,
             ),
             now,
         )  # fmt: skip
@@ -52,54 +52,54 @@
 def test_work_starts_at_the_normal_pace(setup):
     setup.at(0.01, 1.0)
 
-    assert not setup.holds(0.09)
+    assert not setup.should_delay(0.09)
 
 
 def test_long_work_waits_in_a_slow_interval(setup):
     setup.at(0.01, 5.0)
 
-    assert setup.holds(0.09)
+    assert setup.should_delay(0.09)
 
 
 def test_short_work_starts_if_waiting_takes_longer(setup):
     setup.at(0.01, 5.0)
 
-    assert not setup.holds(0.02, aim_s=0.05)
+    assert not setup.should_delay(0.02, aim_s=0.05)
 
 
 def test_work_that_meets_its_aim_anyway_starts(setup):
     setup.at(0.01, 5.0)
 
-    assert not setup.holds(0.05, aim_s=0.5)
+    assert not setup.should_delay(0.05, aim_s=0.5)
 
 
 def test_work_that_meets_its_aim_waits_if_slots_are_scarce(setup):
     setup.at(0.01, 5.0, in_flight=3)
 
-    assert setup.holds(0.05, aim_s=0.5)
+    assert setup.should_delay(0.05, aim_s=0.5)
 
 
 def test_work_does_not_wait_past_its_deadline(setup):
     setup.at(0.01, 5.0)
 
-    assert not setup.holds(0.09, deadline_s=0.2)
+    assert not setup.should_delay(0.09, deadline_s=0.2)
 
 
 def test_work_waits_for_the_new_pace_after_a_change_point(setup):
     setup.at(0.01, 1.0)
     setup.clock.advance(INTERVAL_S - 0.005)
 
-    assert setup.holds(0.09)
+    assert setup.should_delay(0.09)
     setup.monitor.record_load(load(1.0))
 
-    assert not setup.holds(0.09)
+    assert not setup.should_delay(0.09)
 
 
 def test_work_starts_if_no_grid_is_known(setup):
     setup.monitor.change_grid.interval_s = 0.0
     setup.at(0.01, 5.0)
 
-    assert not setup.holds(0.09)
+    assert not setup.should_delay(0.09)
 
 
 def test_server_is_checked_only_if_its_report_is_old():
--- a/tests/proofs/plays.py
+++ b/tests/proofs/plays.py
@@ -83,7 +83,7 @@
     ),
     "last outcome told": Weak(
         patch=lambda: mock.patch(
-            "radishwind.entry.call_executor.graver", _last_outcome
+            "radishwind.entry.call_executor.combine_outcomes", _last_outcome
         )
     ),
 }
--- a/tests/support/keyed.py
+++ b/tests/support/keyed.py
@@ -38,8 +38,8 @@
 from radishwind.peers import ForwardRunner
 from radishwind.peers import PeerListener
 from radishwind.quarantine import Quarantine
-from radishwind.quarantine.gate import QuarantineGate
-from radishwind.quarantine.runner import CarefulRunner
+from radishwind.quarantine.isolating_runner import IsolatingRunner
+from radishwind.quarantine.quarantine import QuarantineCheck
 from radishwind.retries import CappedRetryPolicy
 from radishwind.retries import RetryPolicy
 from radishwind.routing.baselines import RandomChooser
@@ -205,7 +205,7 @@
             placement=UnrestrictedPlacement(cluster.directory),
             chooser=RandomChooser(cluster.rng),
             retries=cluster.retries,
-            runner=CarefulRunner(runner) if cluster.rumor_bus else runner,
+            runner=IsolatingRunner(runner) if cluster.rumor_bus else runner,
             claims=guard,
             quarantine=self._quarantine(cluster, name),
         )
@@ -213,7 +213,7 @@
 
     def _quarantine(
         self, cluster: "Cluster", name: str
-    ) -> QuarantineGate | None:
+    ) -> QuarantineCheck | None:
         if cluster.rumor_bus is None:
             return None
         return Quarantine(
--- a/tests/support/targets.py
+++ b/tests/support/targets.py
@@ -58,7 +58,7 @@
     rumor_bus: RumorBus | None = None,
 ) -> TargetPipeline:
     """Returns the pipeline of a target that the inventory lists."""
-    limits = AdmissionLimits(slots, slots, queue_length=10, queue_wait_s=1.0)
+    limits = AdmissionLimits(slots, slots, max_queued=10, max_queue_wait_s=1.0)
     return make_parts(
         name, service, clock, sender, server, limits, rumor_bus
     ).pipeline
