--- a/src/radishwind/membership/contact_registry.py
+++ b/src/radishwind/membership/contact_registry.py
@@ -46,8 +46,8 @@
       burst_calls: store calls that a node may make in a row.
       calls_per_hour: rate at which the store calls are replenished (1/h).
       contacts: maximum number of addresses kept per failure domain.
-      prefers_stale_reads: whether contacts are first read from a possibly stale
-        replica, which costs some stores less, and linearizably only if that
+      prefers_stale_reads: whether contacts are first read with stale reads
+        allowed, which costs some stores less, and again without only if that
         list is empty.
     """
 
@@ -72,7 +72,8 @@
     Attributes:
       FAILED: the store failed; try again.
       UNCHANGED: the record needs no change.
-      WRITTEN: the address has just been written.
+      WRITTEN: the address has just been written, or the record changed while
+        this was tried; the contacts are to be read once more.
     """
 
     FAILED = enum.auto()
@@ -165,7 +166,8 @@
             this node.
 
         Returns:
-          The contacts; `None` if the store failed.
+          The contacts; `None` if the store failed or no call is left in the
+          budget.
         """
         found: Contacts | None = ()
         if self._options.prefers_stale_reads and not newest:
