--- a/bench/claims.py
+++ b/bench/claims.py
@@ -25,10 +25,10 @@
 import msgspec
 
 from bench.report import keep
-from radishwind.claims import settler
-from radishwind.claims.record import CLAIM_PREFIX
-from radishwind.claims.writer import ClaimWriter
-from radishwind.claims.writer import GroupWriter
+from radishwind.claims import claim_update_queue
+from radishwind.claims.claim_record import CLAIM_PREFIX
+from radishwind.claims.claim_writer import BatchClaimWriter
+from radishwind.claims.claim_writer import ClaimWriter
 from radishwind.config.model import ServiceRules
 from radishwind.core import SystemClock
 from radishwind.entry import Call
@@ -157,7 +157,9 @@
     ) -> dict[str, Any]:
         """Returns what `way` cost with `workers` callers at a time."""
         # Each way's results go out singly or grouped by this constant.
-        settler.GROUP_LENGTH = 1 if way == "results singly" else 32
+        claim_update_queue.MAX_BATCH_LENGTH = (
+            1 if way == "results singly" else 32
+        )
         sender = make_sender(HttpLibrary.AIOHTTP, connections=64)
         store = EtcdStore(sender, self._address, timeout_s=30.0)
         paced = PacedStore(store, writes_per_s)
@@ -192,7 +194,7 @@
             random.Random(self._rng.getrandbits(64)),
             store,
             lambda: 1,
-            GroupWriter(store) if grouped else SingleWriter(store),
+            BatchClaimWriter(store) if grouped else SingleWriter(store),
         )
 
     async def _timed(
@@ -222,7 +224,7 @@
         calls = [self._call() for _ in range(20 if repeats else 1)]
         for call in calls:
             await _run(guard, way, call)
-        guard._memory._kept.clear()
+        guard._cache._entries.clear()
         return calls
 
     async def _load(
@@ -244,7 +246,7 @@
                 await _run(guard, way, call)
                 self._latencies_s.append(time.perf_counter() - began)
                 if repeat:
-                    guard._memory._kept.clear()
+                    guard._cache._entries.clear()
 
         async with anyio.create_task_group() as tasks:
             for _ in range(workers):
--- a/src/radishwind/claims/keyed.py
+++ b/src/radishwind/claims/at_most_once_guard.py
@@ -6,17 +6,17 @@
 import anyio.abc
 import msgspec
 
-from radishwind.claims.body import with_whole_body
-from radishwind.claims.capture import capture
-from radishwind.claims.guard import ClaimGuard
-from radishwind.claims.guard import Execute
-from radishwind.claims.memory import ClaimMemory
-from radishwind.claims.record import ClaimRecord
-from radishwind.claims.record import ClaimState
-from radishwind.claims.record import Sending
-from radishwind.claims.registry import ClaimRegistry
-from radishwind.claims.registry import HeldClaim
-from radishwind.claims.repeats import repeat_outcome
+from radishwind.claims.claim_cache import ClaimCache
+from radishwind.claims.claim_guard import ClaimGuard
+from radishwind.claims.claim_guard import Execute
+from radishwind.claims.claim_record import ClaimRecord
+from radishwind.claims.claim_record import ClaimState
+from radishwind.claims.claim_record import KeyedRequest
+from radishwind.claims.claim_registry import ClaimRegistry
+from radishwind.claims.claim_registry import OwnedClaim
+from radishwind.claims.duplicates import duplicate_outcome
+from radishwind.claims.request_body import buffer_request_body
+from radishwind.claims.response_capture import capture_response
 from radishwind.core.clock import Clock
 from radishwind.core.codes import ResultCode
 from radishwind.entry.call import Call
@@ -58,7 +58,7 @@
     abandoned: bool = False
 
 
-class KeyedClaims(ClaimGuard):
+class AtMostOnceGuard(ClaimGuard):
     """Claims a key before its call's first attempt; answers repeats.
 
     Args:
@@ -75,17 +75,17 @@
         *,
         clock: Clock,
         registry: ClaimRegistry,
-        memory: ClaimMemory,
-        answer_bytes: int,
-        body_bytes: int,
-        repeat_wait_s: float,
+        cache: ClaimCache,
+        max_response_bytes: int,
+        max_body_bytes: int,
+        duplicate_wait_s: float,
     ) -> None:
         self._clock = clock
         self._registry = registry
-        self._memory = memory
-        self._answer_bytes = answer_bytes
-        self._body_bytes = body_bytes
-        self._repeat_wait_s = repeat_wait_s
+        self._cache = cache
+        self._max_response_bytes = max_response_bytes
+        self._max_body_bytes = max_body_bytes
+        self._duplicate_wait_s = duplicate_wait_s
         self._running: dict[tuple[str, str], anyio.Event] = {}
         self._tasks: anyio.abc.TaskGroup | None = None
         self._jobs = 0
@@ -97,11 +97,11 @@
         tasks.start_soon(self._registry.run)
 
     @property
-    def running(self) -> int:
+    def running_count(self) -> int:
         """How many keyed calls are in progress."""
         return self._jobs
 
-    async def finished(self) -> None:
+    async def wait_idle(self) -> None:
         """Returns once no keyed call is in progress."""
         while self._jobs:
             self._idle = anyio.Event()
@@ -149,7 +149,9 @@
 
     async def _whole(self, job: _Job) -> Outcome:
         left_s = job.call.deadline - self._clock.monotonic()
-        whole = await with_whole_body(job.call, self._body_bytes, left_s)
+        whole = await buffer_request_body(
+            job.call, self._max_body_bytes, left_s
+        )
         if not isinstance(whole, Call):
             return whole
         job.call = whole
@@ -157,7 +159,7 @@
 
     async def _one_at_a_time(self, job: _Job) -> Outcome:
         """Lets one sending of a key at a time pass in this node."""
-        sending = Sending.of(job.call)
+        sending = KeyedRequest.from_call(job.call)
         identity = sending.identity
         if not await self._wait_for_turn(identity, job.call):
             return Unknown(
@@ -165,10 +167,10 @@
                 "An earlier sending with this key still runs.",
                 _RETRY_S,
             )
-        known = self._memory.get(sending, self._clock.monotonic())
+        known = self._cache.get(sending, self._clock.monotonic())
         if known is not None:
             wall_ms = self._clock.wall_ms()
-            return repeat_outcome(known, sending, wall_ms)
+            return duplicate_outcome(known, sending, wall_ms)
         turn = self._running[identity] = anyio.Event()
         try:
             return await self._claimed(job, sending)
@@ -181,23 +183,23 @@
     ) -> bool:
         """Returns whether no sending of the key runs here any more."""
         left_s = call.deadline - self._clock.monotonic()
-        with anyio.move_on_after(max(0.0, min(left_s, self._repeat_wait_s))):
+        with anyio.move_on_after(max(0.0, min(left_s, self._duplicate_wait_s))):
             while identity in self._running:
                 await self._running[identity].wait()
             return True
         return False
 
-    async def _claimed(self, job: _Job, sending: Sending) -> Outcome:
+    async def _claimed(self, job: _Job, sending: KeyedRequest) -> Outcome:
         asked = self._clock.monotonic()
         claim = await self._registry.claim(job.call, sending)
-        if not isinstance(claim, HeldClaim):
+        if not isinstance(claim, OwnedClaim):
             return claim
         # From here on it may run, whatever becomes of this task.
         ended = msgspec.structs.replace(claim.record, expires_ms=0)
         self._remember(sending, claim, ended)
         outcome = await job.execute(job.call)
         if isinstance(outcome, NotRun):
-            self._memory.forget(sending)
+            self._cache.remove(sending)
             self._registry.release(claim)
             if self._clock.monotonic() >= asked + claim.ttl_s:
                 return _LAPSED
@@ -207,12 +209,14 @@
         return outcome
 
     async def _record(
-        self, call: Call, sending: Sending, claim: HeldClaim, done: Done
+        self, call: Call, sending: KeyedRequest, claim: OwnedClaim, done: Done
     ) -> Outcome:
         left_s = call.deadline - self._clock.monotonic()
         try:
             with anyio.fail_after(max(0.0, left_s)):
-                got = await capture(done.response, self._answer_bytes)
+                captured = await capture_response(
+                    done.response, self._max_response_bytes
+                )
         except ExchangeBrokenError:
             return Unknown(
                 ResultCode.EXCHANGE_BROKEN, "The server's answer broke off."
@@ -224,14 +228,14 @@
                 "The server's answer did not end in time.",
             )
         record = msgspec.structs.replace(
-            claim.record, state=ClaimState.DONE, answer=got.kept
+            claim.record, state=ClaimState.DONE, answer=captured.recorded
         )
         self._remember(sending, claim, record)
-        self._registry.record(claim, record)
-        return Done(got.response)
+        self._registry.record_response(claim, record)
+        return Done(captured.response)
 
     def _remember(
-        self, sending: Sending, claim: HeldClaim, record: ClaimRecord
+        self, sending: KeyedRequest, claim: OwnedClaim, record: ClaimRecord
     ) -> None:
         until = self._clock.monotonic() + claim.ttl_s
-        self._memory.put(sending, record, until)
+        self._cache.put(sending, record, until)
--- a/src/radishwind/claims/memory.py
+++ b/src/radishwind/claims/claim_cache.py
@@ -3,15 +3,15 @@
 import collections
 import dataclasses
 
-from radishwind.claims.record import ClaimRecord
-from radishwind.claims.record import Sending
+from radishwind.claims.claim_record import ClaimRecord
+from radishwind.claims.claim_record import KeyedRequest
 
 #: What one record takes besides its key and answer (bytes), roughly.
 _RECORD_BYTES = 600
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Kept:
+class _Entry:
     """A record, kept until a monotonic time (s), and what it takes."""
 
     record: ClaimRecord
@@ -19,49 +19,51 @@
     size_bytes: int
 
 
-class ClaimMemory:
+class ClaimCache:
     """Keeps the claims used last; answers repeats without the store.
 
     Args:
-      limit_bytes: the most it holds (bytes).
+      max_bytes: the most it holds (bytes).
     """
 
-    def __init__(self, limit_bytes: int) -> None:
-        self._limit_bytes = limit_bytes
-        self._kept: collections.OrderedDict[tuple[str, str], _Kept] = (
+    def __init__(self, max_bytes: int) -> None:
+        self._max_bytes = max_bytes
+        self._entries: collections.OrderedDict[tuple[str, str], _Entry] = (
             collections.OrderedDict()
         )
-        self.held_bytes = 0
+        self.used_bytes = 0
 
-    def get(self, sending: Sending, now: float) -> ClaimRecord | None:
+    def get(self, sending: KeyedRequest, now: float) -> ClaimRecord | None:
         """Returns the claim of the sending's key, if known at `now` (s)."""
         identity = sending.identity
-        kept = self._kept.get(identity)
+        kept = self._entries.get(identity)
         if kept is None:
             return None
         if kept.until <= now:
             self._drop(identity)
             return None
-        self._kept.move_to_end(identity)
+        self._entries.move_to_end(identity)
         return kept.record
 
-    def put(self, sending: Sending, record: ClaimRecord, until: float) -> None:
+    def put(
+        self, sending: KeyedRequest, record: ClaimRecord, until: float
+    ) -> None:
         """Keeps `record` until the monotonic time `until` (s)."""
         identity = sending.identity
         self._drop(identity)
         size = _RECORD_BYTES + len(record.key)
         if record.answer is not None:
             size += record.answer.size_bytes()
-        self._kept[identity] = _Kept(record, until, size)
-        self.held_bytes += size
-        while self.held_bytes > self._limit_bytes:
-            self._drop(next(iter(self._kept)))
+        self._entries[identity] = _Entry(record, until, size)
+        self.used_bytes += size
+        while self.used_bytes > self._max_bytes:
+            self._drop(next(iter(self._entries)))
 
-    def forget(self, sending: Sending) -> None:
+    def remove(self, sending: KeyedRequest) -> None:
         """Forgets the claim of the sending's key; it was released."""
         self._drop(sending.identity)
 
     def _drop(self, identity: tuple[str, str]) -> None:
-        kept = self._kept.pop(identity, None)
+        kept = self._entries.pop(identity, None)
         if kept is not None:
-            self.held_bytes -= kept.size_bytes
+            self.used_bytes -= kept.size_bytes
--- a/src/radishwind/claims/record.py
+++ b/src/radishwind/claims/claim_record.py
@@ -21,7 +21,7 @@
     DONE = "done"
 
 
-class RecordedAnswer(msgspec.Struct, frozen=True, array_like=True):
+class RecordedResponse(msgspec.Struct, frozen=True, array_like=True):
     """A server's answer, small enough to keep.
 
     Attributes:
@@ -62,11 +62,11 @@
     expires_ms: int
     caller: str = ""
     state: ClaimState = ClaimState.CLAIMED
-    answer: RecordedAnswer | None = None
+    answer: RecordedResponse | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sending:
+class KeyedRequest:
     """One sending of a keyed request.
 
     Attributes:
@@ -82,7 +82,7 @@
     caller: str
 
     @classmethod
-    def of(cls, call: Call) -> "Sending":
+    def from_call(cls, call: Call) -> "KeyedRequest":
         """Returns the sending that `call`, which has a key, is."""
         assert call.key is not None
         name = header(call.request.headers, CALLER_FIELD) or ""
--- a/src/radishwind/claims/registry.py
+++ b/src/radishwind/claims/claim_registry.py
@@ -9,14 +9,14 @@
 import anyio
 import msgspec
 
-from radishwind.claims.budget import StoreCallBudget
-from radishwind.claims.gate import StoreGate
-from radishwind.claims.record import ClaimRecord
-from radishwind.claims.record import Sending
-from radishwind.claims.repeats import repeat_outcome
-from radishwind.claims.settler import ClaimSettler
-from radishwind.claims.settler import Settlement
-from radishwind.claims.writer import ClaimWriter
+from radishwind.claims.claim_record import ClaimRecord
+from radishwind.claims.claim_record import KeyedRequest
+from radishwind.claims.claim_update_queue import ClaimUpdate
+from radishwind.claims.claim_update_queue import ClaimUpdateQueue
+from radishwind.claims.claim_writer import ClaimWriter
+from radishwind.claims.duplicates import duplicate_outcome
+from radishwind.claims.store_call_budget import StoreCallBudget
+from radishwind.claims.store_circuit_breaker import StoreCircuitBreaker
 from radishwind.core.clock import Clock
 from radishwind.core.codes import ResultCode
 from radishwind.entry.call import Call
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeldClaim:
+class OwnedClaim:
     """A claim that this node has written and nobody else may run under.
 
     Attributes:
@@ -100,61 +100,65 @@
         clock: Clock,
         rng: random.Random,
         node_name: str,
-        gate: StoreGate,
-        budget: StoreCallBudget,
-        reads: StoreCallBudget,
+        breaker: StoreCircuitBreaker,
+        write_budget: StoreCallBudget,
+        read_budget: StoreCallBudget,
         writer: ClaimWriter,
-        settler: ClaimSettler,
+        updates: ClaimUpdateQueue,
         lease: SharedLease,
-        wait_s: float,
+        store_timeout_s: float,
     ) -> None:
         self._store = store
         self._clock = clock
         self._rng = rng
         self._node_name = node_name
-        self._gate = gate
-        self._budget = budget
-        self._reads = reads
+        self._breaker = breaker
+        self._write_budget = write_budget
+        self._read_budget = read_budget
         self._writer = writer
-        self._settler = settler
+        self._updates = updates
         self._lease = lease
-        self._wait_s = wait_s
+        self._store_timeout_s = store_timeout_s
 
-    async def claim(self, call: Call, sending: Sending) -> HeldClaim | Outcome:
+    async def claim(
+        self, call: Call, sending: KeyedRequest
+    ) -> OwnedClaim | Outcome:
         """Returns the claim if it is ours now, else what the caller is told.
 
         Nothing has been dispatched under any claim that is not returned.
         """
         now = self._clock.monotonic()
-        if not self._gate.enter(now):
-            return _unchecked(self._gate.wait_s(now))
+        if not self._breaker.try_acquire(now):
+            return _unchecked(self._breaker.retry_after_s(now))
         try:
             outcome = await self._claim(call, sending)
         except StoreError:
             self._lease.forget()
-            self._gate.failed(self._clock.monotonic())
-            return _unchecked(self._gate.wait_s(self._clock.monotonic()))
+            self._breaker.record_failure(self._clock.monotonic())
+            return _unchecked(
+                self._breaker.retry_after_s(self._clock.monotonic())
+            )
         except BaseException:
-            self._gate.failed(self._clock.monotonic())
+            self._breaker.record_failure(self._clock.monotonic())
             raise
-        self._gate.succeeded()
+        self._breaker.record_success()
         return outcome
 
     async def run(self) -> None:
         """Does what is to be done between claims, for ever."""
         await self._writer.run()
 
-    def release(self, claim: HeldClaim) -> None:
+    def release(self, claim: OwnedClaim) -> None:
         """Gives a claim back under which nothing ran."""
-        self._settler.note_undispatched(claim.record.nonce)
-        self._settler.add(
-            Settlement(claim.store_key, claim.mod_revision, None, 0)
+        self._updates.mark_undispatched(claim.record.nonce)
+        self._updates.enqueue(
+            ClaimUpdate(claim.store_key, claim.mod_revision, None, 0)
         )
 
-    def record(self, claim: HeldClaim, record: ClaimRecord) -> None:
+    def record_response(self, claim: OwnedClaim, record: ClaimRecord) -> None:
         """Writes what the server answered."""
-        self._settler.add(
-            Settlement(
+        self._updates.enqueue(
+            ClaimUpdate(
                 claim.store_key,
                 claim.mod_revision,
                 msgspec.json.encode(record),
@@ -162,10 +166,12 @@
             )
         )
 
-    async def _claim(self, call: Call, sending: Sending) -> HeldClaim | Outcome:
+    async def _claim(
+        self, call: Call, sending: KeyedRequest
+    ) -> OwnedClaim | Outcome:
         store_key = sending.store_key()
         for _ in range(_TRIES):
-            if not self._budget.take(self._clock.monotonic()):
+            if not self._write_budget.try_spend(self._clock.monotonic()):
                 return await self._over_budget(sending, store_key)
             claim = await self._write(call, sending, store_key, _ABSENT)
             if claim is not None:
@@ -184,8 +190,8 @@
         return _unchecked(_CONTENDED_RETRY_S)
 
     async def _write(
-        self, call: Call, sending: Sending, store_key: str, revision: int
-    ) -> HeldClaim | None:
+        self, call: Call, sending: KeyedRequest, store_key: str, revision: int
+    ) -> OwnedClaim | None:
         """Writes a claim if the key's last revision is `revision`."""
         ttl_s = claim_ttl_s(call)
         lease_id = await self._lease_id(ttl_s)
@@ -211,9 +217,9 @@
             mod_revision = result.revision if result.succeeded else None
         if mod_revision is None:
             return None
-        return HeldClaim(record, store_key, mod_revision, lease_id, ttl_s)
+        return OwnedClaim(record, store_key, mod_revision, lease_id, ttl_s)
 
-    def _new_record(self, call: Call, sending: Sending) -> ClaimRecord:
+    def _new_record(self, call: Call, sending: KeyedRequest) -> ClaimRecord:
         return ClaimRecord(
             key=sending.key,
             nonce=f"{self._node_name}-{self._rng.getrandbits(96):024x}",
@@ -242,19 +248,21 @@
 
     def _give_up(self, record: ClaimRecord, store_key: str) -> None:
         """Never dispatches under a claim that may be written; removes it."""
-        self._settler.note_undispatched(record.nonce)
-        self._settler.add_lost(store_key, record.nonce)
+        self._updates.mark_undispatched(record.nonce)
+        self._updates.remove_unconfirmed(store_key, record.nonce)
 
     async def _lease_id(self, ttl_s: int) -> int:
         if not self._lease.ready(ttl_s):
-            self._budget.charge(self._clock.monotonic())
+            self._write_budget.charge(self._clock.monotonic())
         return await self._bounded(lambda: self._lease.lease_id(ttl_s))
 
-    async def _over_budget(self, sending: Sending, store_key: str) -> Outcome:
+    async def _over_budget(
+        self, sending: KeyedRequest, store_key: str
+    ) -> Outcome:
         """Tells a repeat what is known, by a read; a first one is not run."""
         now = self._clock.monotonic()
-        wait_s = self._budget.wait_s(now)
-        if not self._reads.take(now):
+        wait_s = self._write_budget.next_token_s(now)
+        if not self._read_budget.try_spend(now):
             return _unchecked(wait_s)
         entry = await self._read(store_key)
         told = self._told(entry, sending) if entry is not None else None
@@ -266,7 +274,7 @@
             wait_s,
         )
 
-    def _told(self, entry: StoreEntry, sending: Sending) -> Outcome | None:
+    def _told(self, entry: StoreEntry, sending: KeyedRequest) -> Outcome | None:
         """Returns what a repeat is told, `None` if nothing ran or will."""
         try:
             record = msgspec.json.decode(entry.value, type=ClaimRecord)
@@ -274,21 +282,21 @@
             return Unknown(
                 ResultCode.CLAIM_UNKNOWN, f"The claim cannot be read: {exc}"
             )
-        if self._settler.undispatched(record.nonce):
+        if self._updates.is_undispatched(record.nonce):
             return None
         wall_ms = self._clock.wall_ms()
-        return repeat_outcome(record, sending, wall_ms)
+        return duplicate_outcome(record, sending, wall_ms)
 
     async def _read(self, store_key: str) -> StoreEntry | None:
         return await self._bounded(lambda: self._store.get(store_key))
 
     async def _bounded(self, ask: Callable[[], Awaitable[_T]]) -> _T:
         try:
-            with anyio.fail_after(self._wait_s):
+            with anyio.fail_after(self._store_timeout_s):
                 return await ask()
         except TimeoutError as exc:
             raise StoreAnswerLostError(
-                f"expected an answer within {self._wait_s} s, got none"
+                f"expected an answer within {self._store_timeout_s} s, got none"
             ) from exc
 
 
--- a/src/radishwind/claims/settler.py
+++ b/src/radishwind/claims/claim_update_queue.py
@@ -10,8 +10,8 @@
 
 import anyio
 
-from radishwind.claims.budget import StoreCallBudget
-from radishwind.claims.gate import StoreGate
+from radishwind.claims.store_call_budget import StoreCallBudget
+from radishwind.claims.store_circuit_breaker import StoreCircuitBreaker
 from radishwind.core.clock import Clock
 from radishwind.store.base import Compare
 from radishwind.store.base import Delete
@@ -21,7 +21,7 @@
 from radishwind.store.base import StoreError
 
 #: Changes in one transaction; stores allow some 128 operations in each.
-GROUP_LENGTH = 32
+MAX_BATCH_LENGTH = 32
 
 #: Bytes of values in one transaction; stores take about 1 MB.
 _GROUP_BYTES = 256 * 1024
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Settlement:
+class ClaimUpdate:
     """A change of a claim this node holds.
 
     Attributes:
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LostClaim:
+class UnconfirmedClaim:
     """A claim whose writing could not be settled; it was never dispatched.
 
     Attributes:
@@ -85,7 +85,7 @@
     until: float
 
 
-class ClaimSettler:
+class ClaimUpdateQueue:
     """Writes results, releases claims that did not run, removes lost ones.
 
     Args:
@@ -93,7 +93,7 @@
       clock: the clock.
       gate: shared with the claiming side.
       budget: shared with the claiming side; settling goes on credit.
-      limit_bytes: the most that may wait (bytes); the oldest go first, and
+      max_bytes: the most that may wait (bytes); the oldest go first, and
         their claims stay "unknown" in the store until they lapse.
     """
 
@@ -102,18 +102,18 @@
         *,
         store: Store,
         clock: Clock,
-        gate: StoreGate,
-        budget: StoreCallBudget,
-        limit_bytes: int,
+        breaker: StoreCircuitBreaker,
+        write_budget: StoreCallBudget,
+        max_bytes: int,
     ) -> None:
         self._store = store
         self._clock = clock
-        self._gate = gate
-        self._budget = budget
-        self._limit_bytes = limit_bytes
-        self._waiting: collections.deque[Settlement] = collections.deque()
+        self._breaker = breaker
+        self._write_budget = write_budget
+        self._max_bytes = max_bytes
+        self._waiting: collections.deque[ClaimUpdate] = collections.deque()
         self._waiting_bytes = 0
-        self._lost: collections.deque[LostClaim] = collections.deque(
+        self._lost: collections.deque[UnconfirmedClaim] = collections.deque(
             maxlen=_LOST_LENGTH
         )
         self._undispatched: collections.OrderedDict[str, None] = (
@@ -121,39 +121,39 @@
         )
         self._wake = anyio.Event()
         self._written = anyio.Event()
-        self.dropped = 0
+        self.dropped_count = 0
 
     @property
-    def waiting(self) -> int:
+    def pending_count(self) -> int:
         """How many changes wait to be written."""
         return len(self._waiting) + len(self._lost)
 
-    def add(self, settlement: Settlement) -> None:
+    def enqueue(self, settlement: ClaimUpdate) -> None:
         """Queues a change."""
         self._waiting.append(settlement)
         self._waiting_bytes += settlement.size_bytes()
-        while self._waiting_bytes > self._limit_bytes:
+        while self._waiting_bytes > self._max_bytes:
             self._waiting_bytes -= self._waiting.popleft().size_bytes()
-            self.dropped += 1
+            self.dropped_count += 1
         self._wake.set()
 
-    def add_lost(self, store_key: str, nonce: str) -> None:
+    def remove_unconfirmed(self, store_key: str, nonce: str) -> None:
         """Queues the removal of a claim that may have been written."""
         until = self._clock.monotonic() + LATE_WRITE_S
-        self._lost.append(LostClaim(store_key, nonce, until))
+        self._lost.append(UnconfirmedClaim(store_key, nonce, until))
         self._wake.set()
 
-    def note_undispatched(self, nonce: str) -> None:
+    def mark_undispatched(self, nonce: str) -> None:
         """Remembers that nothing ran, or will run, under `nonce`."""
         self._undispatched[nonce] = None
         if len(self._undispatched) > _UNDISPATCHED_LENGTH:
             self._undispatched.popitem(last=False)
 
-    def undispatched(self, nonce: str) -> bool:
+    def is_undispatched(self, nonce: str) -> bool:
         """Returns whether nothing ran, or will run, under `nonce`."""
         return nonce in self._undispatched
 
-    async def settled(self) -> None:
+    async def wait_drained(self) -> None:
         """Returns once no change waits; needs `run`."""
         while self._waiting:
             await self._written.wait()
@@ -163,34 +163,34 @@
         while True:
             await self._wake.wait()
             self._wake = anyio.Event()
-            while self.waiting:
+            while self.pending_count:
                 written = await self.flush()
                 await anyio.sleep(self._pause_s(written))
 
     def _pause_s(self, written: bool) -> float:
         now = self._clock.monotonic()
         if not written:
-            return self._gate.wait_s(now)
+            return self._breaker.retry_after_s(now)
         if not self._waiting and self._lost:
             return _LOST_POLL_S
         # While the budget is spent, the next group gathers.
-        return self._budget.wait_s(now)
+        return self._write_budget.next_token_s(now)
 
     async def flush(self) -> bool:
         """Writes one group; returns whether the store answered."""
         now = self._clock.monotonic()
-        if not self._gate.enter(now):
+        if not self._breaker.try_acquire(now):
             return False
         try:
             await self._write_group()
             await self._remove_lost()
         except StoreError:
-            self._gate.failed(self._clock.monotonic())
+            self._breaker.record_failure(self._clock.monotonic())
             return False
         except BaseException:
-            self._gate.failed(self._clock.monotonic())
+            self._breaker.record_failure(self._clock.monotonic())
             raise
-        self._gate.succeeded()
+        self._breaker.record_success()
         return True
 
     async def _write_group(self) -> None:
@@ -206,27 +206,27 @@
             await self._write([settlement])
             self._done([settlement])
 
-    async def _write(self, group: list[Settlement]) -> bool:
-        self._budget.charge(self._clock.monotonic())
+    async def _write(self, group: list[ClaimUpdate]) -> bool:
+        self._write_budget.charge(self._clock.monotonic())
         result = await self._store.transact(
             [s.compare() for s in group], [s.operation() for s in group]
         )
         return result.succeeded
 
-    def _next_group(self) -> list[Settlement]:
-        group: list[Settlement] = []
+    def _next_group(self) -> list[ClaimUpdate]:
+        group: list[ClaimUpdate] = []
         size = 0
         keys: set[str] = set()
         for settlement in self._waiting:
             size += settlement.size_bytes()
-            full = len(group) == GROUP_LENGTH or size > _GROUP_BYTES
+            full = len(group) == MAX_BATCH_LENGTH or size > _GROUP_BYTES
             if group and (full or settlement.store_key in keys):
                 break
             group.append(settlement)
             keys.add(settlement.store_key)
         return group
 
-    def _done(self, group: list[Settlement]) -> None:
+    def _done(self, group: list[ClaimUpdate]) -> None:
         for settlement in group:
             if self._waiting and self._waiting[0] is settlement:
                 self._waiting.popleft()
@@ -244,10 +244,10 @@
             if not found and self._clock.monotonic() < lost.until:
                 self._lost.append(lost)
 
-    async def _remove(self, lost: LostClaim) -> bool:
+    async def _remove(self, lost: UnconfirmedClaim) -> bool:
         entry = await self._store.get(lost.store_key)
         if entry is None or lost.nonce.encode() not in entry.value:
             return False
-        release = Settlement(lost.store_key, entry.mod_revision, None, 0)
+        release = ClaimUpdate(lost.store_key, entry.mod_revision, None, 0)
         await self._write([release])
         return True
--- a/src/radishwind/claims/writer.py
+++ b/src/radishwind/claims/claim_writer.py
@@ -13,10 +13,10 @@
 from radishwind.store.base import TxnResult
 
 #: Claims in one transaction; stores allow some 128 operations in each.
-GROUP_LENGTH = 32
+MAX_BATCH_LENGTH = 32
 
 #: Transactions under way at a time, so that one that hangs stops no others.
-UNDER_WAY = 4
+MAX_IN_FLIGHT = 4
 
 
 class ClaimWriter(abc.ABC):
@@ -54,7 +54,7 @@
         self.ended.set()
 
 
-class GroupWriter(ClaimWriter):
+class BatchClaimWriter(ClaimWriter):
     """Sends what waits at the same moment in one transaction.
 
     A claim goes at once, by itself, while few transactions are under way;
@@ -64,19 +64,21 @@
 
     Args:
       store: the store.
-      under_way: the most transactions under way at a time.
+      max_in_flight: the most transactions under way at a time.
     """
 
-    def __init__(self, store: Store, under_way: int = UNDER_WAY) -> None:
+    def __init__(
+        self, store: Store, max_in_flight: int = MAX_IN_FLIGHT
+    ) -> None:
         self._store = store
-        self._limit = under_way
+        self._max_in_flight = max_in_flight
         self._waiting: list[_Waiting] = []
-        self._under_way = 0
-        self._most = GROUP_LENGTH
+        self._in_flight = 0
+        self._most = MAX_BATCH_LENGTH
         self._wake = anyio.Event()
 
     async def write(self, compare: Compare, put: Put) -> TxnResult:
-        if self._under_way < self._limit and not self._waiting:
+        if self._in_flight < self._max_in_flight and not self._waiting:
             return await self._write_alone(compare, put)
         waiting = _Waiting(compare, put, anyio.Event())
         self._waiting.append(waiting)
@@ -97,12 +99,12 @@
             while True:
                 await self._wake.wait()
                 self._wake = anyio.Event()
-                while self._waiting and self._under_way < self._limit:
-                    self._under_way += 1
+                while self._waiting and self._in_flight < self._max_in_flight:
+                    self._in_flight += 1
                     tasks.start_soon(self._write_waiting, self._next_group())
 
     async def _write_alone(self, compare: Compare, put: Put) -> TxnResult:
-        self._under_way += 1
+        self._in_flight += 1
         try:
             return await self._store.transact((compare,), (put,))
         finally:
@@ -120,7 +122,7 @@
 
     async def _write_group(self, group: list[_Waiting]) -> None:
         if await self._write_whole(group):
-            self._most = min(self._most + 1, GROUP_LENGTH)
+            self._most = min(self._most + 1, MAX_BATCH_LENGTH)
             return
         self._most = max(1, self._most // 4)
         await self._write_halves(group)
@@ -152,7 +154,7 @@
         return list(group.values())
 
     def _end_one(self) -> None:
-        self._under_way -= 1
+        self._in_flight -= 1
         self._wake.set()
 
 
--- a/src/radishwind/claims/repeats.py
+++ b/src/radishwind/claims/duplicates.py
@@ -1,8 +1,8 @@
 """What a sending is told whose key is claimed already."""
 
-from radishwind.claims.record import ClaimRecord
-from radishwind.claims.record import ClaimState
-from radishwind.claims.record import Sending
+from radishwind.claims.claim_record import ClaimRecord
+from radishwind.claims.claim_record import ClaimState
+from radishwind.claims.claim_record import KeyedRequest
 from radishwind.core.codes import ResultCode
 from radishwind.http.types import Response
 from radishwind.outcomes.model import Done
@@ -18,8 +18,8 @@
 _RUNNING_RETRY_S = 1.0
 
 
-def repeat_outcome(
-    record: ClaimRecord, sending: Sending, wall_ms: int
+def duplicate_outcome(
+    record: ClaimRecord, sending: KeyedRequest, wall_ms: int
 ) -> Outcome:
     """Returns what a sending is told whose key is claimed already.
 
--- a/src/radishwind/claims/body.py
+++ b/src/radishwind/claims/request_body.py
@@ -15,24 +15,24 @@
 from radishwind.outcomes.model import Unknown
 
 
-async def with_whole_body(
-    call: Call, limit_bytes: int, left_s: float
+async def buffer_request_body(
+    call: Call, max_bytes: int, left_s: float
 ) -> Call | Outcome:
     """Returns `call` with its body in memory, else what its caller is told.
 
     Args:
       call: a keyed call.
-      limit_bytes: the most to hold (bytes).
+      max_bytes: the most to hold (bytes).
       left_s: how long reading may take (s).
     """
     body = call.request.body
     if isinstance(body, bytes):
         return call
-    if (call.request.body_bytes or 0) > limit_bytes:
-        return _too_large(body, limit_bytes)
+    if (call.request.body_bytes or 0) > max_bytes:
+        return _too_large(body, max_bytes)
     try:
         with anyio.fail_after(max(0.0, left_s)):
-            content = await _read(body, limit_bytes)
+            content = await _read(body, max_bytes)
     except (ExchangeBrokenError, TimeoutError):
         abort_body(body)
         # Not "not run": an earlier sending with the same key may have run.
@@ -40,27 +40,27 @@
             ResultCode.SENDER_TOO_SLOW, "The request's body did not end."
         )
     if content is None:
-        return _too_large(body, limit_bytes)
+        return _too_large(body, max_bytes)
     request = msgspec.structs.replace(
         call.request, body=content, body_bytes=len(content)
     )
     return dataclasses.replace(call, request=request)
 
 
-async def _read(body: BodyStream, limit_bytes: int) -> bytes | None:
+async def _read(body: BodyStream, max_bytes: int) -> bytes | None:
     pieces: list[bytes] = []
     size = 0
     async for piece in body:
         pieces.append(piece)
         size += len(piece)
-        if size > limit_bytes:
+        if size > max_bytes:
             return None
     return b"".join(pieces)
 
 
-def _too_large(body: BodyStream, limit_bytes: int) -> Outcome:
+def _too_large(body: BodyStream, max_bytes: int) -> Outcome:
     abort_body(body)
     return NotRun(
         ResultCode.REQUEST_TOO_LARGE,
-        f"expected at most {limit_bytes} bytes with an Idempotency-Key",
+        f"expected at most {max_bytes} bytes with an Idempotency-Key",
     )
--- a/src/radishwind/claims/capture.py
+++ b/src/radishwind/claims/response_capture.py
@@ -5,57 +5,59 @@
 
 import msgspec
 
-from radishwind.claims.record import RecordedAnswer
+from radishwind.claims.claim_record import RecordedResponse
 from radishwind.http.types import BodyStream
 from radishwind.http.types import Response
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Captured:
+class CapturedResponse:
     """An answer and what to keep of it.
 
     Attributes:
       response: what the caller gets.
-      kept: its copy, `None` where it is too large.
+      recorded: its copy, `None` where it is too large.
     """
 
     response: Response
-    kept: RecordedAnswer | None
+    recorded: RecordedResponse | None
 
 
-async def capture(response: Response, limit_bytes: int) -> Captured:
+async def capture_response(
+    response: Response, max_bytes: int
+) -> CapturedResponse:
     """Reads an answer until it is whole or too large to keep.
 
     Args:
       response: the answer.
-      limit_bytes: the most to keep (bytes).
+      max_bytes: the most to keep (bytes).
 
     Raises:
       ExchangeBrokenError: it broke off before that.
     """
     if isinstance(response.body, bytes):
-        return _whole(response, response.body, limit_bytes)
+        return _whole(response, response.body, max_bytes)
     stream = aiter(response.body)
     pieces: list[bytes] = []
     size = 0
     async for piece in stream:
         pieces.append(piece)
         size += len(piece)
-        if size > limit_bytes:
+        if size > max_bytes:
             body = _Rest(response.body, pieces, stream)
             passed_on = msgspec.structs.replace(response, body=body)
-            return Captured(passed_on, None)
-    return _whole(response, b"".join(pieces), limit_bytes)
+            return CapturedResponse(passed_on, None)
+    return _whole(response, b"".join(pieces), max_bytes)
 
 
-def _whole(response: Response, body: bytes, limit_bytes: int) -> Captured:
+def _whole(response: Response, body: bytes, max_bytes: int) -> CapturedResponse:
     passed_on = msgspec.structs.replace(
         response, body=body, body_bytes=len(body)
     )
-    kept = RecordedAnswer(response.status, response.headers, body)
-    if kept.size_bytes() > limit_bytes:
-        return Captured(passed_on, None)
-    return Captured(passed_on, kept)
+    recorded = RecordedResponse(response.status, response.headers, body)
+    if recorded.size_bytes() > max_bytes:
+        return CapturedResponse(passed_on, None)
+    return CapturedResponse(passed_on, recorded)
 
 
 class _Rest(BodyStream):
--- a/src/radishwind/claims/budget.py
+++ b/src/radishwind/claims/store_call_budget.py
@@ -22,7 +22,7 @@
         self._tokens = max(1.0, rate() * BURST_S)
         self._filled = 0.0
 
-    def take(self, now: float) -> bool:
+    def try_spend(self, now: float) -> bool:
         """Takes one token, if there is one at `now` (s)."""
         self._fill(now)
         if self._tokens < 1:
@@ -35,7 +35,7 @@
         self._fill(now)
         self._tokens -= 1
 
-    def wait_s(self, now: float) -> float:
+    def next_token_s(self, now: float) -> float:
         """Returns how long until there is a token (s)."""
         self._fill(now)
         rate = self._rate()
--- a/src/radishwind/claims/gate.py
+++ b/src/radishwind/claims/store_circuit_breaker.py
@@ -2,7 +2,7 @@
 
 import random
 
-from radishwind.store.budget import Backoff
+from radishwind.store.budgeted_store import Backoff
 
 #: How long at most the store is left alone after the first failure, and after
 #: any number of them (s).
@@ -13,7 +13,7 @@
 _LEAST_RETRY_S = 0.5
 
 
-class StoreGate:
+class StoreCircuitBreaker:
     """Closed after a failure, for a while that doubles up to a limit.
 
     After that while one call may try; the others stay refused until it is
@@ -28,7 +28,7 @@
         self._closed_until = 0.0
         self._trying = False
 
-    def enter(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """Returns whether the store may be called at `now` (s).
 
         Each call that may must be followed by `succeeded` or `failed`.
@@ -40,18 +40,18 @@
         self._trying = True
         return True
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Notes that the store answered."""
-        self._backoff.succeeded()
+        self._backoff.record_success()
         self._trying = False
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Notes that the store failed."""
         self._trying = False
         if now < self._closed_until:
             return  # Calls made together fail together, and count once.
-        self._closed_until = now + self._backoff.failed()
+        self._closed_until = now + self._backoff.record_failure()
 
-    def wait_s(self, now: float) -> float:
+    def retry_after_s(self, now: float) -> float:
         """Returns when to come back (s)."""
         return max(_LEAST_RETRY_S, self._closed_until - now)
--- a/src/radishwind/claims/tests/test_keyed.py
+++ b/src/radishwind/claims/tests/test_at_most_once_guard.py
@@ -1,11 +1,11 @@
 import anyio
 import msgspec
 import pytest
+from tests.support.claim_cluster import Cluster
+from tests.support.claim_cluster import STORE
 from tests.support.direct import Fault
-from tests.support.keyed import Cluster
-from tests.support.keyed import STORE
 
-from radishwind.claims.record import CLAIM_PREFIX
+from radishwind.claims.claim_record import CLAIM_PREFIX
 from radishwind.core import ResultCode
 from radishwind.http import ConnectFailedError
 from radishwind.http import Response
@@ -50,8 +50,8 @@
 
     async def settle(self) -> None:
         for node in (self.a, self.b):
-            while node.claims.settler.waiting:
-                assert await node.claims.settler.flush()
+            while node.claims.updates.pending_count:
+                assert await node.claims.updates.flush()
 
     async def claims(self) -> list[dict]:
         entries = await self.entries()
@@ -73,7 +73,7 @@
 
 async def test_repeat_gets_the_recorded_answer_at_any_node(site):
     await site.a.send("k", b"x")
-    await site.a.claims.settler.flush()
+    await site.a.claims.updates.flush()
 
     for node in (site.a, site.b):
         response = await node.send("k", b"x")
@@ -102,7 +102,7 @@
 
 async def test_too_large_answer_is_told_unknown_and_never_run_again(site):
     await site.a.send("k", b"x" * 40_000)
-    await site.a.claims.settler.flush()
+    await site.a.claims.updates.flush()
 
     response = await site.b.send("k", b"x" * 40_000)
 
@@ -144,7 +144,7 @@
     assert _told(responses[0]) == (503, "not-run", ResultCode.DEADLINE_PASSED)
     assert site.runs == 0
     assert (await site.b.send("k", b"x")).status == 409  # Not released yet.
-    await site.a.claims.settler.flush()
+    await site.a.claims.updates.flush()
     assert (await site.b.send("k", b"x")).status == 200
 
 
@@ -190,7 +190,7 @@
 
     await site.a.send("k", b"x")
 
-    assert site.a.claims.settler.waiting == 0
+    assert site.a.claims.updates.pending_count == 0
 
 
 async def test_store_that_failed_is_not_asked_by_each_call(site):
@@ -236,7 +236,7 @@
     assert len(await site.claims()) == 1
 
     site.cluster.clock.advance(1)
-    assert await site.a.claims.settler.flush()
+    assert await site.a.claims.updates.flush()
 
     assert await site.claims() == []
     assert (await site.b.send("k", b"x")).status == 200
@@ -261,7 +261,7 @@
         await anyio.wait_all_tasks_blocked()
         tasks.cancel_scope.cancel()
     resume.set()
-    await site.a.claims.guard.finished()
+    await site.a.claims.guard.wait_idle()
 
     assert (await site.a.send("k", b"x")).body == b"booked x"
     assert site.runs == 1
@@ -310,7 +310,7 @@
         await site.a.send(f"k{number}", b"x")
     sent = len(site.cluster.sender.sent)
 
-    await site.a.claims.settler.flush()
+    await site.a.claims.updates.flush()
 
     assert len(site.cluster.sender.sent) == sent + 1
     claims = await site.claims()
@@ -324,7 +324,7 @@
     lapsed = (await site.entries())[0]
     await store.transact((), (Delete(lapsed.key),))
 
-    await site.a.claims.settler.flush()
+    await site.a.claims.updates.flush()
 
     claims = await site.claims()
     assert [claim["state"] for claim in claims] == ["done"] * 2
--- a/src/radishwind/claims/tests/test_writer.py
+++ b/src/radishwind/claims/tests/test_claim_writer.py
@@ -2,8 +2,8 @@
 import pytest
 from tests.support.direct import DirectSender
 
-from radishwind.claims.writer import GroupWriter
-from radishwind.claims.writer import UNDER_WAY
+from radishwind.claims.claim_writer import BatchClaimWriter
+from radishwind.claims.claim_writer import MAX_IN_FLIGHT
 from radishwind.core import ManualClock
 from radishwind.http import Address
 from radishwind.http import ConnectFailedError
@@ -26,7 +26,7 @@
         self.sender.handlers[STORE] = self._handle
         self.standin = StoreStandin(ManualClock())
         self.store = EtcdStore(self.sender, STORE)
-        self.writer = GroupWriter(self.store)
+        self.writer = BatchClaimWriter(self.store)
         self.go = anyio.Event()
         self.results: dict[str, bool | None] = {}
         self.down = False
@@ -76,10 +76,10 @@
 
 
 async def test_claims_that_wait_go_together(load):
-    calls = await load.run(_keys(UNDER_WAY + 20))
+    calls = await load.run(_keys(MAX_IN_FLIGHT + 20))
 
-    assert calls == UNDER_WAY + 1
-    assert all(load.results[key] for key in _keys(UNDER_WAY + 20))
+    assert calls == MAX_IN_FLIGHT + 1
+    assert all(load.results[key] for key in _keys(MAX_IN_FLIGHT + 20))
 
 
 async def test_claim_that_exists_is_told_and_fails_no_other(load):
@@ -87,14 +87,14 @@
     await load.write("k9")
     load.go = anyio.Event()
 
-    await load.run(_keys(UNDER_WAY + 20))
+    await load.run(_keys(MAX_IN_FLIGHT + 20))
 
     refused = [key for key, result in load.results.items() if not result]
     assert refused == ["k9"]
 
 
 async def test_same_key_twice_is_won_once(load):
-    await load.run(_keys(UNDER_WAY))
+    await load.run(_keys(MAX_IN_FLIGHT))
     won: list[bool] = []
 
     async def write() -> None:
@@ -106,7 +106,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(load.writer.run)
         async with anyio.create_task_group() as writes:
-            for _ in range(UNDER_WAY + 5):
+            for _ in range(MAX_IN_FLIGHT + 5):
                 writes.start_soon(write)
         tasks.cancel_scope.cancel()
 
@@ -114,15 +114,15 @@
 
 
 async def test_claim_given_up_while_it_waits_is_never_written(load):
-    await load.run(_keys(UNDER_WAY + 3), given_up=2)
+    await load.run(_keys(MAX_IN_FLIGHT + 3), given_up=2)
 
     assert await load.store.list("given-up") == ()
-    assert len(load.results) == UNDER_WAY + 3
+    assert len(load.results) == MAX_IN_FLIGHT + 3
 
 
 async def test_failed_group_fails_each_of_its_claims(load):
     load.down = True
 
-    await load.run(_keys(UNDER_WAY + 3))
+    await load.run(_keys(MAX_IN_FLIGHT + 3))
 
-    assert list(load.results.values()) == [None] * (UNDER_WAY + 3)
+    assert list(load.results.values()) == [None] * (MAX_IN_FLIGHT + 3)
--- a/src/radishwind/claims/tests/test_at_most_once.py
+++ b/src/radishwind/claims/tests/test_random_faults.py
@@ -8,8 +8,8 @@
 
 import anyio
 import pytest
-from tests.support.keyed import Cluster
-from tests.support.keyed import EntryNode
+from tests.support.claim_cluster import Cluster
+from tests.support.claim_cluster import EntryNode
 
 from radishwind.claims import ClaimGuard
 from radishwind.claims import NoClaims
@@ -74,7 +74,7 @@
         if rng.random() < 0.5:
             await cluster.store.deliver_late()
         for each in self._nodes:
-            await each.claims.settler.flush()
+            await each.claims.updates.flush()
         cluster.clock.advance(rng.choice((0.0, 1.0, 10.0)))
 
     def _replace(self, number: int, tasks) -> None:
--- a/src/radishwind/config/accept.py
+++ b/src/radishwind/config/accept.py
@@ -238,7 +238,7 @@
                 settlement = Settlement.OPEN
             if settlement is not Settlement.OPEN:
                 return settlement is Settlement.ACCEPTED
-            pause_s = backoff.failed()
+            pause_s = backoff.record_failure()
             if self._clock.monotonic() + pause_s > until:
                 raise ChangeUnsettledError(
                     f"change {record.change_id}: {cause}. Settle it later by "
--- a/src/radishwind/entry/pipeline.py
+++ b/src/radishwind/entry/pipeline.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from radishwind.claims.guard import ClaimGuard
+from radishwind.claims.claim_guard import ClaimGuard
 from radishwind.core.clock import Clock
 from radishwind.core.codes import ResultCode
 from radishwind.entry.call import Call
--- a/src/radishwind/entry/tests/test_key_authenticator.py
+++ b/src/radishwind/entry/tests/test_key_authenticator.py
@@ -7,7 +7,7 @@
 from radishwind.accounts import Account
 from radishwind.accounts import digest_key
 from radishwind.accounts import KeyFreshness
-from radishwind.claims.guard import NoClaims
+from radishwind.claims.claim_guard import NoClaims
 from radishwind.config.model import ServiceRules
 from radishwind.core import ManualClock
 from radishwind.core import ResultCode
--- a/src/radishwind/membership/contact_registry.py
+++ b/src/radishwind/membership/contact_registry.py
@@ -177,7 +177,7 @@
         return await self._list(allow_stale=False)
 
     async def _list(self, *, allow_stale: bool) -> Contacts | None:
-        if not self._budget.take(self._clock.monotonic()):
+        if not self._budget.try_spend(self._clock.monotonic()):
             return None
         self.calls["read"] += 1
         try:
@@ -271,7 +271,7 @@
         Raises:
           StoreBudgetError: the budget is exhausted.
         """
-        if not self._budget.take(self._clock.monotonic()):
+        if not self._budget.try_spend(self._clock.monotonic()):
             raise StoreBudgetError(
                 "contacts: not sent, store call budget spent"
             )
--- a/src/radishwind/membership/tests/test_contact_registry.py
+++ b/src/radishwind/membership/tests/test_contact_registry.py
@@ -240,11 +240,11 @@
 def test_call_budget_is_replenished_over_time():
     options = DiscoveryOptions()
     budget = TokenBucket(options.calls_per_hour / 3600, 2, 0.0)
-    taken = [budget.take(0.0) for _ in range(3)]
+    taken = [budget.try_spend(0.0) for _ in range(3)]
 
     assert taken == [True, True, False]
-    assert budget.take(60.0)
-    assert not budget.take(60.0)
+    assert budget.try_spend(60.0)
+    assert not budget.try_spend(60.0)
 
 
 def test_backoff_stays_bounded_during_a_long_store_outage():
--- a/src/radishwind/node/claims.py
+++ b/src/radishwind/node/claims.py
@@ -7,14 +7,14 @@
 
 import anyio.abc
 
-from radishwind.claims.budget import StoreCallBudget
-from radishwind.claims.gate import StoreGate
-from radishwind.claims.keyed import KeyedClaims
-from radishwind.claims.memory import ClaimMemory
-from radishwind.claims.registry import ClaimRegistry
-from radishwind.claims.settler import ClaimSettler
-from radishwind.claims.writer import ClaimWriter
-from radishwind.claims.writer import GroupWriter
+from radishwind.claims.at_most_once_guard import AtMostOnceGuard
+from radishwind.claims.claim_cache import ClaimCache
+from radishwind.claims.claim_registry import ClaimRegistry
+from radishwind.claims.claim_update_queue import ClaimUpdateQueue
+from radishwind.claims.claim_writer import BatchClaimWriter
+from radishwind.claims.claim_writer import ClaimWriter
+from radishwind.claims.store_call_budget import StoreCallBudget
+from radishwind.claims.store_circuit_breaker import StoreCircuitBreaker
 from radishwind.core.clock import Clock
 from radishwind.leases.shared import SharedLease
 from radishwind.settings.node import NodeSettings
@@ -27,31 +27,31 @@
 
     Attributes:
       guard: the guard, for the entry pipeline.
-      settler: writes what became of claims.
-      memory: what the node remembers.
+      updates: writes the results of claims to the store.
+      cache: the claims known to the node.
     """
 
-    guard: KeyedClaims
-    settler: ClaimSettler
-    memory: ClaimMemory
+    guard: AtMostOnceGuard
+    updates: ClaimUpdateQueue
+    cache: ClaimCache
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
         """Runs keyed calls and their settling in `tasks`."""
         self.guard.start(tasks)
-        tasks.start_soon(self.settler.run)
+        tasks.start_soon(self.updates.run)
 
     async def finished(self) -> None:
         """Returns once every keyed call has ended and is written."""
-        await self.guard.finished()
-        await self.settler.settled()
+        await self.guard.wait_idle()
+        await self.updates.wait_drained()
 
     def status(self) -> dict[str, Any]:
         """Returns the fields of the node's status."""
         return {
-            "claims_running": self.guard.running,
-            "claims_unwritten": self.settler.waiting,
-            "claims_dropped": self.settler.dropped,
-            "claims_memory_bytes": self.memory.held_bytes,
+            "claims_running": self.guard.running_count,
+            "claims_unwritten": self.updates.pending_count,
+            "claims_dropped": self.updates.dropped_count,
+            "claims_memory_bytes": self.cache.used_bytes,
         }
 
 
@@ -73,40 +73,40 @@
       nodes: returns how many nodes share the store's rates.
       writer: writes the claims; in groups if none is given.
     """
-    gate = StoreGate(rng)
+    breaker = StoreCircuitBreaker(rng)
     writes = StoreCallBudget(
         lambda: settings.claim_writes_per_s / max(1, nodes())
     )
     reads = StoreCallBudget(
         lambda: settings.claim_reads_per_s / max(1, nodes())
     )
-    settler = ClaimSettler(
+    updates = ClaimUpdateQueue(
         store=store,
         clock=clock,
-        gate=gate,
-        budget=writes,
-        limit_bytes=settings.claim_memory_bytes,
+        breaker=breaker,
+        write_budget=writes,
+        max_bytes=settings.claim_memory_bytes,
     )
     registry = ClaimRegistry(
         store=store,
         clock=clock,
         rng=rng,
         node_name=settings.target,
-        gate=gate,
-        budget=writes,
-        reads=reads,
-        writer=writer or GroupWriter(store),
-        settler=settler,
+        breaker=breaker,
+        write_budget=writes,
+        read_budget=reads,
+        writer=writer or BatchClaimWriter(store),
+        updates=updates,
         lease=SharedLease(store, clock, settings.claim_lease_bucket_s),
-        wait_s=settings.claim_store_wait_s,
+        store_timeout_s=settings.claim_store_wait_s,
     )
-    memory = ClaimMemory(settings.claim_memory_bytes)
-    guard = KeyedClaims(
+    cache = ClaimCache(settings.claim_memory_bytes)
+    guard = AtMostOnceGuard(
         clock=clock,
         registry=registry,
-        memory=memory,
-        answer_bytes=settings.claim_answer_bytes,
-        body_bytes=settings.claim_body_bytes,
-        repeat_wait_s=settings.claim_repeat_wait_s,
+        cache=cache,
+        max_response_bytes=settings.claim_answer_bytes,
+        max_body_bytes=settings.claim_body_bytes,
+        duplicate_wait_s=settings.claim_repeat_wait_s,
     )
-    return NodeClaims(guard, settler, memory)
+    return NodeClaims(guard, updates, cache)
--- a/src/radishwind/node/config.py
+++ b/src/radishwind/node/config.py
@@ -58,7 +58,7 @@
     claims = StoreBudget(
         claims_per_s,
         max(settings.store_burst, int(claims_per_s)),
-        failures_before_pause=_NEVER,
+        pause_after_failures=_NEVER,
     )
     return NodeStores(
         BudgetedStore(
--- a/src/radishwind/node/config_admin.py
+++ b/src/radishwind/node/config_admin.py
@@ -75,20 +75,20 @@
             "config_pulls_sent": exchange.asked,
             "config_bytes_received": exchange.bytes_received,
             "store_calls": self._store_calls(),
-            "store_refused": sum(s.refused for s in self._stores),
-            "store_failed": sum(s.failed for s in self._stores),
+            "store_refused": sum(s.refused_count for s in self._stores),
+            "store_failed": sum(s.failed_count for s in self._stores),
         }
 
     def _store_calls(self) -> dict[str, float]:
         counted: collections.Counter[str] = collections.Counter()
         for store in self._stores:
-            counted.update(store.calls)
+            counted.update(store.call_counts)
         return dict(counted)
 
     def _store_failures(self) -> dict[str, float]:
         return {
-            "failed": sum(s.failed for s in self._stores),
-            "refused": sum(s.refused for s in self._stores),
+            "failed": sum(s.failed_count for s in self._stores),
+            "refused": sum(s.refused_count for s in self._stores),
         }
 
     async def _handle_config(self, request: Request) -> Response:
--- a/src/radishwind/node/config_store.py
+++ b/src/radishwind/node/config_store.py
@@ -87,12 +87,12 @@
         while True:
             try:
                 await self._follow_once()
-                backoff.succeeded()
+                backoff.record_success()
             except StoreError:
-                await anyio.sleep(backoff.failed())
+                await anyio.sleep(backoff.record_failure())
             except RevisionRefusedError as exc:
                 self._refused(Source.STORE, exc)
-                await anyio.sleep(backoff.failed())
+                await anyio.sleep(backoff.record_failure())
 
     async def _follow_once(self) -> None:
         self.watching = self._is_watcher()
--- a/src/radishwind/routes/store_side.py
+++ b/src/radishwind/routes/store_side.py
@@ -19,7 +19,7 @@
 from radishwind.store.base import StoreEntry
 from radishwind.store.base import StoreError
 from radishwind.store.base import WatchEvent
-from radishwind.store.budget import Backoff
+from radishwind.store.budgeted_store import Backoff
 from radishwind.telemetry.logs import PartLogger
 
 #: What the store is named as a source.
@@ -110,7 +110,7 @@
         while not is_known() or not peers_may_bring_it:
             if await self._read_first():
                 break
-            await anyio.sleep(self._backoff.failed())
+            await anyio.sleep(self._backoff.record_failure())
             if is_known():
                 break
         while True:
@@ -118,7 +118,7 @@
                 await anyio.sleep(DUTY_PERIOD_S)
                 continue
             if not self._revision and not await self.read():
-                await anyio.sleep(self._backoff.failed())
+                await anyio.sleep(self._backoff.record_failure())
                 continue
             await self._watch()
 
@@ -220,7 +220,7 @@
             self._revision = 0
         except StoreError as exc:
             self._note(lost=True, reason=str(exc)[:120])
-        await anyio.sleep(self._backoff.failed())
+        await anyio.sleep(self._backoff.record_failure())
 
     def _take(self, event: WatchEvent) -> None:
         if event.key == self._keys.config:
@@ -239,7 +239,7 @@
     def _note(self, *, lost: bool, reason: str = "") -> None:
         """Logs when the store is lost and regained."""
         if not lost:
-            self._backoff.succeeded()
+            self._backoff.record_success()
         if lost == self._lost:
             return
         self._lost = lost
--- a/src/radishwind/sidecar/app.py
+++ b/src/radishwind/sidecar/app.py
@@ -57,7 +57,7 @@
 from radishwind.sidecar.switches import ALL_ON
 from radishwind.sidecar.switches import Switches
 from radishwind.sidecar.target_side import SidecarTarget
-from radishwind.store.budget import BudgetedStore
+from radishwind.store.budgeted_store import BudgetedStore
 from radishwind.telemetry.exposition import NodeExposition
 from radishwind.telemetry.logs import PartLogger
 from radishwind.telemetry.output import BoundedOutput
--- a/src/radishwind/sidecar/entry_side.py
+++ b/src/radishwind/sidecar/entry_side.py
@@ -5,7 +5,7 @@
 import random
 
 from radishwind.accounts import KeyFreshness
-from radishwind.claims.guard import NoClaims
+from radishwind.claims.claim_guard import NoClaims
 from radishwind.config.model import ServiceRules
 from radishwind.core.clock import Clock
 from radishwind.entry.fan_out import FanOutDetector
--- a/src/radishwind/sidecar/metrics.py
+++ b/src/radishwind/sidecar/metrics.py
@@ -19,7 +19,7 @@
 from radishwind.sidecar.peer_side import PeerSide
 from radishwind.sidecar.quotas import QuotaSharing
 from radishwind.sidecar.target_side import SidecarTarget
-from radishwind.store.budget import BudgetedStore
+from radishwind.store.budgeted_store import BudgetedStore
 from radishwind.telemetry.exposition import NodeExposition
 from radishwind.telemetry.output import BoundedOutput
 
@@ -119,9 +119,9 @@
         "radishwind_store_calls_total",
         "Calls of the store, by kind.",
         lambda: {
-            **{f'kind="{k}"': n for k, n in store.calls.items()},
-            'kind="failed"': store.failed,
-            'kind="unsent"': store.refused,
+            **{f'kind="{k}"': n for k, n in store.call_counts.items()},
+            'kind="failed"': store.failed_count,
+            'kind="unsent"': store.refused_count,
         },
     )
     metrics.gauge(
--- a/src/radishwind/sidecar/options.py
+++ b/src/radishwind/sidecar/options.py
@@ -6,7 +6,7 @@
 from radishwind.settings.node import NodeSettings
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.switches import Switches
-from radishwind.store.budget import StoreBudget
+from radishwind.store.budgeted_store import StoreBudget
 
 #: Connections kept to one peer, to the server beside, and to the store.
 PEER_CONNECTIONS = 250
@@ -84,7 +84,7 @@
 )
 
 STORE_BUDGET = StoreBudget(
-    calls_per_s=10.0, burst=60, first_pause_s=0.1, longest_pause_s=0.8
+    calls_per_s=10.0, burst=60, initial_pause_s=0.1, max_pause_s=0.8
 )
 
 
--- a/src/radishwind/sidecar/secret.py
+++ b/src/radishwind/sidecar/secret.py
@@ -23,7 +23,7 @@
 from radishwind.store.base import Store
 from radishwind.store.base import StoreEntry
 from radishwind.store.base import StoreError
-from radishwind.store.budget import Backoff
+from radishwind.store.budgeted_store import Backoff
 from radishwind.telemetry.logs import PartLogger
 
 #: No failure domain has this name.
@@ -182,15 +182,15 @@
                 return
         while self._keyring.lacks:
             if await self._look():
-                self._backoff.succeeded()
+                self._backoff.record_success()
                 return
-            await anyio.sleep(self._backoff.failed())
+            await anyio.sleep(self._backoff.record_failure())
 
     async def _look_for_newer(self) -> None:
         """Reads the record once, seldom where that brings nothing new."""
         before = self._keyring.revision
         now = self._clock.monotonic()
-        self._looks_again_at = now + self._doubts.failed()
+        self._looks_again_at = now + self._doubts.record_failure()
         try:
             entry = await self._store.get(KEY)
         except StoreError as exc:
@@ -203,7 +203,7 @@
         if entry is not None:
             self._take(entry)
         if self._keyring.revision > before:
-            self._doubts.succeeded()
+            self._doubts.record_success()
 
     async def _look(self, *, patient: bool = False) -> bool:
         """Returns whether there is a secret now, made here if need be.
--- a/src/radishwind/store/__init__.py
+++ b/src/radishwind/store/__init__.py
@@ -13,11 +13,11 @@
 from radishwind.store.base import StoreUnavailableError
 from radishwind.store.base import TxnResult
 from radishwind.store.base import WatchEvent
-from radishwind.store.budget import Backoff
-from radishwind.store.budget import BudgetedStore
-from radishwind.store.budget import StoreBudget
-from radishwind.store.budget import TokenBucket
-from radishwind.store.etcd import EtcdStore
+from radishwind.store.budgeted_store import Backoff
+from radishwind.store.budgeted_store import BudgetedStore
+from radishwind.store.budgeted_store import StoreBudget
+from radishwind.store.budgeted_store import TokenBucket
+from radishwind.store.etcd_store import EtcdStore
 
 __all__ = [
     "Backoff",
--- a/src/radishwind/store/budget.py
+++ b/src/radishwind/store/budgeted_store.py
@@ -31,7 +31,7 @@
         self._tokens = burst
         self._at = now
 
-    def take(self, now: float) -> bool:
+    def try_spend(self, now: float) -> bool:
         """Takes one token; returns whether there was one."""
         gained = max(0.0, now - self._at) * self._rate_per_s
         self._tokens = min(self._burst, self._tokens + gained)
@@ -50,21 +50,21 @@
     """
 
     def __init__(
-        self, rng: random.Random, first_s: float, longest_s: float
+        self, rng: random.Random, initial_s: float, max_s: float
     ) -> None:
         self._rng = rng
-        self._first_s = first_s
-        self._longest_s = longest_s
+        self._initial_s = initial_s
+        self._max_s = max_s
         self.failures = 0
 
-    def failed(self) -> float:
+    def record_failure(self) -> float:
         """Counts a failure; returns how long to pause (s)."""
         doublings = min(self.failures, 30)
         self.failures += 1
-        ceiling = min(self._longest_s, self._first_s * 2**doublings)
-        return self._rng.uniform(self._first_s / 2, ceiling)
+        ceiling = min(self._max_s, self._initial_s * 2**doublings)
+        return self._rng.uniform(self._initial_s / 2, ceiling)
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Ends the row of failures."""
         self.failures = 0
 
@@ -75,17 +75,17 @@
     Attributes:
       calls_per_s: calls in the long run (1/s).
       burst: calls at once.
-      failures_before_pause: failures in a row that start a pause, in which
+      pause_after_failures: failures in a row that start a pause, in which
         calls are refused unsent.
-      first_pause_s: the upper bound of the first pause (s); it doubles.
-      longest_pause_s: the longest pause (s).
+      initial_pause_s: the upper bound of the first pause (s); it doubles.
+      max_pause_s: the longest pause (s).
     """
 
     calls_per_s: float = 20.0
     burst: int = 100
-    failures_before_pause: int = 3
-    first_pause_s: float = 0.1
-    longest_pause_s: float = 5.0
+    pause_after_failures: int = 3
+    initial_pause_s: float = 0.1
+    max_pause_s: float = 5.0
 
 
 class BudgetedStore(Store):
@@ -113,13 +113,11 @@
         self._bucket = TokenBucket(
             budget.calls_per_s, budget.burst, clock.monotonic()
         )
-        self._backoff = Backoff(
-            rng, budget.first_pause_s, budget.longest_pause_s
-        )
+        self._backoff = Backoff(rng, budget.initial_pause_s, budget.max_pause_s)
         self._paused_until = 0.0
-        self.calls: dict[str, int] = {}
-        self.refused = 0
-        self.failed = 0
+        self.call_counts: dict[str, int] = {}
+        self.refused_count = 0
+        self.failed_count = 0
 
     async def get(
         self, key: str, *, allow_stale: bool = False
@@ -170,7 +168,7 @@
         self._spend("watch")
         with _Watched(self):
             async for event in self._inner.watch(prefix, from_revision):
-                self._backoff.succeeded()
+                self._backoff.record_success()
                 yield event
 
     async def close(self) -> None:
@@ -178,18 +176,18 @@
 
     def _spend(self, kind: str) -> None:
         now = self._clock.monotonic()
-        if now < self._paused_until or not self._bucket.take(now):
-            self.refused += 1
+        if now < self._paused_until or not self._bucket.try_spend(now):
+            self.refused_count += 1
             raise StoreBudgetError(f"{kind}: not sent, budget spent or paused")
-        self.calls[kind] = self.calls.get(kind, 0) + 1
+        self.call_counts[kind] = self.call_counts.get(kind, 0) + 1
 
     def _settle(self, failed: bool) -> None:
         if not failed:
-            self._backoff.succeeded()
+            self._backoff.record_success()
             return
-        self.failed += 1
-        pause_s = self._backoff.failed()
-        if self._backoff.failures >= self._budget.failures_before_pause:
+        self.failed_count += 1
+        pause_s = self._backoff.record_failure()
+        if self._backoff.failures >= self._budget.pause_after_failures:
             self._paused_until = self._clock.monotonic() + pause_s
 
 
--- a/src/radishwind/store/tests/test_etcd.py
+++ b/src/radishwind/store/tests/test_etcd_store.py
@@ -242,20 +242,20 @@
         await store.get("k")
     bench.clock.advance(0.5)
     await store.get("k")
-    assert (store.calls, store.refused) == ({"get": 4}, 1)
+    assert (store.call_counts, store.refused_count) == ({"get": 4}, 1)
     assert bench.standin.calls == {"range": 4}
 
 
 async def test_failures_in_a_row_start_growing_pauses():
     bench = Bench()
-    budget = StoreBudget(failures_before_pause=2, longest_pause_s=4.0)
+    budget = StoreBudget(pause_after_failures=2, max_pause_s=4.0)
     store = BudgetedStore(bench.store, bench.clock, random.Random(1), budget)
     bench.sender.faults[ADDRESS] = Fault.REFUSED
     for _ in range(200):
         bench.clock.advance(0.05)
         with pytest.raises(StoreUnavailableError):
             await store.get("k")
-    assert store.calls["get"] < 20
+    assert store.call_counts["get"] < 20
     del bench.sender.faults[ADDRESS]
     bench.clock.advance(4.0)
     await store.get("k")
--- a/tests/proofs/plays.py
+++ b/tests/proofs/plays.py
@@ -96,7 +96,7 @@
     stage.cluster.clock.advance(1.0)
     for node in stage.entries.values():
         for _ in range(3):
-            await node.claims.settler.flush()
+            await node.claims.updates.flush()
 
 
 async def _warm_up(stage: Stage) -> None:
--- a/tests/proofs/stage.py
+++ b/tests/proofs/stage.py
@@ -22,10 +22,10 @@
 from radishwind.peers.attempts import AnswerInfo
 from radishwind.peers.attempts import ATTEMPT_FIELD
 from radishwind.peers.attempts import AttemptInfo
+from tests.support.claim_cluster import Cluster
+from tests.support.claim_cluster import EntryNode
+from tests.support.claim_cluster import STORE
 from tests.support.direct import Fault
-from tests.support.keyed import Cluster
-from tests.support.keyed import EntryNode
-from tests.support.keyed import STORE
 from tests.support.targets import DirectBoard
 
 #: Past every deadline of a call, and past the lease of a claim (s).
--- a/tests/support/keyed.py
+++ b/tests/support/claim_cluster.py
@@ -12,7 +12,7 @@
 import anyio.lowlevel
 
 from radishwind.claims import ClaimGuard
-from radishwind.claims.writer import GroupWriter
+from radishwind.claims.claim_writer import BatchClaimWriter
 from radishwind.config.index import ConfigIndex
 from radishwind.config.model import Configuration
 from radishwind.config.model import Inventory
@@ -183,7 +183,9 @@
             cluster.rng,
             store,
             lambda: 1,
-            GroupWriter(store, under_way=1),  # So that groups are made.
+            BatchClaimWriter(
+                store, max_in_flight=1
+            ),  # So that groups are made.
         )
         guard: ClaimGuard = self.claims.guard
         if cluster.guard is not None:
