--- a/bench/admission.py
+++ b/bench/admission.py
@@ -62,8 +62,8 @@
 
     def _next_flow(self) -> _Flow:
         backlogged = [f for f in self._flows.values() if f.queue]
-        least = min(f.start for f in backlogged)
-        near = [f for f in backlogged if f.start <= least + self._lead_s]
+        least = min(f.start_tag for f in backlogged)
+        near = [f for f in backlogged if f.start_tag <= least + self._lead_s]
         return min(near, key=lambda f: f.queue[0].offered_at)
 
 
--- a/src/radishwind/admission/__init__.py
+++ b/src/radishwind/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Who gets a slot of the server beside the node, and when to say no."""
+"""Admission control: which requests get a slot of the local server."""
 
 from radishwind.admission.admission import Admission
 from radishwind.admission.admission import AdmissionLimits
--- a/src/radishwind/admission/admission.py
+++ b/src/radishwind/admission/admission.py
@@ -1,7 +1,8 @@
-"""The interface of admission at a target's node.
+"""The interface of admission control at the node beside a server.
 
-The decision is pure: `offer` and `release` take the time and mark tickets as
-admitted or refused; whoever holds a ticket waits for its `notify`.
+Admission does no I/O and reads no clock: its methods are passed the time and
+mark tickets as admitted or refused. Whoever holds a queued ticket waits for the
+call of its `on_decided`.
 """
 
 import abc
@@ -15,26 +16,27 @@
 
 
 class Ticket(msgspec.Struct, eq=False):
-    """One request's place at a target.
+    """One request that is offered to a server: queued, admitted or refused.
 
     Attributes:
-      caller: who asks, for the shares between callers.
-      deadline: monotonic time (s) after which it is of no use.
-      offered: monotonic time (s) of the offer.
-      notify: called once, when the ticket is admitted or refused after it
-        was queued; that may be within the offer.
-      alone: whether it must be the only one that runs.
-      aim: monotonic time (s) by which an answer earns its full worth.
-      priority: its rank; 0 is the highest.
-      work_s: its run time at the usual pace (s); 0 where not known.
-      lot: drawn with those that it belongs to, -0.5 to 0.5; 0 for none.
-      run_s: what such runs take there now in the mean, their calls included
-        (s); 0 where not known.
-      likely_s: what four of five of them end within (s); 0 where not known.
-      nested: whether a run elsewhere waits for it.
-      admitted: whether it holds a slot.
-      refused: the refusal, if it was turned away.
-      released: whether it was given back.
+      caller: who sent it; used for fair queueing between callers.
+      deadline: monotonic time (s) after which a response is of no use.
+      offered_at: monotonic time (s) of the offer.
+      on_decided: called once when the ticket is admitted or refused after it
+        was queued; that may happen during the offer.
+      must_run_alone: whether nothing else may run on the server meanwhile.
+      aim: soft deadline (monotonic s); a later response is worth less.
+      priority: priority among queued requests; 0 is the highest.
+      normal_run_s: its run time at a server of normal speed (s); 0 if unknown.
+      group_rank: random rank, -0.5 to 0.5, shared by the calls of one fan-out;
+        lower ranks start first. 0 for a call that is not part of a fan-out.
+      mean_run_s: current mean run time of its route at this server (s),
+        including the nested calls that a run waits for; 0 if unknown.
+      likely_s: time within which four of five such runs end (s); 0 if unknown.
+      is_nested: whether a request that runs elsewhere waits for it.
+      is_admitted: whether it was given a slot.
+      refusal: why it was refused; `None` if it was not.
+      is_released: whether it was returned by `Admission.release`.
     """
 
     caller: str
@@ -55,16 +57,18 @@
 
 
 class AdmissionLimits(msgspec.Struct, frozen=True):
-    """What the inventory and the rules allow at one server.
+    """The limits of one server, from its configuration.
 
     Attributes:
-      slots: requests the server runs at once.
-      connections: connections it accepts; one stays free for probing.
-      overlap: waiting requests sent to the server beyond its slots, so that
-        it has the next one at hand when a slot comes free.
-      queue_length: requests that may wait.
-      queue_wait_s: the longest a request waits (s).
-      caller_weights: share by caller; 1 where not named.
+      slots: requests that the server runs concurrently.
+      connections: connections that the server accepts; one stays free for
+        probes.
+      overcommit: queued requests sent to the server beyond its slots, so that
+        it has the next request at hand when a slot becomes free.
+      max_queued: requests that may be queued.
+      max_queue_wait_s: maximum time in the queue (s).
+      caller_weights: weight of each caller in fair queueing; 1 for callers
+        that are not listed.
     """
 
     slots: int = 0
@@ -76,12 +80,12 @@
 
     @property
     def usable_slots(self) -> int:
-        """Requests that may run at once, as each holds a connection."""
+        """Requests that may run concurrently, one on each connection."""
         return min(self.slots, self._usable_connections)
 
     @property
     def max_in_flight(self) -> int:
-        """Requests that may be at the server at once."""
+        """Requests that may be sent to the server concurrently."""
         if not self.slots:
             return 0
         return min(self.slots + self.overcommit, self._usable_connections)
@@ -92,51 +96,55 @@
 
 
 class Admission(abc.ABC):
-    """Grants slots of one server to tickets."""
+    """Grants the slots of one server to tickets."""
 
     @abc.abstractmethod
     def offer(self, ticket: Ticket, now: float) -> None:
-        """Admits `ticket`, queues it, or refuses it at once."""
+        """Admits, queues or refuses `ticket` at `now` (monotonic s)."""
 
     @abc.abstractmethod
     def release(self, ticket: Ticket, now: float, service_s: float) -> None:
-        """Gives the slot of an admitted ticket back, or leaves the queue.
+        """Releases the slot of an admitted ticket, or removes a queued one.
 
-        A ticket that was refused or released before is left as it is.
+        Does nothing for a ticket that was refused or released before.
 
         Args:
-          ticket: admitted, or still waiting and given up.
+          ticket: a ticket that was admitted, or is queued and abandoned.
           now: monotonic time (s).
-          service_s: how long it ran (s); 0 if it never did.
+          service_s: how long it ran (s); 0 if it did not run.
         """
 
     @abc.abstractmethod
     def expire(self, now: float) -> None:
-        """Refuses the waiting tickets that cannot run in time any more."""
+        """Refuses queued tickets that are too late and admits others.
+
+        Args:
+          now: monotonic time (s).
+        """
 
     @abc.abstractmethod
     def refuse_all(self, refusal: NotRun) -> None:
-        """Refuses all waiting tickets; those admitted keep their slots."""
+        """Refuses all queued tickets; admitted ones keep their slots."""
 
     @abc.abstractmethod
     def record_shed(self, now: float) -> None:
-        """Takes that the server refused a request that was admitted."""
+        """Records that the server refused a request that was admitted."""
 
     @abc.abstractmethod
     def set_limits(self, limits: AdmissionLimits) -> None:
-        """Takes new limits; those already admitted keep their slots."""
+        """Sets the limits; tickets already admitted keep their slots."""
 
     @property
     @abc.abstractmethod
     def slots(self) -> int:
-        """Slots in all."""
+        """Requests that may run concurrently."""
 
     @property
     @abc.abstractmethod
     def in_flight(self) -> int:
-        """Slots in use."""
+        """Admitted tickets that are not released yet."""
 
     @property
     @abc.abstractmethod
     def queued(self) -> int:
-        """Tickets waiting."""
+        """Tickets in the queue."""
--- a/src/radishwind/admission/fifo_admission.py
+++ b/src/radishwind/admission/fifo_admission.py
@@ -1,4 +1,4 @@
-"""First come, first served; the baseline."""
+"""Admission in order of arrival, as a baseline for comparisons."""
 
 import collections
 from collections.abc import Iterable
@@ -9,16 +9,16 @@
 
 
 class FifoAdmission(QueueingAdmission):
-    """First come, first served, whoever asks."""
+    """Admits tickets in order of arrival, regardless of their caller."""
 
     def __init__(self, limits: AdmissionLimits | None = None) -> None:
         super().__init__(limits or AdmissionLimits())
         self._queue: collections.deque[Ticket] = collections.deque()
 
-    def _waiting(self) -> int:
+    def _queue_length(self) -> int:
         return len(self._queue)
 
-    def _tickets(self) -> Iterable[Ticket]:
+    def _queued_tickets(self) -> Iterable[Ticket]:
         return self._queue
 
     def _push(self, ticket: Ticket) -> None:
@@ -30,7 +30,7 @@
     def _remove(self, ticket: Ticket) -> None:
         self._queue.remove(ticket)
 
-    def _wait_s(self, ticket: Ticket) -> float:
+    def _expected_wait_s(self, ticket: Ticket) -> float:
         if not self.slots:
             return 0.0
-        return (len(self._queue) + 1) * self._service_s / self.slots
+        return (len(self._queue) + 1) * self._mean_service_s / self.slots
--- a/src/radishwind/admission/queueing_admission.py
+++ b/src/radishwind/admission/queueing_admission.py
@@ -1,7 +1,8 @@
-"""What every queueing policy shares: slots, deadlines, early refusal.
+"""Common part of the queueing policies: slots, deadlines, early refusal.
 
-A policy says only in which order tickets wait (`_push`, `_pop`), how long
-that takes (`_wait_s`), and which gives way when the queue is full (`_victim`).
+A policy defines the order of the queue (`_push`, `_pop`), the expected wait
+(`_expected_wait_s`) and which ticket is evicted if the queue is full
+(`_select_eviction`).
 """
 
 import abc
@@ -15,50 +16,52 @@
 from radishwind.core.codes import ResultCode
 from radishwind.outcomes.model import NotRun
 
-#: Tickets that may wait to run alone.
+#: Maximum number of queued tickets that must run alone.
 MAX_ALONE_QUEUED = 8
 
-#: The least that a refused caller is told to wait (s).
+#: Lower bound of the Retry-After of a refusal (s).
 MIN_RETRY_AFTER_S = 0.05
 
-#: Multiples of its expected run time that a request must have left to start.
-_COST_MARGIN = 2.0
+#: Multiples of its expected run time that must be left until the deadline of a
+#: ticket when it starts.
+_RUN_TIME_MARGIN = 2.0
 
-#: How long nothing is sent beyond the slots after the server shed it (s).
+#: Time without overcommit after the server shed a request beyond its slots (s).
 OVERCOMMIT_PAUSE_S = 60.0
 
-#: The share that the newest request has in the mean service time.
+#: Weight of the latest request in the mean service time.
 _SMOOTHING = 0.1
 
 
 class QueueingAdmission(Admission):
-    """Slots with a bounded queue; the order is the subclass's.
+    """Grants slots from a bounded queue; subclasses define its order.
 
-    A few waiting tickets go to the server beyond its slots: a slot would
-    otherwise stand empty until the node has heard of it and sent the next
-    request. A server that sheds them gets none for a while.
+    A few queued tickets are sent to the server beyond its slots (overcommit):
+    otherwise a slot would be idle until the node has received the response and
+    sent the next request. After the server sheds one of them, none are sent
+    for a while.
 
-    A ticket that must run alone waits until the server is empty, and nothing
-    else starts meanwhile. So that a row of such tickets cannot stop the
-    server, the next one waits at least as long as the last one held it up.
+    A ticket that must run alone waits until the server is idle, and nothing
+    else starts meanwhile. So that a series of such tickets cannot block the
+    server, the next one waits at least as long as the last one blocked it.
     """
 
     def __init__(self, limits: AdmissionLimits) -> None:
-        self._take(limits)
+        self._apply_limits(limits)
         self._in_flight = 0
-        self._service_s = 0.0
-        # Tickets that wait to run alone, and the one that does.
-        self._alone: collections.deque[Ticket] = collections.deque()
-        self._alone_runs: Ticket | None = None
-        # Since when the server is held up for it, and when the next one may
-        # hold it up (monotonic, s).
-        self._alone_since = 0.0
-        self._alone_after = 0.0
-        # No waiting ticket has to be refused before (monotonic, s), so that
-        # `expire` costs nothing until then.
-        self._earliest = math.inf
-        # Nothing goes beyond the slots before (monotonic, s).
-        self._overlap_after = 0.0
+        self._mean_service_s = 0.0
+        # Queued tickets that must run alone, and the one that runs.
+        self._alone_queue: collections.deque[Ticket] = collections.deque()
+        self._running_alone: Ticket | None = None
+        # Since when the server is blocked for it, and from when on the next one
+        # may block it (monotonic s).
+        self._blocked_since = 0.0
+        self._alone_not_before = 0.0
+        # When the next queued ticket expires, at the earliest (monotonic s);
+        # until then `expire` need not look at the queue.
+        self._next_expiry = math.inf
+        # No overcommit before this time (monotonic s).
+        self._overcommit_after = 0.0
 
     @property
     def slots(self) -> int:
@@ -70,42 +73,44 @@
 
     @property
     def queued(self) -> int:
-        return self._waiting() + len(self._alone)
+        return self._queue_length() + len(self._alone_queue)
 
     def set_limits(self, limits: AdmissionLimits) -> None:
-        self._take(limits)
-        self._earliest = 0.0
+        self._apply_limits(limits)
+        self._next_expiry = 0.0
 
-    def _take(self, limits: AdmissionLimits) -> None:
+    def _apply_limits(self, limits: AdmissionLimits) -> None:
         self._limits = limits
-        # Read several times a request, so they are derived here.
+        # Computed here, since they are read several times per request.
         self._slots = limits.usable_slots
         self._max_in_flight = limits.max_in_flight
 
     def record_shed(self, now: float) -> None:
         if self._in_flight > self.slots:
-            self._overlap_after = now + OVERCOMMIT_PAUSE_S
+            self._overcommit_after = now + OVERCOMMIT_PAUSE_S
 
     def offer(self, ticket: Ticket, now: float) -> None:
         if ticket.must_run_alone:
             self._offer_alone(ticket, now)
             return
-        free = self._has_free_slot() and not self.queued
-        if free and self._may_start(ticket, now):
+        has_slot = self._has_free_slot() and not self.queued
+        if has_slot and self._may_start(ticket, now):
             self._admit(ticket)
             return
-        ticket.refusal = self._too_late(ticket, now)
+        ticket.refusal = self._early_refusal(ticket, now)
         if ticket.refusal is not None:
             return
-        if self._waiting() >= self._limits.max_queued:
-            victim = self._victim(ticket)
-            if victim is ticket:
-                ticket.refusal = self._refusal(ticket, "The queue is full.")
+        if self._queue_length() >= self._limits.max_queued:
+            evicted = self._select_eviction(ticket)
+            if evicted is ticket:
+                ticket.refusal = self._make_refusal(
+                    ticket, "The queue is full."
+                )
                 return
-            self._remove(victim)
-            self._turn_away(victim, "Another caller's share goes first.")
+            self._remove(evicted)
+            self._refuse(evicted, "Evicted from the full queue.")
         self._push(ticket)
-        self._earliest = min(self._earliest, self._latest(ticket))
+        self._next_expiry = min(self._next_expiry, self._latest_start(ticket))
         self._dispatch(now)
 
     def release(self, ticket: Ticket, now: float, service_s: float) -> None:
@@ -113,48 +118,51 @@
             return
         ticket.is_released = True
         if not ticket.is_admitted:
-            self._withdraw(ticket)
+            self._dequeue(ticket)
             self._dispatch(now)
             return
         self._in_flight -= 1
         if service_s:
-            step = _SMOOTHING if self._service_s else 1.0
-            self._service_s += step * (service_s - self._service_s)
-        if ticket is self._alone_runs:
-            self._alone_runs = None
-            self._alone_after = now + (now - self._alone_since)
-        self._settle(ticket, service_s)
+            step = _SMOOTHING if self._mean_service_s else 1.0
+            self._mean_service_s += step * (service_s - self._mean_service_s)
+        if ticket is self._running_alone:
+            self._running_alone = None
+            self._alone_not_before = now + (now - self._blocked_since)
+        self._on_released(ticket, service_s)
         self.expire(now)
 
     def expire(self, now: float) -> None:
-        if now >= self._earliest:
-            waiting = [*self._tickets(), *self._alone]
-            for ticket in [t for t in waiting if self._latest(t) <= now]:
-                self._withdraw(ticket)
-                self._turn_away(ticket, "No slot came free in time.")
-            left = (*self._tickets(), *self._alone)
-            self._earliest = min(map(self._latest, left), default=math.inf)
+        if now >= self._next_expiry:
+            waiting = [*self._queued_tickets(), *self._alone_queue]
+            for ticket in [t for t in waiting if self._latest_start(t) <= now]:
+                self._dequeue(ticket)
+                self._refuse(ticket, "No slot became free in time.")
+            remaining = (*self._queued_tickets(), *self._alone_queue)
+            self._next_expiry = min(
+                map(self._latest_start, remaining), default=math.inf
+            )
         self._dispatch(now)
 
     def refuse_all(self, refusal: NotRun) -> None:
-        for ticket in [*self._tickets(), *self._alone]:
-            self._withdraw(ticket)
+        for ticket in [*self._queued_tickets(), *self._alone_queue]:
+            self._dequeue(ticket)
             ticket.refusal = refusal
             ticket.on_decided()
 
     def _has_free_slot(self) -> bool:
-        return self._alone_runs is None and self._in_flight < self.slots
+        return self._running_alone is None and self._in_flight < self.slots
 
     def _dispatch(self, now: float) -> None:
-        if self._alone_runs is not None:
+        """Admits queued tickets while there are slots for them."""
+        if self._running_alone is not None:
             return
-        if self._alone and self._alone_due(now):
+        if self._alone_queue and self._is_alone_due(now):
             self._start_alone(now)
             return
-        most = self.slots
-        if now >= self._overlap_after:
-            most = self._max_in_flight
-        while self._in_flight < most and self._waiting():
+        max_in_flight = self.slots
+        if now >= self._overcommit_after:
+            max_in_flight = self._max_in_flight
+        while self._in_flight < max_in_flight and self._queue_length():
             ticket = self._pop(now)
             if ticket is None:
                 return
@@ -162,115 +170,123 @@
             ticket.on_decided()
 
     def _offer_alone(self, ticket: Ticket, now: float) -> None:
-        if not self.slots or len(self._alone) >= MAX_ALONE_QUEUED:
+        if not self.slots or len(self._alone_queue) >= MAX_ALONE_QUEUED:
             ticket.refusal = NotRun(
                 ResultCode.QUARANTINED,
-                "Too many requests wait to run alone.",
-                max(MIN_RETRY_AFTER_S, self._service_s * MAX_ALONE_QUEUED),
+                "Too many requests are queued to run alone.",
+                max(MIN_RETRY_AFTER_S, self._mean_service_s * MAX_ALONE_QUEUED),
             )
             return
         if not self._in_flight and not self.queued:
-            self._alone_runs = ticket
-            self._alone_since = now
+            self._running_alone = ticket
+            self._blocked_since = now
             self._admit(ticket)
             return
-        if not self._alone:
-            self._alone_since = max(now, self._alone_after)
-        self._alone.append(ticket)
-        self._earliest = min(self._earliest, self._latest(ticket))
+        if not self._alone_queue:
+            self._blocked_since = max(now, self._alone_not_before)
+        self._alone_queue.append(ticket)
+        self._next_expiry = min(self._next_expiry, self._latest_start(ticket))
         self._dispatch(now)
 
-    def _alone_due(self, now: float) -> bool:
-        """Returns whether the next one that runs alone has its turn.
+    def _is_alone_due(self, now: float) -> bool:
+        """Returns whether the next ticket that must run alone may block others.
 
-        It need not wait for its turn if nobody else wants the server.
+        It may at once if there are no others.
         """
-        empty = not self._in_flight and not self._waiting()
-        return empty or now >= self._alone_after
+        is_idle = not self._in_flight and not self._queue_length()
+        return is_idle or now >= self._alone_not_before
 
     def _start_alone(self, now: float) -> None:
-        """Starts the next one that runs alone, once the server is empty."""
+        """Starts the next ticket that must run alone if the server is idle."""
         if self._in_flight:
             return
-        ticket = self._alone.popleft()
-        self._alone_since = min(now, max(self._alone_since, self._alone_after))
-        self._alone_runs = ticket
+        ticket = self._alone_queue.popleft()
+        self._blocked_since = min(
+            now, max(self._blocked_since, self._alone_not_before)
+        )
+        self._running_alone = ticket
         self._admit(ticket)
         ticket.on_decided()
 
     def _admit(self, ticket: Ticket) -> None:
         ticket.is_admitted = True
         self._in_flight += 1
-        self._charge(ticket)
+        self._on_admitted(ticket)
 
-    def _withdraw(self, ticket: Ticket) -> None:
+    def _dequeue(self, ticket: Ticket) -> None:
         if ticket.must_run_alone:
-            self._alone.remove(ticket)
+            self._alone_queue.remove(ticket)
         else:
             self._remove(ticket)
 
-    def _latest(self, ticket: Ticket) -> float:
-        """Returns when `ticket` has to have started (monotonic, s).
+    def _latest_start(self, ticket: Ticket) -> float:
+        """Returns the latest time at which `ticket` may start (monotonic s).
 
-        What starts too late to end by its deadline only takes a slot away.
+        A request that starts too late to end by its deadline only occupies a
+        slot.
         """
-        run_s = max(_COST_MARGIN * self._cost_s(ticket), ticket.likely_s)
-        ends = ticket.deadline - run_s
-        return min(ends, ticket.offered_at + self._limits.max_queue_wait_s)
-
-    def _cost_s(self, ticket: Ticket) -> float:
-        """Returns how long `ticket` is expected to run (s)."""
-        return self._service_s
-
-    def _too_late(self, ticket: Ticket, now: float) -> NotRun | None:
+        run_s = max(
+            _RUN_TIME_MARGIN * self._expected_run_s(ticket), ticket.likely_s
+        )
+        latest = ticket.deadline - run_s
+        return min(latest, ticket.offered_at + self._limits.max_queue_wait_s)
+
+    def _expected_run_s(self, ticket: Ticket) -> float:
+        """Returns the expected run time of `ticket` (s)."""
+        return self._mean_service_s
+
+    def _early_refusal(self, ticket: Ticket, now: float) -> NotRun | None:
+        """Returns the refusal of a new `ticket` that would start too late."""
         if not self.slots:
-            return self._refusal(ticket, "The target has no slots.")
-        if now + self._wait_s(ticket) >= self._latest(ticket):
-            return self._refusal(ticket, "No slot will come free in time.")
+            return self._make_refusal(ticket, "The target has no slots.")
+        if now + self._expected_wait_s(ticket) >= self._latest_start(ticket):
+            return self._make_refusal(
+                ticket, "No slot is expected to become free in time."
+            )
         return None
 
-    def _refusal(self, ticket: Ticket, detail: str) -> NotRun:
-        retry_s = max(MIN_RETRY_AFTER_S, self._wait_s(ticket))
-        return NotRun(ResultCode.OVERLOADED, detail, round(retry_s, 3))
+    def _make_refusal(self, ticket: Ticket, detail: str) -> NotRun:
+        retry_after_s = max(MIN_RETRY_AFTER_S, self._expected_wait_s(ticket))
+        return NotRun(ResultCode.OVERLOADED, detail, round(retry_after_s, 3))
 
-    def _turn_away(self, ticket: Ticket, detail: str) -> None:
-        ticket.refusal = self._refusal(ticket, detail)
+    def _refuse(self, ticket: Ticket, detail: str) -> None:
+        ticket.refusal = self._make_refusal(ticket, detail)
         ticket.on_decided()
 
     @abc.abstractmethod
-    def _waiting(self) -> int:
-        """Returns how many tickets wait in the order of the policy."""
+    def _queue_length(self) -> int:
+        """Returns the number of queued tickets that may run with others."""
 
     @abc.abstractmethod
-    def _tickets(self) -> Iterable[Ticket]:
-        """Returns the tickets that wait in the order of the policy."""
+    def _queued_tickets(self) -> Iterable[Ticket]:
+        """Returns the queued tickets that may run with others."""
 
     @abc.abstractmethod
     def _push(self, ticket: Ticket) -> None:
-        """Queues `ticket`."""
+        """Adds `ticket` to the queue."""
 
     @abc.abstractmethod
     def _pop(self, now: float) -> Ticket | None:
-        """Removes the ticket whose turn it is and returns it, if any."""
+        """Removes and returns the next ticket; `None` if none may start."""
 
     @abc.abstractmethod
     def _remove(self, ticket: Ticket) -> None:
         """Removes `ticket` from the queue."""
 
     @abc.abstractmethod
-    def _wait_s(self, ticket: Ticket) -> float:
-        """Returns how long a new ticket is expected to wait (s)."""
+    def _expected_wait_s(self, ticket: Ticket) -> float:
+        """Returns the expected wait of a new ticket (s)."""
 
     def _may_start(self, ticket: Ticket, now: float) -> bool:
-        """Returns whether `ticket` may begin now if a slot is free."""
+        """Returns whether `ticket` may start now if a slot is free."""
         return True
 
-    def _victim(self, ticket: Ticket) -> Ticket:
-        """Returns who gives way to the new `ticket` in a full queue."""
+    def _select_eviction(self, ticket: Ticket) -> Ticket:
+        """Returns the ticket to refuse if the queue is full for `ticket`."""
         return ticket
 
-    def _charge(self, ticket: Ticket) -> None:
-        """Notes that `ticket` got a slot."""
+    def _on_admitted(self, ticket: Ticket) -> None:
+        """Accounts for a `ticket` that was given a slot."""
 
-    def _settle(self, ticket: Ticket, service_s: float) -> None:
-        """Notes that an admitted `ticket` ran for `service_s` (s)."""
+    def _on_released(self, ticket: Ticket, service_s: float) -> None:
+        """Accounts for an admitted `ticket` that ran for `service_s` (s)."""
--- a/src/radishwind/admission/tests/test_deadline_admission.py
+++ b/src/radishwind/admission/tests/test_deadline_admission.py
@@ -1,4 +1,4 @@
-"""Slots go to what can still be in time, and to short work in a congestion."""
+"""Tests of admission by soft deadline, and newest first under congestion."""
 
 import math
 import random
@@ -16,11 +16,13 @@
 )
 
 
-def ticket(name, aim=1.0, deadline=2.0, normal_run_s=0.01, priority=0, at=0.0):
+def ticket(
+    name, aim=1.0, deadline=2.0, normal_run_s=0.01, priority=0, offered_at=0.0
+):
     return Ticket(
         name,
         deadline,
-        at,
+        offered_at,
         lambda: None,
         aim=aim,
         priority=priority,
@@ -28,12 +30,14 @@
     )
 
 
-class SlowSpell(StartGate):
+class SwitchableGate(StartGate):
+    """Delays all requests while it is closed."""
+
     def __init__(self):
-        self.slow = True
+        self.is_closed = True
 
     def should_delay(self, ticket, now):
-        return self.slow
+        return self.is_closed
 
     def queue_slowdown(self):
         return 1.0
@@ -44,8 +48,8 @@
     return DeadlineAdmission(ONE_SLOT)
 
 
-def order(admission, *tickets):
-    """Offers all behind a running one; returns the names as they start."""
+def start_order(admission, *tickets):
+    """Queues `tickets` behind a running one; returns the order of starts."""
     running = ticket("running")
     admission.offer(running, 0.0)
     for one in tickets:
@@ -61,35 +65,35 @@
     return names
 
 
-def test_the_nearest_aim_goes_first(admission):
+def test_earliest_aim_starts_first(admission):
     far, near = ticket("far", aim=0.9), ticket("near", aim=0.3)
 
-    assert order(admission, far, near) == ["near", "far"]
+    assert start_order(admission, far, near) == ["near", "far"]
 
 
-def test_rank_overtakes_by_a_bounded_lead(admission):
+def test_higher_priority_overtakes_by_bounded_lead(admission):
     low = ticket("low", aim=0.30, priority=2)
     high = ticket("high", aim=0.45, priority=0)
     soon = ticket("soon", aim=0.20, priority=2)
 
-    assert order(admission, low, high, soon) == ["soon", "high", "low"]
+    assert start_order(admission, low, high, soon) == ["soon", "high", "low"]
 
 
-def test_what_has_missed_its_aim_goes_last(admission):
+def test_request_past_its_aim_starts_last(admission):
     late = ticket("late", aim=0.005)
     fresh = ticket("fresh", aim=1.5)
 
-    assert order(admission, late, fresh) == ["fresh", "late"]
+    assert start_order(admission, late, fresh) == ["fresh", "late"]
 
 
-def test_in_a_congestion_the_newest_goes_first(admission):
+def test_newest_starts_first_under_congestion(admission):
     old = [ticket(f"old{i}", normal_run_s=0.2, aim=0.9) for i in range(2)]
-    new = ticket("new", normal_run_s=0.2, aim=1.5, at=0.1)
+    new = ticket("new", normal_run_s=0.2, aim=1.5, offered_at=0.1)
 
-    assert order(admission, *old, new)[0] == "new"
+    assert start_order(admission, *old, new)[0] == "new"
 
 
-def test_who_would_start_too_late_is_refused_at_once(admission):
+def test_requests_that_would_start_too_late_are_refused_early(admission):
     admission.offer(ticket("running"), 0.0)
     tickets = [
         ticket(f"w{i}", normal_run_s=0.2, aim=0.9, deadline=1.0)
@@ -106,21 +110,21 @@
     assert len(tickets) - len(refused) == admission.queued
 
 
-def test_a_ticket_held_back_starts_once_the_gate_opens():
-    gate = SlowSpell()
+def test_delayed_ticket_starts_once_gate_opens():
+    gate = SwitchableGate()
     admission = DeadlineAdmission(ONE_SLOT, gate)
     held = ticket("held")
 
     admission.offer(held, 0.0)
     assert not held.is_admitted
-    gate.slow = False
+    gate.is_closed = False
     admission.expire(0.1)
 
     assert held.is_admitted
 
 
-def test_what_would_not_end_in_time_is_refused_by_what_runs_take_there():
-    """Runs take half a second there, with the calls that they wait for."""
+def test_likely_run_time_decides_latest_start():
+    """Runs take 0.5 s, including the nested calls that they wait for."""
     admission = DeadlineAdmission(ONE_SLOT)
     admission.offer(ticket("running", normal_run_s=0.1), 0.0)
     short, long = (
@@ -137,54 +141,58 @@
     assert long.refusal.code is ResultCode.OVERLOADED
 
 
-def test_what_belongs_together_begins_alike_at_different_servers():
-    """Pairs wait at two congested servers that run half of them."""
+def test_calls_of_one_fan_out_start_alike_at_different_servers():
+    """Pairs of calls are queued at two congested servers that run half."""
     rng = random.Random(5)
-    began = ([], [])
-    lots = [rng.random() - 0.5 for _ in range(20)]
-    for names in began:
+    started = ([], [])
+    group_ranks = [rng.random() - 0.5 for _ in range(20)]
+    for names in started:
         admission = DeadlineAdmission(ONE_SLOT)
         running = ticket("running", normal_run_s=0.1)
         admission.offer(running, 0.0)
         waiting = []
         for i in rng.sample(range(20), 20):
-            at = rng.random() * 0.05
+            offered_at = rng.random() * 0.05
             one = ticket(
-                f"p{i}", normal_run_s=0.05, aim=9.0, deadline=10.0, at=at
+                f"p{i}",
+                normal_run_s=0.05,
+                aim=9.0,
+                deadline=10.0,
+                offered_at=offered_at,
             )
-            one.group_rank = lots[i]
+            one.group_rank = group_ranks[i]
             waiting.append(one)
-            admission.offer(one, at)
+            admission.offer(one, offered_at)
         for _ in range(10):
             admission.release(running, 0.1, 0.05)
             running = next(t for t in waiting if t.is_admitted)
             waiting.remove(running)
             names.append(running.caller)
 
-    assert len(set(began[0]) & set(began[1])) >= 9
+    assert len(set(started[0]) & set(started[1])) >= 9
 
 
-def test_a_call_goes_before_callers_of_its_rank_as_a_run_waits_for_it(
+def test_nested_call_precedes_request_of_same_priority(
     admission,
 ):
     caller = ticket("caller", aim=0.30, priority=1)
     call = ticket("call", aim=0.35, deadline=0.40, priority=1)
     call.is_nested = True
 
-    assert order(admission, caller, call) == ["call", "caller"]
+    assert start_order(admission, caller, call) == ["call", "caller"]
 
 
-def test_a_call_past_its_aim_is_not_late_for_the_run_that_waits(admission):
+def test_nested_call_past_its_aim_is_not_late(admission):
     caller = ticket("caller", aim=0.9, priority=1)
     call = ticket("call", aim=0.005, deadline=0.8, priority=1)
     call.is_nested = True
 
-    assert order(admission, caller, call) == ["call", "caller"]
+    assert start_order(admission, caller, call) == ["call", "caller"]
 
 
-def test_callers_far_nearer_to_their_aim_go_before_calls(admission):
+def test_request_with_much_earlier_aim_precedes_nested_call(admission):
     caller = ticket("caller", aim=0.1, priority=1)
     call = ticket("call", aim=0.5, deadline=0.9, priority=1)
     call.is_nested = True
 
-    assert order(admission, call, caller) == ["caller", "call"]
+    assert start_order(admission, call, caller) == ["caller", "call"]
