--- a/bench/peer_security.py
+++ b/bench/peer_security.py
@@ -21,13 +21,13 @@
 from radishwind.loads.load_message import decode
 from radishwind.loads.load_message import encode
 from radishwind.loads.load_message import LoadMessage
-from radishwind.peers.datagrams import Channel
-from radishwind.peers.datagrams import PeerSocket
-from radishwind.peers.fleet_security import FleetDatagrams
+from radishwind.peers.fleet_security import FleetDatagramAuthenticator
 from radishwind.peers.fleet_security import FleetSigner
 from radishwind.peers.fleet_security import FleetVerifier
-from radishwind.peers.fleet_security import Starts
+from radishwind.peers.fleet_security import StartIds
 from radishwind.peers.keyring import Keyring
+from radishwind.peers.peer_socket import Channel
+from radishwind.peers.peer_socket import PeerSocket
 from radishwind.routing.chooser import LoadReport
 
 _ATTEMPT = (
@@ -49,12 +49,14 @@
         clock = SystemClock()
         self.own = own
         keyring = Keyring(clock)
-        keyring.learn(b"s" * 32, 1)
-        keyring.follow(True, lenient=False)
-        self.starts = Starts(number.to_bytes(4, "big"))
-        self.signer = FleetSigner(keyring, self.starts)
-        self.verifier = FleetVerifier(keyring, self.starts, own)
-        self.guard = FleetDatagrams(keyring, self.starts, own, clock)
+        keyring.update_secret(b"s" * 32, 1)
+        keyring.set_has_accounts(True, with_grace=False)
+        self.start_ids = StartIds(number.to_bytes(4, "big"))
+        self.signer = FleetSigner(keyring, self.start_ids)
+        self.verifier = FleetVerifier(keyring, self.start_ids, own)
+        self.authenticator = FleetDatagramAuthenticator(
+            keyring, self.start_ids, own, clock
+        )
 
 
 def main() -> None:
@@ -81,7 +83,7 @@
 def _attempts(count: int) -> float:
     """Returns what signing and checking one attempt takes (us)."""
     here, there = _nodes()
-    here.starts.note(there.own, there.starts.own)
+    here.start_ids.update(there.own, there.start_ids.own)
     began = time.process_time()
     for _ in range(count):
         field = here.signer.sign(there.own, "GET", "/view/1", _ATTEMPT)
@@ -100,16 +102,18 @@
 
 async def _exchanged(count: int, *, guarded: bool) -> float:
     here, there = _nodes()
-    sender = PeerSocket(here.guard if guarded else None)
-    receiver = PeerSocket(there.guard if guarded else None)
-    receiver.add(Channel.LOADS, lambda data, _: decode(data) is not None)
+    sender = PeerSocket(here.authenticator if guarded else None)
+    receiver = PeerSocket(there.authenticator if guarded else None)
+    receiver.add_handler(
+        Channel.LOADS, lambda data, _: decode(data) is not None
+    )
     await sender.start(here.own)
     await receiver.start(there.own)
     began = time.process_time()
     for sent in range(0, count, _AT_ONCE):
         for _ in range(_AT_ONCE):
             sender.send(Channel.LOADS, encode(_LOAD), (there.own,))
-        while receiver.received < sent + _AT_ONCE:  # noqa: ASYNC110
+        while receiver.received_count < sent + _AT_ONCE:  # noqa: ASYNC110
             await asyncio.sleep(0)
     spent_s = time.process_time() - began
     sender.close()
--- a/src/radishwind/claims/claim_registry.py
+++ b/src/radishwind/claims/claim_registry.py
@@ -20,7 +20,7 @@
 from radishwind.core.clock import Clock
 from radishwind.core.codes import ResultCode
 from radishwind.entry.call import Call
-from radishwind.leases.shared import SharedLease
+from radishwind.leases.shared_lease import SharedLease
 from radishwind.outcomes.model import NotRun
 from radishwind.outcomes.model import Outcome
 from radishwind.outcomes.model import Unknown
@@ -133,7 +133,7 @@
         try:
             outcome = await self._claim(call, sending)
         except StoreError:
-            self._lease.forget()
+            self._lease.clear()
             self._breaker.record_failure(self._clock.monotonic())
             return _unchecked(
                 self._breaker.retry_after_s(self._clock.monotonic())
@@ -206,7 +206,7 @@
             mod_revision = await self._settle(record, store_key)
             if mod_revision is None:
                 # Perhaps the store refused it since it lost the lease.
-                self._lease.forget()
+                self._lease.clear()
         except StoreUnavailableError:
             raise  # It is surely not written.
         except BaseException:
@@ -252,9 +252,9 @@
         self._updates.remove_unconfirmed(store_key, record.nonce)
 
     async def _lease_id(self, ttl_s: int) -> int:
-        if not self._lease.ready(ttl_s):
+        if not self._lease.has_valid_lease(ttl_s):
             self._write_budget.charge(self._clock.monotonic())
-        return await self._bounded(lambda: self._lease.lease_id(ttl_s))
+        return await self._bounded(lambda: self._lease.get_lease_id(ttl_s))
 
     async def _over_budget(
         self, sending: KeyedRequest, store_key: str
--- a/src/radishwind/config/exchange.py
+++ b/src/radishwind/config/exchange.py
@@ -20,7 +20,7 @@
 from radishwind.config.spread import Offers
 from radishwind.config.spread import Pull
 from radishwind.http.types import Address
-from radishwind.peers.client import PeerClient
+from radishwind.peers.peer_client import PeerClient
 from radishwind.store import Store
 from radishwind.store import WatchEvent
 
--- a/src/radishwind/experiment/nodes.py
+++ b/src/radishwind/experiment/nodes.py
@@ -18,7 +18,7 @@
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
 from radishwind.membership.rumor_bus import NullRumorBus
-from radishwind.peers.listener import PeerListener
+from radishwind.peers.peer_listener import PeerListener
 from radishwind.platform import PlatformDialect
 from radishwind.routes.emptied import EmptiedInForce
 from radishwind.routes.in_force import RoutesInForce
--- a/src/radishwind/leases/__init__.py
+++ b/src/radishwind/leases/__init__.py
@@ -1,8 +1,8 @@
 """Leases of the store: held by one, renewed in time, fenced by an epoch."""
 
-from radishwind.leases.holder import LeaseHolder
-from radishwind.leases.holder import LeaseLostError
-from radishwind.leases.shared import SharedLease
-from radishwind.leases.term import Term
+from radishwind.leases.lease_holder import LeaseHolder
+from radishwind.leases.lease_holder import LeaseLostError
+from radishwind.leases.lease_term import LeaseTerm
+from radishwind.leases.shared_lease import SharedLease
 
-__all__ = ["LeaseHolder", "LeaseLostError", "SharedLease", "Term"]
+__all__ = ["LeaseHolder", "LeaseLostError", "LeaseTerm", "SharedLease"]
--- a/src/radishwind/leases/holder.py
+++ b/src/radishwind/leases/lease_holder.py
@@ -13,7 +13,7 @@
 from radishwind.core.clock import Clock
 from radishwind.core.codes import ResultCode
 from radishwind.core.errors import RadishwindError
-from radishwind.leases.term import Term
+from radishwind.leases.lease_term import LeaseTerm
 from radishwind.store.base import Compare
 from radishwind.store.base import Operation
 from radishwind.store.base import Put
@@ -66,12 +66,14 @@
         self._holder = holder.encode()
         self._ttl_s = ttl_s
         self._tenure: _Tenure | None = None
-        self._term = Term(0.0, 0.0)
+        self._term = LeaseTerm(0.0, 0.0)
 
     @property
     def epoch(self) -> int | None:
         """The epoch while the lease is surely held, else `None`."""
-        if self._tenure is None or not self._term.sure(self._clock.monotonic()):
+        if self._tenure is None or not self._term.is_valid(
+            self._clock.monotonic()
+        ):
             return None
         return self._tenure.epoch
 
@@ -107,14 +109,14 @@
         if self.epoch is not None:
             return True
         self._tenure = None
-        asked = self._clock.monotonic()
+        requested_at = self._clock.monotonic()
         lease_id = await self._store.grant(self._ttl_s)
         epoch = await self._create(lease_id)
         if epoch is None:
-            await self._give_back(lease_id)
+            await self._revoke(lease_id)
             return False
         self._tenure = _Tenure(lease_id, epoch)
-        self._term = Term(asked, self._ttl_s)
+        self._term = LeaseTerm(requested_at, self._ttl_s)
         return self.epoch is not None
 
     async def renew(self) -> bool:
@@ -124,7 +126,7 @@
         """
         if self._tenure is None:
             return False
-        asked = self._clock.monotonic()
+        requested_at = self._clock.monotonic()
         try:
             ttl_s = await self._store.keep_alive(self._tenure.lease_id)
         except StoreError:
@@ -132,16 +134,16 @@
         if ttl_s <= 0:
             self._tenure = None
             return False
-        self._term = Term(asked, min(ttl_s, self._ttl_s))
+        self._term = LeaseTerm(requested_at, min(ttl_s, self._ttl_s))
         return self.epoch is not None
 
     async def release(self) -> None:
         """Gives the lease back, so that another may hold it at once."""
         tenure, self._tenure = self._tenure, None
         if tenure is not None:
-            await self._give_back(tenure.lease_id)
+            await self._revoke(tenure.lease_id)
 
-    async def hold(self) -> None:
+    async def renew_until_lost(self) -> None:
         """Keeps the lease, once acquired; returns when it is lost."""
         while self._tenure is not None:
             now = self._clock.monotonic()
@@ -165,7 +167,7 @@
             return entry.create_revision if entry and ours else None
         return result.revision if result.succeeded else None
 
-    async def _give_back(self, lease_id: int) -> None:
+    async def _revoke(self, lease_id: int) -> None:
         try:
             await self._store.revoke(lease_id)
         except StoreError:
--- a/src/radishwind/leases/shared.py
+++ b/src/radishwind/leases/shared_lease.py
@@ -38,19 +38,19 @@
         self._buckets: dict[int, _Bucket] = {}
         self._granting = anyio.Lock()
 
-    def ready(self, ttl_s: int) -> bool:
+    def has_valid_lease(self, ttl_s: int) -> bool:
         """Returns whether `lease_id` needs no call of the store now."""
         bucket = self._buckets.get(ttl_s)
         return bucket is not None and self._clock.monotonic() < bucket.until
 
-    async def lease_id(self, ttl_s: int) -> int:
+    async def get_lease_id(self, ttl_s: int) -> int:
         """Returns a lease that lasts at least `ttl_s` (s) from now.
 
         Raises:
           StoreError: a new one was needed and the store failed.
         """
         async with self._granting:
-            if not self.ready(ttl_s):
+            if not self.has_valid_lease(ttl_s):
                 until = self._clock.monotonic() + self._bucket_s
                 lease_id = await self._store.grant(
                     math.ceil(ttl_s + self._bucket_s)
@@ -58,6 +58,6 @@
                 self._buckets[ttl_s] = _Bucket(lease_id, until)
             return self._buckets[ttl_s].lease_id
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Drops the leases known; for when the store may have lost them."""
         self._buckets.clear()
--- a/src/radishwind/leases/tests/test_holder.py
+++ b/src/radishwind/leases/tests/test_lease_holder.py
@@ -135,7 +135,7 @@
     at.store_clock.advance(2)
 
     with anyio.fail_after(20):
-        await holder.hold()
+        await holder.renew_until_lost()
 
     assert holder.epoch is None
 
@@ -143,10 +143,10 @@
 async def test_shared_lease_is_granted_once_per_bucket(at):
     lease = SharedLease(at.store, at.clock, bucket_s=600)
 
-    first = await lease.lease_id(3600)
+    first = await lease.get_lease_id(3600)
     at.pass_time(599)
-    assert await lease.lease_id(3600) == first
+    assert await lease.get_lease_id(3600) == first
     at.pass_time(2)
 
-    assert await lease.lease_id(3600) != first
+    assert await lease.get_lease_id(3600) != first
     assert await at.store.keep_alive(first) > 3600
--- a/src/radishwind/loads/load_channel.py
+++ b/src/radishwind/loads/load_channel.py
@@ -8,8 +8,8 @@
 from radishwind.loads.load_message import decode
 from radishwind.loads.load_message import encode
 from radishwind.loads.load_message import LoadMessage
-from radishwind.peers.datagrams import Channel
-from radishwind.peers.datagrams import PeerSocket
+from radishwind.peers.peer_socket import Channel
+from radishwind.peers.peer_socket import PeerSocket
 
 #: Called with each message received.
 LoadMessageListener: TypeAlias = Callable[[LoadMessage], None]
@@ -23,7 +23,7 @@
     ) -> None:
         self._socket = socket
         self._listener = listener
-        socket.add(Channel.LOADS, self._handle_datagram)
+        socket.add_handler(Channel.LOADS, self._handle_datagram)
 
     def send(self, message: LoadMessage, peers: Iterable[Address]) -> None:
         """Sends `message` to each of `peers`."""
--- a/src/radishwind/membership/tests/test_fleet_start.py
+++ b/src/radishwind/membership/tests/test_fleet_start.py
@@ -15,7 +15,7 @@
 from radishwind.membership.outgoing_message import MessagePurpose
 from radishwind.membership.records import Liveness
 from radishwind.node.peer_search import MISSING_LOOKS_S
-from radishwind.peers.datagrams import MAX_DATAGRAM_BYTES
+from radishwind.peers.peer_socket import MAX_DATAGRAM_BYTES
 from radishwind.sidecar.options import GOSSIP
 
 DOMAINS = 5
--- a/src/radishwind/node/app.py
+++ b/src/radishwind/node/app.py
@@ -35,7 +35,7 @@
 from radishwind.peers import ForwardRunner
 from radishwind.peers import HttpPeerClient
 from radishwind.peers import PeerListener
-from radishwind.peers.attempts import is_attempt
+from radishwind.peers.attempts import is_forwarded_attempt
 from radishwind.quarantine.isolating_runner import IsolatingRunner
 from radishwind.retries import BudgetedRetryPolicy
 from radishwind.routing.placement import UnrestrictedPlacement
@@ -121,7 +121,7 @@
             target=self._target,
             sender=self._sender,
             signer=self._signer,
-            unreachable=self._membership.unreachable,
+            on_unreachable=self._membership.unreachable,
         )
         self._entry = EntryPipeline(
             clock=self._clock,
@@ -154,7 +154,7 @@
         )
         self._membership.listen_on(self._peers)
         self._attempts = RequestsInProgress(
-            self._peers.handle, self._clock, is_attempt
+            self._peers.handle, self._clock, is_forwarded_attempt
         )
 
     def _build_admin(self) -> None:
@@ -258,7 +258,7 @@
             "leaving": self._target.is_leaving,
             "peer_requests_refused": {
                 str(int(code)): count
-                for code, count in self._peers.refused.items()
+                for code, count in self._peers.refused_by_code.items()
             },
         }
 
--- a/src/radishwind/node/claims.py
+++ b/src/radishwind/node/claims.py
@@ -16,7 +16,7 @@
 from radishwind.claims.store_call_budget import StoreCallBudget
 from radishwind.claims.store_circuit_breaker import StoreCircuitBreaker
 from radishwind.core.clock import Clock
-from radishwind.leases.shared import SharedLease
+from radishwind.leases.shared_lease import SharedLease
 from radishwind.settings.node import NodeSettings
 from radishwind.store.base import Store
 
--- a/src/radishwind/node/config.py
+++ b/src/radishwind/node/config.py
@@ -96,7 +96,7 @@
         adopted=adopted,
         report=PartLogger("config", clock).info,
     )
-    listener.add_control(CONTROL_NAME, tasks.handle_control)
+    listener.add_control_handler(CONTROL_NAME, tasks.handle_control)
     config_admin = ConfigAdmin(tasks, stores.control, stores.claims)
     config_admin.add_to(admin)
     config_admin.add_metrics(observation)
--- a/src/radishwind/node/gossip_datagrams.py
+++ b/src/radishwind/node/gossip_datagrams.py
@@ -21,8 +21,8 @@
 from radishwind.membership.messages import MessageError
 from radishwind.membership.outgoing_message import MessagePurpose
 from radishwind.membership.outgoing_message import OutgoingMessage
-from radishwind.peers.datagrams import Channel
-from radishwind.peers.datagrams import PeerSocket
+from radishwind.peers.peer_socket import Channel
+from radishwind.peers.peer_socket import PeerSocket
 
 #: Takes a message that came unasked; returns the answer to it.
 Receiver: TypeAlias = Callable[[Message], Message]
@@ -83,7 +83,7 @@
         self._receive = receive
         self._number = rng.randrange(1, _FIRST_NUMBERS)
         self._questions: dict[int, _Question] = {}
-        socket.add(Channel.GOSSIP, self._received)
+        socket.add_handler(Channel.GOSSIP, self._received)
 
     def tell(self, call: OutgoingMessage) -> bool:
         """Returns whether `call` wants no answer and was sent.
--- a/src/radishwind/node/membership_tasks.py
+++ b/src/radishwind/node/membership_tasks.py
@@ -39,7 +39,7 @@
 from radishwind.peers import PeerClient
 from radishwind.peers import PeerError
 from radishwind.peers import PeerListener
-from radishwind.peers.datagrams import PeerSocket
+from radishwind.peers.peer_socket import PeerSocket
 from radishwind.settings import NodeSettings
 from radishwind.store import Store
 from radishwind.store import StoreEntry
@@ -144,7 +144,7 @@
 
     def listen_on(self, listener: PeerListener) -> None:
         """Receives the messages of membership on `listener`."""
-        listener.add_control(
+        listener.add_control_handler(
             GOSSIP_CONTROL_NAME, self._handle, MAX_MESSAGE_BYTES
         )
 
--- a/src/radishwind/node/observe.py
+++ b/src/radishwind/node/observe.py
@@ -66,7 +66,7 @@
         """Adds `/v1/metrics`, `/v1/burn` and the peers' `burn`."""
         admin.add("GET", "/v1/metrics", self._handle_metrics)
         admin.add("GET", "/v1/burn", self._handle_burn)
-        peers.add_control(_BURN, self._handle_peer_burn)
+        peers.add_control_handler(_BURN, self._handle_peer_burn)
 
     def counter(
         self,
--- a/src/radishwind/node/tests/test_gossip_datagrams.py
+++ b/src/radishwind/node/tests/test_gossip_datagrams.py
@@ -17,8 +17,8 @@
 from radishwind.membership.outgoing_message import OutgoingMessage
 from radishwind.membership.records import MemberRecord
 from radishwind.node.gossip_datagrams import GossipDatagrams
-from radishwind.peers.datagrams import MAX_DATAGRAM_BYTES
-from radishwind.peers.datagrams import PeerSocket
+from radishwind.peers.peer_socket import MAX_DATAGRAM_BYTES
+from radishwind.peers.peer_socket import PeerSocket
 
 ONE, OTHER = Address("10.0.0.1", 7), Address("10.0.0.2", 7)
 pytestmark = pytest.mark.anyio
@@ -165,7 +165,7 @@
         socket.datagram_received(b"\x02" + forged, ("10.0.0.66", 7))
 
     assert answers == [None]
-    assert socket.malformed == 1
+    assert socket.malformed_count == 1
 
 
 @pytest.mark.parametrize("data", [b"", b"\x02", b"\x02junk", b"\x09xyz"])
@@ -175,4 +175,4 @@
     socket.datagram_received(data, ("10.0.0.2", 7))
 
     assert got == []
-    assert (socket.malformed, socket.received) == (1, 0)
+    assert (socket.malformed_count, socket.received_count) == (1, 0)
--- a/src/radishwind/node/tests/test_in_progress.py
+++ b/src/radishwind/node/tests/test_in_progress.py
@@ -8,7 +8,7 @@
 from radishwind.http import Request
 from radishwind.http import Response
 from radishwind.node.in_progress import RequestsInProgress
-from radishwind.peers.attempts import is_attempt
+from radishwind.peers.attempts import is_forwarded_attempt
 
 ATTEMPT = Request("GET", "/a", (("Radishwind-Node-Attempt", "[]"),))
 GOSSIP = Request("POST", "/radishwind/v1/gossip")
@@ -21,7 +21,7 @@
 
 
 async def test_answers_ask_to_close_once_told_to():
-    requests = RequestsInProgress(answer, ManualClock(), is_attempt)
+    requests = RequestsInProgress(answer, ManualClock(), is_forwarded_attempt)
     assert (await requests.handle(ATTEMPT)).headers == ()
 
     requests.ask_to_close()
@@ -34,7 +34,7 @@
 
 async def test_it_is_quiet_only_after_the_last_attempt():
     clock = ManualClock()
-    requests = RequestsInProgress(answer, clock, is_attempt)
+    requests = RequestsInProgress(answer, clock, is_forwarded_attempt)
     done = anyio.Event()
 
     async def wait():
--- a/src/radishwind/peers/__init__.py
+++ b/src/radishwind/peers/__init__.py
@@ -1,11 +1,11 @@
 """What nodes say to each other: forwarded attempts and control messages."""
 
-from radishwind.peers.client import HttpPeerClient
-from radishwind.peers.client import PeerClient
-from radishwind.peers.client import PeerError
-from radishwind.peers.client import PeerUnreachableError
-from radishwind.peers.forward import ForwardRunner
-from radishwind.peers.listener import PeerListener
+from radishwind.peers.forward_runner import ForwardRunner
+from radishwind.peers.peer_client import HttpPeerClient
+from radishwind.peers.peer_client import PeerClient
+from radishwind.peers.peer_client import PeerError
+from radishwind.peers.peer_client import PeerUnreachableError
+from radishwind.peers.peer_listener import PeerListener
 from radishwind.peers.security import PeerSigner
 from radishwind.peers.security import PeerVerifier
 
--- a/src/radishwind/peers/attempts.py
+++ b/src/radishwind/peers/attempts.py
@@ -58,11 +58,11 @@
       suspect: whether an attempt before broke off.
       aim_ms: time left until it is worth less (ms); `None` for never.
       priority: its rank; 0 is the highest.
-      work_ms: its run time at the usual pace (ms); 0 where not known.
-      lot: drawn with those that it belongs to; 0 for none.
+      normal_run_ms: its run time at the usual pace (ms); 0 where not known.
+      group_rank: drawn with those that it belongs to; 0 for none.
       route: the route that took it; empty where services have none.
       account: the client account that asks; empty for none.
-      repeated: whether an attempt before came to a server, or may still.
+      is_retry: whether an attempt before came to a server, or may still.
     """
 
     attempt_id: str
@@ -76,11 +76,11 @@
     suspect: bool = False
     aim_ms: int | None = None
     priority: int = 0
-    work_ms: int = 0
-    lot: float = 0.0
+    normal_run_ms: int = 0
+    group_rank: float = 0.0
     route: str = ""
     account: str = ""
-    repeated: bool = False
+    is_retry: bool = False
 
 
 class AnswerInfo(msgspec.Struct, frozen=True, array_like=True):
@@ -108,7 +108,7 @@
 _encoder = msgspec.json.Encoder()
 
 
-def is_attempt(request: Request) -> bool:
+def is_forwarded_attempt(request: Request) -> bool:
     """Returns whether a peer's request is a forwarded attempt."""
     return header(request.headers, ATTEMPT_FIELD.lower()) is not None
 
@@ -126,7 +126,7 @@
     return told, tuple(others)
 
 
-def forwarded(
+def build_attempt_request(
     call: Call,
     member: Member,
     attempt_id: str,
@@ -192,7 +192,7 @@
     return int((call.aim - call.deadline + remaining_s) * 1000)
 
 
-def with_answer(
+def build_attempt_response(
     attempt_id: str, outcome: Outcome, load: LoadReport | None
 ) -> Response:
     """Returns the answer to an attempt, with what only nodes read of it."""
@@ -224,13 +224,13 @@
     return AnswerInfo(attempt_id, _UNKNOWN, code, outcome.detail, None, load)
 
 
-def read_result(response: Response, attempt_id: str) -> AttemptResult:
+def parse_attempt_result(response: Response, attempt_id: str) -> AttemptResult:
     """Reads the outcome that the target's node tells.
 
     Anything that is not plainly the answer to this attempt is `Unknown`, and
     so is an outcome of another name.
     """
-    info = _read_answer(response, attempt_id)
+    info = _decode_answer(response, attempt_id)
     if info is None:
         abort_body(response.body)
         return AttemptResult(
@@ -259,13 +259,13 @@
     return AttemptResult(outcome, info.load)
 
 
-def says_not_run(response: Response, attempt_id: str) -> bool:
+def reports_not_run(response: Response, attempt_id: str) -> bool:
     """Returns whether this attempt plainly has not run."""
-    info = _read_answer(response, attempt_id)
+    info = _decode_answer(response, attempt_id)
     return info is not None and info.outcome == _NOT_RUN
 
 
-def read_attempt(field: str) -> AttemptInfo:
+def decode_attempt(field: str) -> AttemptInfo:
     """Returns what `ATTEMPT_FIELD` tells.
 
     Raises:
@@ -277,7 +277,7 @@
         raise PeerMalformedError(str(exc)) from exc
 
 
-def _read_answer(response: Response, attempt_id: str) -> AnswerInfo | None:
+def _decode_answer(response: Response, attempt_id: str) -> AnswerInfo | None:
     field = header(response.headers, ANSWER_FIELD.lower())
     if field is None:
         return None
--- a/src/radishwind/peers/fleet_security.py
+++ b/src/radishwind/peers/fleet_security.py
@@ -18,9 +18,9 @@
 from radishwind.http.types import header
 from radishwind.http.types import Headers
 from radishwind.http.types import Response
-from radishwind.peers.datagrams import DatagramGuard
 from radishwind.peers.keyring import Keyring
-from radishwind.peers.replays import ReplayGuard
+from radishwind.peers.peer_socket import DatagramAuthenticator
+from radishwind.peers.replay_window import ReplayGuard
 from radishwind.peers.signing import PeerRefusedError
 from radishwind.peers.signing import PeerReplayedError
 from radishwind.peers.signing import PeerStaleError
@@ -31,9 +31,9 @@
 #: Tells with a refusal which process refused.
 START_FIELD = "Radishwind-Node-Start"
 
-START_BYTES = 4
+START_ID_BYTES = 4
 _NUMBER_BYTES = 5
-_HEAD_BYTES = START_BYTES + _NUMBER_BYTES
+_HEAD_BYTES = START_ID_BYTES + _NUMBER_BYTES
 
 #: Bytes of the receiver's start that a request names.
 _MEANT_BYTES = 3
@@ -55,13 +55,13 @@
 #: Set in the first byte of a signed datagram, beside its channel.
 SIGNED = 0x80
 
-#: Starts of other nodes remembered.
+#: Start IDs of other nodes remembered.
 _MAX_STARTS = 4_096
 
 _REQUEST = b"radishwind-req"
 _DATAGRAM = b"radishwind-dgram"
 
-_UNKNOWN_START = bytes(START_BYTES)
+_UNKNOWN_START = bytes(START_ID_BYTES)
 _FIELD_CHARS = 32
 
 #: Addresses are padded to this length (bytes), so that none continues what
@@ -69,7 +69,7 @@
 _ADDRESS_BYTES = 64
 
 
-class Starts:
+class StartIds:
     """Which process is at the address of each other node, as last told.
 
     Attributes:
@@ -80,11 +80,11 @@
         self.own = own
         self._known: dict[Address, bytes] = {}
 
-    def of(self, address: Address) -> bytes:
+    def get(self, address: Address) -> bytes:
         """Returns the start of the process at `address`; zeros if unknown."""
         return self._known.get(address, _UNKNOWN_START)
 
-    def note(self, address: Address, start: bytes) -> bool:
+    def update(self, address: Address, start: bytes) -> bool:
         """Takes the start of the process there; returns whether it is new."""
         if self._known.get(address) == start:
             return False
@@ -97,50 +97,54 @@
 class FleetSigner(RequestSigner):
     """Signs requests for the process that is believed to be there."""
 
-    def __init__(self, keyring: Keyring, starts: Starts) -> None:
+    def __init__(self, keyring: Keyring, start_ids: StartIds) -> None:
         self._keyring = keyring
-        self._starts = starts
+        self._start_ids = start_ids
         self._number = 0
 
     def sign(
         self, to: Address, method: str, path: str, covered: bytes
     ) -> str | None:
-        secret = self._keyring.signing
+        secret = self._keyring.signing_secret
         if secret is None:
             return None
         self._number += 1
         head = (
-            self._starts.own
+            self._start_ids.own
             + self._number.to_bytes(_NUMBER_BYTES, "big")
-            + self._starts.of(to)[:_MEANT_BYTES]
+            + self._start_ids.get(to)[:_MEANT_BYTES]
         )
         tag = _request_tag(secret, to, method, path, head, covered)
         return base64.urlsafe_b64encode(head + tag).decode()
 
-    def may_sign_anew(self, to: Address, answer: Response) -> bool:
+    def should_sign_again(self, to: Address, answer: Response) -> bool:
         told = header(answer.headers, START_FIELD.lower())
-        if told is None or self._keyring.signing is None:
+        if told is None or self._keyring.signing_secret is None:
             return False
         try:
             start = bytes.fromhex(told)
         except ValueError:
             return False
-        return len(start) == START_BYTES and self._starts.note(to, start)
+        return len(start) == START_ID_BYTES and self._start_ids.update(
+            to, start
+        )
 
 
 class FleetVerifier(RequestVerifier):
     """Checks requests to this process, once each."""
 
-    def __init__(self, keyring: Keyring, starts: Starts, own: Address) -> None:
+    def __init__(
+        self, keyring: Keyring, start_ids: StartIds, own: Address
+    ) -> None:
         """Makes a verifier.
 
         Args:
           keyring: the secrets that count.
-          starts: knows the start of this process.
+          start_ids: knows the start of this process.
           own: where other nodes reach this one.
         """
         self._keyring = keyring
-        self._starts = starts
+        self._start_ids = start_ids
         self._own = own
         self._replays = ReplayGuard(_REQUEST_WINDOW)
 
@@ -151,30 +155,33 @@
         path: str,
         covered: bytes,
         *,
-        once: bool = False,
+        at_most_once: bool = False,
     ) -> None:
-        secrets = self._keyring.accepted
-        if not secrets or not (field or self._keyring.requires):
+        secrets = self._keyring.accepted_secrets
+        if not secrets or not (field or self._keyring.requires_signatures):
             return
         if field is None:
             raise PeerRefusedError("expected a signature, got none")
         try:
             head = self._checked(field, secrets, method, path, covered)
         except PeerRefusedError:
-            if not self._keyring.requires:
+            if not self._keyring.requires_signatures:
                 return
             # Or signed by a secret that came after the one known here.
-            self._keyring.doubt()
+            self._keyring.suspect_outdated()
             raise
-        if once and head[_HEAD_BYTES:] != self._starts.own[:_MEANT_BYTES]:
+        if (
+            at_most_once
+            and head[_HEAD_BYTES:] != self._start_ids.own[:_MEANT_BYTES]
+        ):
             raise PeerStaleError("expected an attempt for this process")
-        if not self._replays.add(head[:START_BYTES], _number(head)):
+        if not self._replays.add(head[:START_ID_BYTES], _number(head)):
             raise PeerReplayedError("expected a new request, got a known one")
 
-    def refusal_fields(self) -> Headers:
-        if self._keyring.signing is None:
+    def refusal_headers(self) -> Headers:
+        if self._keyring.signing_secret is None:
             return ()
-        return ((START_FIELD, self._starts.own.hex()),)
+        return ((START_FIELD, self._start_ids.own.hex()),)
 
     def _checked(
         self,
@@ -198,7 +205,7 @@
         raise PeerRefusedError("expected a signature by the fleet's secret")
 
 
-class FleetDatagrams(DatagramGuard):
+class FleetDatagramAuthenticator(DatagramAuthenticator):
     """Signs datagrams, and lets through those that are signed.
 
     Attributes:
@@ -206,28 +213,28 @@
     """
 
     def __init__(
-        self, keyring: Keyring, starts: Starts, own: Address, clock: Clock
+        self, keyring: Keyring, start_ids: StartIds, own: Address, clock: Clock
     ) -> None:
         """Makes a guard.
 
         Args:
           keyring: the secrets that count.
-          starts: takes the starts of those who send.
+          start_ids: takes the starts of those who send.
           own: where other nodes reach this one.
           clock: holds back lines that come again.
         """
         self._keyring = keyring
-        self._starts = starts
+        self._start_ids = start_ids
         self._own = _packed(own)
         self._log = PartLogger("peers", clock)
         self._number = 0
         self._replays = ReplayGuard(_DATAGRAM_WINDOW)
-        self.refused = {"unsigned": 0, "forged": 0, "replayed": 0}
+        self.refused_by_reason = {"unsigned": 0, "forged": 0, "replayed": 0}
 
-    def outgoing(
+    def sign(
         self, datagram: bytes, peers: Iterable[Address]
     ) -> Iterator[tuple[bytes, Address]]:
-        secret = self._keyring.signing
+        secret = self._keyring.signing_secret
         if secret is None:
             for peer in peers:
                 yield datagram, peer
@@ -235,7 +242,7 @@
         self._number += 1
         head = (
             bytes((datagram[0] | SIGNED,))
-            + self._starts.own
+            + self._start_ids.own
             + self._number.to_bytes(_NUMBER_BYTES, "big")
         )
         data = datagram[1:]
@@ -245,31 +252,31 @@
             hashed.update(_packed(peer))
             yield head + hashed.digest() + data, peer
 
-    def incoming(self, datagram: bytes, sender: Address) -> bytes | None:
+    def verify(self, datagram: bytes, sender: Address) -> bytes | None:
         if not datagram or not datagram[0] & SIGNED:
-            if datagram and self._keyring.requires:
+            if datagram and self._keyring.requires_signatures:
                 self._refuse("unsigned", sender)
                 return None
             return datagram
         data_at = 1 + _HEAD_BYTES + DATAGRAM_TAG_BYTES
         head, data = datagram[: 1 + _HEAD_BYTES], datagram[data_at:]
         plain = bytes((head[0] & ~SIGNED,)) + data
-        secrets = self._keyring.accepted
+        secrets = self._keyring.accepted_secrets
         if not secrets:
             return plain
         tag = datagram[1 + _HEAD_BYTES : data_at]
         if not self._is_good(secrets, head, data, tag):
-            if not self._keyring.requires:
+            if not self._keyring.requires_signatures:
                 return plain
             # As with a request.
-            self._keyring.doubt()
+            self._keyring.suspect_outdated()
             self._refuse("forged", sender)
             return None
-        start = head[1 : 1 + START_BYTES]
+        start = head[1 : 1 + START_ID_BYTES]
         if not self._replays.add(start, _number(head[1:])):
             self._refuse("replayed", sender)
             return None
-        self._starts.note(sender, start)
+        self._start_ids.update(sender, start)
         return plain
 
     def _is_good(
@@ -283,16 +290,16 @@
         return False
 
     def _refuse(self, reason: str, sender: Address) -> None:
-        self.refused[reason] += 1
+        self.refused_by_reason[reason] += 1
         self._log.warning(
             f"Refuses datagrams ({reason}).",
             sender=str(sender),
-            refused=self.refused[reason],
+            refused=self.refused_by_reason[reason],
         )
 
 
 def _number(head: bytes) -> int:
-    return int.from_bytes(head[START_BYTES:_HEAD_BYTES], "big")
+    return int.from_bytes(head[START_ID_BYTES:_HEAD_BYTES], "big")
 
 
 @functools.lru_cache(maxsize=_MAX_STARTS)
--- a/src/radishwind/peers/forward.py
+++ b/src/radishwind/peers/forward_runner.py
@@ -17,12 +17,12 @@
 from radishwind.membership.directory import Member
 from radishwind.outcomes import NotRun
 from radishwind.outcomes import Unknown
-from radishwind.peers.attempts import forwarded
-from radishwind.peers.attempts import read_result
-from radishwind.peers.attempts import says_not_run
-from radishwind.peers.client import CONNECT_TIMEOUT_S
+from radishwind.peers.attempts import build_attempt_request
+from radishwind.peers.attempts import parse_attempt_result
+from radishwind.peers.attempts import reports_not_run
+from radishwind.peers.peer_client import CONNECT_TIMEOUT_S
+from radishwind.peers.peer_traffic import PeerTraffic
 from radishwind.peers.signing import RequestSigner
-from radishwind.peers.traffic import PeerTraffic
 from radishwind.routing.route_sizes import RouteSizes
 from radishwind.target.pipeline import TargetPipeline
 
@@ -33,7 +33,7 @@
 _RETRY_S = 1.0
 
 #: Takes the name of a target whose node takes no connection.
-UnreachableHint: TypeAlias = Callable[[str], None]
+UnreachableCallback: TypeAlias = Callable[[str], None]
 
 
 class ForwardRunner(AttemptRunner):
@@ -47,7 +47,7 @@
         target: TargetPipeline,
         sender: Sender,
         signer: RequestSigner | None = None,
-        unreachable: UnreachableHint | None = None,
+        on_unreachable: UnreachableCallback | None = None,
         traffic: PeerTraffic | None = None,
         sizes: RouteSizes | None = None,
     ) -> None:
@@ -56,7 +56,7 @@
         self._target = target
         self._sender = sender
         self._signer = signer
-        self._unreachable = unreachable
+        self._on_unreachable = on_unreachable
         self._traffic = traffic or PeerTraffic()
         self._sizes = sizes or RouteSizes()
 
@@ -69,8 +69,8 @@
         if self._may_sign_anew(call, member, attempt_id, answer):
             answer = await self._forward(call, member, attempt_id)
         if isinstance(answer, Response):
-            self._traffic.answer(member, call, answer)
-            return self._sized(call, read_result(answer, attempt_id))
+            self._traffic.record_answer(member, call, answer)
+            return self._sized(call, parse_attempt_result(answer, attempt_id))
         return AttemptResult(answer)
 
     def _sized(self, call: Call, result: AttemptResult) -> AttemptResult:
@@ -92,9 +92,9 @@
         """
         if self._signer is None or not isinstance(answer, Response):
             return False
-        if not says_not_run(answer, attempt_id):
+        if not reports_not_run(answer, attempt_id):
             return False
-        if not self._signer.may_sign_anew(member.address, answer):
+        if not self._signer.should_sign_again(member.address, answer):
             return False
         return isinstance(call.request.body, bytes)
 
@@ -106,8 +106,10 @@
             return NotRun(
                 ResultCode.DEADLINE_PASSED, "The deadline had passed."
             )
-        request = forwarded(call, member, attempt_id, remaining_s, self._signer)
-        self._traffic.forward(member, call, request)
+        request = build_attempt_request(
+            call, member, attempt_id, remaining_s, self._signer
+        )
+        self._traffic.record_forward(member, call, request)
         return await self._exchange(request, member, remaining_s)
 
     async def _exchange(
@@ -126,8 +128,8 @@
                     member.address, request, CONNECT_TIMEOUT_S
                 )
         except ConnectFailedError:
-            if self._unreachable is not None:
-                self._unreachable(member.name)
+            if self._on_unreachable is not None:
+                self._on_unreachable(member.name)
             return NotRun(
                 ResultCode.CONNECT_FAILED,
                 "The target's node takes no connection.",
--- a/src/radishwind/peers/keyring.py
+++ b/src/radishwind/peers/keyring.py
@@ -11,20 +11,21 @@
 
 #: Where accounts come into force while nodes run, unsigned messages are taken
 #: for so long (s): the others adopt the same version and read the secret.
-LENIENT_S = 10.0
+UNSIGNED_GRACE_S = 10.0
 
 #: A secret that was replaced is accepted for so long (s).
-RETIRE_S = 30.0
+OLD_SECRET_VALID_S = 30.0
 
 
 class Keyring:
     """The secrets that count.
 
     Attributes:
-      in_use: whether there are client accounts, so that messages are signed.
+      has_accounts: whether there are client accounts; if so, messages are
+        signed.
       revision: of the store's record of the newest secret; 0 for none.
-      doubted: whether others may know a newer secret.
-      held: whether nothing is signed, whatever else.
+      may_be_outdated: whether others may know a newer secret.
+      is_signing_paused: whether nothing is signed, whatever else.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -32,42 +33,42 @@
         self._log = PartLogger("peers", clock)
         self._newest: bytes | None = None
         self._older: bytes | None = None
-        self._older_until = 0.0
-        self._lenient_until = 0.0
-        self._decided = False
+        self._older_valid_until = 0.0
+        self._grace_until = 0.0
+        self._accounts_known = False
         self._listeners: list[Callable[[], None]] = []
-        self.in_use = False
+        self.has_accounts = False
         self.revision = 0
-        self.doubted = False
-        self.held = False
+        self.may_be_outdated = False
+        self.is_signing_paused = False
 
-    def listen(self, listener: Callable[[], None]) -> None:
-        """Calls `listener` when a secret is lacking, doubted or learned."""
+    def subscribe(self, listener: Callable[[], None]) -> None:
+        """Calls `listener` when the secret is missing, outdated or updated."""
         self._listeners.append(listener)
 
-    def follow(self, in_use: bool, *, lenient: bool) -> None:
+    def set_has_accounts(self, has_accounts: bool, *, with_grace: bool) -> None:
         """Takes whether there are accounts.
 
         Args:
-          in_use: whether there are.
-          lenient: whether other nodes may not know of them yet.
+          has_accounts: whether there are.
+          with_grace: whether other nodes may not know of them yet.
         """
-        self._decided = True
-        if in_use == self.in_use:
+        self._accounts_known = True
+        if has_accounts == self.has_accounts:
             return
-        self.in_use = in_use
-        if in_use and lenient:
-            self._lenient_until = self._clock.monotonic() + LENIENT_S
+        self.has_accounts = has_accounts
+        if has_accounts and with_grace:
+            self._grace_until = self._clock.monotonic() + UNSIGNED_GRACE_S
         self._log.change(
             "Messages between nodes are signed."
-            if in_use
+            if has_accounts
             else "Messages between nodes are not signed any more.",
             secret_known=int(self._newest is not None),
         )
-        if self.lacks:
+        if self.lacks_secret:
             self._call_listeners()
 
-    def learn(self, secret: bytes, revision: int) -> None:
+    def update_secret(self, secret: bytes, revision: int) -> None:
         """Takes the secret of the record at `revision`, if that is newer."""
         if revision <= self.revision:
             return
@@ -75,7 +76,7 @@
         if secret == self._newest:
             return
         self._older = self._newest
-        self._older_until = self._clock.monotonic() + RETIRE_S
+        self._older_valid_until = self._clock.monotonic() + OLD_SECRET_VALID_S
         self._newest = secret
         self._log.change(
             "Knows the secret of the fleet.",
@@ -84,9 +85,9 @@
         )
         self._call_listeners()
 
-    def doubt(self) -> None:
+    def suspect_outdated(self) -> None:
         """Takes that somebody may know a newer secret."""
-        self.doubted = True
+        self.may_be_outdated = True
         self._call_listeners()
 
     def _call_listeners(self) -> None:
@@ -94,51 +95,55 @@
             listener()
 
     @property
-    def knows(self) -> bool:
+    def has_secret(self) -> bool:
         """Whether a secret is known."""
         return self._newest is not None
 
     @property
-    def lacks(self) -> bool:
+    def lacks_secret(self) -> bool:
         """Whether messages are to be signed and no secret is known."""
-        return self.in_use and self._newest is None
+        return self.has_accounts and self._newest is None
 
     @property
-    def signing(self) -> bytes | None:
+    def signing_secret(self) -> bytes | None:
         """The secret to sign with; `None` where nothing is signed.
 
         Who finds a secret signs before it knows whether there are accounts: the
         others know.
         """
-        if self.held:
+        if self.is_signing_paused:
             return None
-        return self._newest if self.in_use or not self._decided else None
+        return (
+            self._newest
+            if self.has_accounts or not self._accounts_known
+            else None
+        )
 
     @property
-    def accepted(self) -> tuple[bytes, ...]:
+    def accepted_secrets(self) -> tuple[bytes, ...]:
         """The secrets that a signature may be by, the newest first."""
-        if not self.in_use or self._newest is None:
+        if not self.has_accounts or self._newest is None:
             return ()
         if self._older is None:
             return (self._newest,)
-        if self._clock.monotonic() >= self._older_until:
+        if self._clock.monotonic() >= self._older_valid_until:
             self._older = None
             return (self._newest,)
         return (self._newest, self._older)
 
     @property
-    def requires(self) -> bool:
+    def requires_signatures(self) -> bool:
         """Whether what isn't signed is refused."""
-        if not self.in_use or self._newest is None:
+        if not self.has_accounts or self._newest is None:
             return False
-        return not self.lenient
+        return not self.in_grace_period
 
     @property
-    def lenient(self) -> bool:
+    def in_grace_period(self) -> bool:
         """Whether what isn't signed is taken for a while yet."""
-        if not self._lenient_until:
+        if not self._grace_until:
             return False
-        if self._clock.monotonic() < self._lenient_until:
+        if self._clock.monotonic() < self._grace_until:
             return True
-        self._lenient_until = 0.0
+        self._grace_until = 0.0
         return False
--- a/src/radishwind/peers/client.py
+++ b/src/radishwind/peers/peer_client.py
@@ -13,9 +13,9 @@
 from radishwind.http.types import Headers
 from radishwind.http.types import Request
 from radishwind.http.types import whole_body
+from radishwind.peers.peer_traffic import PeerTraffic
 from radishwind.peers.signing import AUTH_FIELD
 from radishwind.peers.signing import RequestSigner
-from radishwind.peers.traffic import PeerTraffic
 
 #: Paths below this one on the peer listener are control messages.
 CONTROL_PREFIX = "/radishwind/v1/"
@@ -35,7 +35,7 @@
 
 
 class PeerClient(abc.ABC):
-    """Sends control messages; `PeerListener.add_control` receives them."""
+    """Sends control messages to the peer listeners of other nodes."""
 
     @abc.abstractmethod
     async def call(
@@ -45,7 +45,7 @@
 
         Args:
           address: the peer listener of the other node.
-          name: the name given to `add_control`.
+          name: the name given to `add_control_handler`.
           payload: the message, JSON.
           timeout_s: how long the whole exchange may take (s).
 
@@ -82,7 +82,7 @@
                 )
                 body = await whole_body(response.body)
             size = len(payload) + len(body)
-            self._traffic.control(address, name, size)
+            self._traffic.record_control(address, name, size)
         except ConnectFailedError as exc:
             raise PeerUnreachableError(f"{address} {name}: {exc}") from exc
         except (SendError, TimeoutError) as exc:
--- a/src/radishwind/peers/listener.py
+++ b/src/radishwind/peers/peer_listener.py
@@ -26,11 +26,11 @@
 from radishwind.outcomes import Unknown
 from radishwind.peers.attempts import ATTEMPT_FIELD
 from radishwind.peers.attempts import AttemptInfo
+from radishwind.peers.attempts import build_attempt_response
+from radishwind.peers.attempts import decode_attempt
 from radishwind.peers.attempts import PeerMalformedError
-from radishwind.peers.attempts import read_attempt
 from radishwind.peers.attempts import split_node_fields
-from radishwind.peers.attempts import with_answer
-from radishwind.peers.client import CONTROL_PREFIX
+from radishwind.peers.peer_client import CONTROL_PREFIX
 from radishwind.peers.signing import AUTH_FIELD
 from radishwind.peers.signing import PeerRefusedError
 from radishwind.peers.signing import PeerReplayedError
@@ -38,8 +38,7 @@
 from radishwind.target.pipeline import TargetPipeline
 from radishwind.telemetry.logs import PartLogger
 
-#: Control messages up to this size (bytes) are read where `add_control` is
-#: given no other limit.
+#: Default limit of the size of a control message (bytes).
 MAX_CONTROL_BYTES = 64 * 1024
 
 #: When an entry node may come back after a refused attempt (s).
@@ -55,11 +54,11 @@
     """What a forwarded attempt may claim, beyond being signed."""
 
     @abc.abstractmethod
-    def agrees(self, info: AttemptInfo, request: Request) -> bool:
+    def matches_account(self, info: AttemptInfo, request: Request) -> bool:
         """Returns whether the request says no other account than `info`."""
 
     @abc.abstractmethod
-    def takes_unsigned(self, info: AttemptInfo, request: Request) -> bool:
+    def accepts_unsigned(self, info: AttemptInfo, request: Request) -> bool:
         """Returns whether the attempt is harmless enough without signature."""
 
 
@@ -69,13 +68,13 @@
     Attributes:
       handler: takes authentic requests.
       max_bytes: longer messages are refused unread (bytes).
-      unsigned: takes requests without a signature where one is required;
-        `None` where they are refused.
+      unsigned_handler: handles unsigned requests where signatures are
+        required; `None` where they are refused.
     """
 
     handler: ControlHandler
     max_bytes: int
-    unsigned: ControlHandler | None
+    unsigned_handler: ControlHandler | None
 
 
 class PeerListener:
@@ -118,14 +117,14 @@
         self._log = PartLogger("peers", clock)
         self._control: dict[str, _Control] = {}
         #: Requests refused, by result code.
-        self.refused: dict[int, int] = {}
+        self.refused_by_code: dict[int, int] = {}
 
-    def add_control(
+    def add_control_handler(
         self,
         name: str,
         handler: ControlHandler,
         max_bytes: int = MAX_CONTROL_BYTES,
-        unsigned: ControlHandler | None = None,
+        unsigned_handler: ControlHandler | None = None,
     ) -> None:
         """Routes the control path `/radishwind/v1/NAME` to `handler`.
 
@@ -135,11 +134,11 @@
           name: the last part of the path.
           handler: answers the messages.
           max_bytes: longer messages are refused unread (bytes).
-          unsigned: answers those without a signature where one is required;
-            by default they are refused.
+          unsigned_handler: answers unsigned messages where signatures are
+            required; by default they are refused.
         """
         self._control[CONTROL_PREFIX + name] = _Control(
-            handler, max_bytes, unsigned
+            handler, max_bytes, unsigned_handler
         )
 
     async def handle(self, request: Request) -> Response:
@@ -150,7 +149,7 @@
         if field is None:
             return await self._handle_control(request, auth)
         try:
-            info = read_attempt(field)
+            info = decode_attempt(field)
         except PeerMalformedError as exc:
             return self._refuse(exc.code, exc.args[0])
         try:
@@ -164,7 +163,7 @@
                 ResultCode.NO_TARGET,
                 f"expected target {self._node_name}, got {info.target}",
             )
-            return with_answer(
+            return build_attempt_response(
                 info.attempt_id, outcome, self._target.load_report()
             )
         self._record_request_from(request.remote)
@@ -173,7 +172,9 @@
             result = await self._target.run(call)
         else:
             result = await self._run_within(self._link_admission, call)
-        return with_answer(info.attempt_id, result.outcome, result.load)
+        return build_attempt_response(
+            info.attempt_id, result.outcome, result.load
+        )
 
     async def _run_within(
         self, room: LinkAdmission, call: Call
@@ -213,10 +214,10 @@
         try:
             self._verify(request, auth, body)
         except PeerRefusedError as exc:
-            if auth is not None or control.unsigned is None:
+            if auth is not None or control.unsigned_handler is None:
                 self._note_refused(exc.code, path, request)
                 return self._refuse(exc.code, exc.args[0])
-            handler = control.unsigned
+            handler = control.unsigned_handler
         return await handler(msgspec.structs.replace(request, body=body))
 
     def _verify_attempt(
@@ -229,13 +230,13 @@
         """
         policy = self._policy
         try:
-            self._verify(request, auth, told, once=True)
+            self._verify(request, auth, told, at_most_once=True)
         except PeerRefusedError:
             if auth is not None or policy is None:
                 raise
-            if not policy.takes_unsigned(info, request):
+            if not policy.accepts_unsigned(info, request):
                 raise
-        if policy is not None and not policy.agrees(info, request):
+        if policy is not None and not policy.matches_account(info, request):
             raise PeerRefusedError("expected the account of the attempt")
 
     def _verify(
@@ -244,16 +245,20 @@
         auth: str | None,
         covered: bytes,
         *,
-        once: bool = False,
+        at_most_once: bool = False,
     ) -> None:
         if self._verifier is None:
             return
         self._verifier.verify(
-            auth, request.method, request.path, covered, once=once
+            auth,
+            request.method,
+            request.path,
+            covered,
+            at_most_once=at_most_once,
         )
 
     def _refuse(self, code: ResultCode, detail: str) -> Response:
-        self.refused[code] = self.refused.get(code, 0) + 1
+        self.refused_by_code[code] = self.refused_by_code.get(code, 0) + 1
         return self._telling_how_to_sign(
             problem_response(code, detail, "not-run")
         )
@@ -274,7 +279,7 @@
     def _telling_how_to_sign(self, response: Response) -> Response:
         if self._verifier is None:
             return response
-        fields = self._verifier.refusal_fields()
+        fields = self._verifier.refusal_headers()
         if not fields:
             return response
         headers = (*response.headers, *fields)
@@ -283,14 +288,16 @@
     def _refuse_attempt(
         self, info: AttemptInfo, exc: PeerRefusedError, request: Request
     ) -> Response:
-        self.refused[exc.code] = self.refused.get(exc.code, 0) + 1
+        self.refused_by_code[exc.code] = (
+            self.refused_by_code.get(exc.code, 0) + 1
+        )
         self._note_refused(exc.code, "attempt", request)
         outcome: Outcome = NotRun(exc.code, exc.args[0], _RETRY_S)
         if isinstance(exc, PeerReplayedError):
             # The first one may have run, so that none may be sent anew.
             outcome = Unknown(exc.code, exc.args[0])
-            return with_answer(info.attempt_id, outcome, None)
-        refusal = with_answer(info.attempt_id, outcome, None)
+            return build_attempt_response(info.attempt_id, outcome, None)
+        refusal = build_attempt_response(info.attempt_id, outcome, None)
         return self._telling_how_to_sign(refusal)
 
     def _call(
@@ -315,11 +322,11 @@
             suspect=info.suspect,
             aim=self._aim(info),
             priority=info.priority,
-            normal_run_s=info.work_ms / 1000,
-            group_rank=min(0.5, max(-0.5, info.lot)),
+            normal_run_s=info.normal_run_ms / 1000,
+            group_rank=min(0.5, max(-0.5, info.group_rank)),
             route=info.route,
             account=info.account,
-            is_retry=info.repeated,
+            is_retry=info.is_retry,
         )
 
     def _aim(self, info: AttemptInfo) -> float:
--- a/src/radishwind/peers/datagrams.py
+++ b/src/radishwind/peers/peer_socket.py
@@ -33,20 +33,20 @@
 
 
 #: Takes the channel, the receiver and the size (bytes) of each one sent.
-DatagramCount: TypeAlias = Callable[[Channel, Address, int], None]
+DatagramSentCallback: TypeAlias = Callable[[Channel, Address, int], None]
 
 
-class DatagramGuard(abc.ABC):
+class DatagramAuthenticator(abc.ABC):
     """Signs what leaves, and lets through what other nodes signed."""
 
     @abc.abstractmethod
-    def outgoing(
+    def sign(
         self, datagram: bytes, peers: Iterable[Address]
     ) -> Iterator[tuple[bytes, Address]]:
         """Yields what to send to each of `peers` in place of `datagram`."""
 
     @abc.abstractmethod
-    def incoming(self, datagram: bytes, sender: Address) -> bytes | None:
+    def verify(self, datagram: bytes, sender: Address) -> bytes | None:
         """Returns the datagram as it was before; `None` where it is refused."""
 
 
@@ -54,31 +54,31 @@
     """One UDP socket.
 
     Attributes:
-      sent: datagrams sent.
-      received: datagrams read.
-      malformed: datagrams that could not be read.
+      sent_count: datagrams sent.
+      received_count: datagrams read.
+      malformed_count: datagrams that could not be read.
     """
 
     def __init__(
         self,
-        guard: DatagramGuard | None = None,
-        count: DatagramCount | None = None,
+        authenticator: DatagramAuthenticator | None = None,
+        on_sent: DatagramSentCallback | None = None,
     ) -> None:
         """Makes a socket that is not bound yet.
 
         Args:
-          guard: signs and checks; by default all that comes is taken.
-          count: told of each datagram sent.
+          authenticator: signs and checks; by default all that comes is taken.
+          on_sent: told of each datagram sent.
         """
-        self._guard = guard
-        self._count = count
+        self._authenticator = authenticator
+        self._on_sent = on_sent
         self._transport: asyncio.DatagramTransport | None = None
         self._handlers: dict[int, DatagramHandler] = {}
-        self.sent = 0
-        self.received = 0
-        self.malformed = 0
+        self.sent_count = 0
+        self.received_count = 0
+        self.malformed_count = 0
 
-    def add(self, channel: Channel, handler: DatagramHandler) -> None:
+    def add_handler(self, channel: Channel, handler: DatagramHandler) -> None:
         """Hands the datagrams of `channel` to `handler`."""
         self._handlers[channel] = handler
 
@@ -101,19 +101,19 @@
         if len(data) >= MAX_DATAGRAM_BYTES:
             return False
         datagram = bytes((channel,)) + data
-        for peer_datagram, peer in self._outgoing(datagram, peers):
+        for peer_datagram, peer in self._signed(datagram, peers):
             self._transport.sendto(peer_datagram, (peer.host, peer.port))
-            self.sent += 1
-            if self._count is not None:
-                self._count(channel, peer, len(peer_datagram))
+            self.sent_count += 1
+            if self._on_sent is not None:
+                self._on_sent(channel, peer, len(peer_datagram))
         return True
 
-    def _outgoing(
+    def _signed(
         self, datagram: bytes, peers: Iterable[Address]
     ) -> Iterable[tuple[bytes, Address]]:
-        if self._guard is None:
+        if self._authenticator is None:
             return ((datagram, peer) for peer in peers)
-        return self._guard.outgoing(datagram, peers)
+        return self._authenticator.sign(datagram, peers)
 
     def close(self) -> None:
         """Closes the socket."""
@@ -122,17 +122,17 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         sender = Address(*addr[:2])
-        if self._guard is not None:
-            checked = self._guard.incoming(data, sender)
+        if self._authenticator is not None:
+            checked = self._authenticator.verify(data, sender)
             if checked is None:
                 return
             data = checked
         handler = self._handlers.get(data[0]) if data else None
         if handler is None or not handler(data[1:], sender):
-            self.malformed += 1
+            self.malformed_count += 1
             return
-        self.received += 1
+        self.received_count += 1
 
     def error_received(self, exc: Exception) -> None:
         # A peer without a listener; membership finds out that it is gone.
-        self.malformed += 1
+        self.malformed_count += 1
--- a/src/radishwind/peers/traffic.py
+++ b/src/radishwind/peers/peer_traffic.py
@@ -13,10 +13,10 @@
 from radishwind.http.types import Request
 from radishwind.http.types import Response
 from radishwind.membership.directory import Member
-from radishwind.peers.datagrams import Channel
+from radishwind.peers.peer_socket import Channel
 
 #: Series kept at most; what comes beyond is counted together.
-MOST_SERIES = 256
+MAX_SERIES = 256
 
 #: What is counted beyond those.
 OTHER = "other"
@@ -33,7 +33,7 @@
         # Messages and bytes, by the labels of their series.
         self._counts: dict[tuple[str, str, str], list[int]] = {}
 
-    def follow(self, members: Iterable[Member]) -> None:
+    def set_members(self, members: Iterable[Member]) -> None:
         """Takes which nodes there are, to know where a host stands."""
         self._domains = {m.address.host: m.failure_domain for m in members}
 
@@ -41,7 +41,9 @@
         """Returns the failure domain of a node, if it is known."""
         return self._domains.get(host)
 
-    def forward(self, member: Member, call: Call, request: Request) -> None:
+    def record_forward(
+        self, member: Member, call: Call, request: Request
+    ) -> None:
         """Counts the request of a forwarded attempt.
 
         Args:
@@ -56,7 +58,9 @@
             body_bytes = request.body_bytes
             self._add(domain, f"{cause}-body", call.route, body_bytes)
 
-    def answer(self, member: Member, call: Call, response: Response) -> None:
+    def record_answer(
+        self, member: Member, call: Call, response: Response
+    ) -> None:
         """Counts the answer to a forwarded attempt.
 
         Args:
@@ -70,27 +74,29 @@
         body_bytes = response.body_bytes or 0
         self._add(domain, "answer-body", call.route, body_bytes)
 
-    def datagram(self, channel: Channel, peer: Address, size: int) -> None:
+    def record_datagram(
+        self, channel: Channel, peer: Address, size: int
+    ) -> None:
         """Counts a datagram of `size` bytes that is sent to `peer`."""
         domain = self._domains.get(peer.host, OTHER)
         self._add(domain, f"datagram-{channel.name.lower()}", "", size)
 
-    def control(self, peer: Address, name: str, size: int) -> None:
+    def record_control(self, peer: Address, name: str, size: int) -> None:
         """Counts a control message and its answer, `size` bytes together."""
         domain = self._domains.get(peer.host, OTHER)
         self._add(domain, f"control-{name}", "", size)
 
-    def messages(self) -> dict[str, float]:
+    def message_counts(self) -> dict[str, float]:
         """Returns how many there were, by the labels of a metric."""
         return {_labels(*key): n[0] for key, n in self._counts.items()}
 
-    def sizes(self) -> dict[str, float]:
+    def byte_counts(self) -> dict[str, float]:
         """Returns how long they were in all (bytes), by the same labels."""
         return {_labels(*key): n[1] for key, n in self._counts.items()}
 
     def _add(self, domain: str, cause: str, route: str, size: int) -> None:
         key = (domain, cause, route)
-        if key not in self._counts and len(self._counts) >= MOST_SERIES:
+        if key not in self._counts and len(self._counts) >= MAX_SERIES:
             key = (OTHER, OTHER, "")
         count = self._counts.setdefault(key, [0, 0])
         count[0] += 1
--- a/src/radishwind/peers/security.py
+++ b/src/radishwind/peers/security.py
@@ -67,7 +67,7 @@
         # What was sent to an earlier process of this address could have run
         # there, and this one remembers none of its nonces.
         self._fence_ms = clock.wall_ms()
-        self._nonces = NonceMemory(MAX_NONCES)
+        self._nonces = NonceCache(MAX_NONCES)
 
     def verify(
         self,
@@ -76,7 +76,7 @@
         path: str,
         covered: bytes,
         *,
-        once: bool = False,
+        at_most_once: bool = False,
     ) -> None:
         """Returns if the request is authentic, in time and new.
 
@@ -112,7 +112,7 @@
         self._nonces.age(now_ms)
 
 
-class NonceMemory:
+class NonceCache:
     """Remembers nonces in two generations, bounded in number.
 
     A generation lasts longer than the window. Where one fills up early the
--- a/src/radishwind/peers/signing.py
+++ b/src/radishwind/peers/signing.py
@@ -45,7 +45,7 @@
           covered: what else must not be altered.
         """
 
-    def may_sign_anew(self, to: Address, answer: Response) -> bool:
+    def should_sign_again(self, to: Address, answer: Response) -> bool:
         """Returns whether a request that `to` refused may be sent once more.
 
         Args:
@@ -66,7 +66,7 @@
         path: str,
         covered: bytes,
         *,
-        once: bool = False,
+        at_most_once: bool = False,
     ) -> None:
         """Returns if the request may be taken for one of a node.
 
@@ -75,13 +75,13 @@
           method: of the request.
           path: of the request, with its query.
           covered: what else must not have been altered.
-          once: whether it must not count at an earlier process of this address
-            and at this one too.
+          at_most_once: whether a request that was sent to an earlier process
+            at this address must be refused, since it may have run there.
 
         Raises:
           PeerRefusedError: it may not.
         """
 
-    def refusal_fields(self) -> Headers:
+    def refusal_headers(self) -> Headers:
         """Returns the header fields that a refusal carries."""
         return ()
--- a/src/radishwind/peers/tests/test_fleet_security.py
+++ b/src/radishwind/peers/tests/test_fleet_security.py
@@ -8,15 +8,15 @@
 from radishwind.http import Address
 from radishwind.http import Response
 from radishwind.peers import fleet_security
-from radishwind.peers.datagrams import Channel
 from radishwind.peers.fleet_security import DATAGRAM_TAG_BYTES
-from radishwind.peers.fleet_security import FleetDatagrams
+from radishwind.peers.fleet_security import FleetDatagramAuthenticator
 from radishwind.peers.fleet_security import FleetSigner
 from radishwind.peers.fleet_security import FleetVerifier
-from radishwind.peers.fleet_security import Starts
+from radishwind.peers.fleet_security import StartIds
 from radishwind.peers.keyring import Keyring
-from radishwind.peers.keyring import LENIENT_S
-from radishwind.peers.keyring import RETIRE_S
+from radishwind.peers.keyring import OLD_SECRET_VALID_S
+from radishwind.peers.keyring import UNSIGNED_GRACE_S
+from radishwind.peers.peer_socket import Channel
 from radishwind.peers.signing import PeerRefusedError
 from radishwind.peers.signing import PeerReplayedError
 from radishwind.peers.signing import PeerStaleError
@@ -33,28 +33,28 @@
 class Node:
     """What signs and checks at one process."""
 
-    def __init__(self, address, secret=OLD, *, accounts=True, lenient=False):
+    def __init__(self, address, secret=OLD, *, accounts=True, with_grace=False):
         self.clock = ManualClock()
         self.address = address
         self.keyring = Keyring(self.clock)
         if secret is not None:
-            self.keyring.learn(secret, 1)
+            self.keyring.update_secret(secret, 1)
         if accounts is not None:
-            self.keyring.follow(accounts, lenient=lenient)
+            self.keyring.set_has_accounts(accounts, with_grace=with_grace)
         Node.started += 1
-        self.starts = Starts(Node.started.to_bytes(4, "little"))
-        self.signer = FleetSigner(self.keyring, self.starts)
-        self.verifier = FleetVerifier(self.keyring, self.starts, address)
-        self.guard = FleetDatagrams(
-            self.keyring, self.starts, address, self.clock
+        self.start_ids = StartIds(Node.started.to_bytes(4, "little"))
+        self.signer = FleetSigner(self.keyring, self.start_ids)
+        self.verifier = FleetVerifier(self.keyring, self.start_ids, address)
+        self.authenticator = FleetDatagramAuthenticator(
+            self.keyring, self.start_ids, address, self.clock
         )
 
     started = 0
 
     def meets(self, other):
         """Hears a datagram of `other`, as nodes do each second."""
-        ((data, _),) = other.guard.outgoing(PLAIN, [self.address])
-        self.guard.incoming(data, other.address)
+        ((data, _),) = other.authenticator.sign(PLAIN, [self.address])
+        self.authenticator.verify(data, other.address)
 
     def sign(self, to, covered=b"account-1"):
         return self.signer.sign(to.address, "POST", "/x", covered)
@@ -66,12 +66,14 @@
         path="/x",
         covered=b"account-1",
         *,
-        once=True,
+        at_most_once=True,
     ):
-        self.verifier.verify(field, method, path, covered, once=once)
+        self.verifier.verify(
+            field, method, path, covered, at_most_once=at_most_once
+        )
 
     def send(self, to, datagram=PLAIN):
-        ((data, _),) = self.guard.outgoing(datagram, [to.address])
+        ((data, _),) = self.authenticator.sign(datagram, [to.address])
         return data
 
 
@@ -116,7 +118,7 @@
 
 def test_request_by_another_secret_is_refused(here):
     foreign = Node(ENTRY, FOREIGN)
-    foreign.starts.note(HERE, here.starts.own)
+    foreign.start_ids.update(HERE, here.start_ids.own)
 
     with pytest.raises(PeerRefusedError):
         here.takes(foreign.sign(here))
@@ -124,7 +126,7 @@
 
 def test_request_to_another_node_is_refused(entry, here):
     other = Node(ELSEWHERE)
-    entry.starts.note(ELSEWHERE, here.starts.own)
+    entry.start_ids.update(ELSEWHERE, here.start_ids.own)
 
     with pytest.raises(PeerRefusedError):
         here.takes(entry.sign(other))
@@ -136,15 +138,15 @@
 
     with pytest.raises(PeerStaleError):
         restarted.takes(field)
-    refusal = Response(401, restarted.verifier.refusal_fields())
+    refusal = Response(401, restarted.verifier.refusal_headers())
 
-    assert entry.signer.may_sign_anew(HERE, refusal)
+    assert entry.signer.should_sign_again(HERE, refusal)
     restarted.takes(entry.sign(restarted))
-    assert not entry.signer.may_sign_anew(HERE, refusal)
+    assert not entry.signer.should_sign_again(HERE, refusal)
 
 
 def test_attempt_names_its_process_also_while_nothing_is_required(entry):
-    adopting = Node(HERE, lenient=True)
+    adopting = Node(HERE, with_grace=True)
 
     with pytest.raises(PeerStaleError):
         adopting.takes(entry.sign(adopting))
@@ -154,16 +156,16 @@
     field = entry.sign(here)
     restarted = Node(HERE)
 
-    restarted.takes(field, once=False)
-    restarted.takes(Node(ELSEWHERE).sign(restarted), once=False)
+    restarted.takes(field, at_most_once=False)
+    restarted.takes(Node(ELSEWHERE).sign(restarted), at_most_once=False)
 
 
 def test_who_finds_a_secret_signs_before_it_knows_of_accounts(entry):
     starting = Node(HERE, accounts=None)
 
-    entry.takes(starting.sign(entry), once=False)
-    assert entry.guard.incoming(starting.send(entry), HERE) == PLAIN
-    starting.keyring.follow(False, lenient=False)
+    entry.takes(starting.sign(entry), at_most_once=False)
+    assert entry.authenticator.verify(starting.send(entry), HERE) == PLAIN
+    starting.keyring.set_has_accounts(False, with_grace=False)
     assert starting.sign(entry) is None
 
 
@@ -171,15 +173,19 @@
 def test_refusal_with_a_start_that_cannot_be_read_changes_nothing(entry, told):
     refusal = Response(401, ((fleet_security.START_FIELD, told),))
 
-    assert not entry.signer.may_sign_anew(HERE, refusal)
+    assert not entry.signer.should_sign_again(HERE, refusal)
 
 
 def test_datagram_of_a_node_is_taken_once(entry, here):
     data = entry.send(here)
 
-    assert here.guard.incoming(data, ENTRY) == PLAIN
-    assert here.guard.incoming(data, ENTRY) is None
-    assert here.guard.refused == {"unsigned": 0, "forged": 0, "replayed": 1}
+    assert here.authenticator.verify(data, ENTRY) == PLAIN
+    assert here.authenticator.verify(data, ENTRY) is None
+    assert here.authenticator.refused_by_reason == {
+        "unsigned": 0,
+        "forged": 0,
+        "replayed": 1,
+    }
 
 
 def test_each_altered_byte_of_a_datagram_is_noticed(entry, here):
@@ -187,25 +193,25 @@
 
     for i in range(1, len(data)):
         changed = data[:i] + bytes((data[i] ^ 1,)) + data[i + 1 :]
-        assert here.guard.incoming(changed, ENTRY) is None
+        assert here.authenticator.verify(changed, ENTRY) is None
     other_channel = bytes((data[0] ^ 3,)) + data[1:]
-    assert here.guard.incoming(other_channel, ENTRY) is None
-    assert here.guard.incoming(data, ENTRY) == PLAIN
+    assert here.authenticator.verify(other_channel, ENTRY) is None
+    assert here.authenticator.verify(data, ENTRY) == PLAIN
 
 
 @pytest.mark.parametrize("length", range(1, 10 + DATAGRAM_TAG_BYTES))
 def test_datagram_cut_short_is_refused(entry, here, length):
-    assert here.guard.incoming(entry.send(here)[:length], ENTRY) is None
+    assert here.authenticator.verify(entry.send(here)[:length], ENTRY) is None
 
 
 def test_datagram_to_another_node_is_refused(entry, here):
-    assert here.guard.incoming(entry.send(Node(ELSEWHERE)), ENTRY) is None
-    assert here.guard.refused["forged"] == 1
+    assert here.authenticator.verify(entry.send(Node(ELSEWHERE)), ENTRY) is None
+    assert here.authenticator.refused_by_reason["forged"] == 1
 
 
 def test_datagram_without_a_signature_is_refused(here):
-    assert here.guard.incoming(PLAIN, ENTRY) is None
-    assert here.guard.refused["unsigned"] == 1
+    assert here.authenticator.verify(PLAIN, ENTRY) is None
+    assert here.authenticator.refused_by_reason["unsigned"] == 1
 
 
 def test_one_sending_to_many_is_taken_by_each(entry, here):
@@ -213,12 +219,12 @@
 
     sent = {
         peer: data
-        for data, peer in entry.guard.outgoing(PLAIN, [HERE, ELSEWHERE])
+        for data, peer in entry.authenticator.sign(PLAIN, [HERE, ELSEWHERE])
     }
 
-    assert here.guard.incoming(sent[HERE], ENTRY) == PLAIN
-    assert other.guard.incoming(sent[ELSEWHERE], ENTRY) == PLAIN
-    assert here.guard.incoming(sent[ELSEWHERE], ENTRY) is None
+    assert here.authenticator.verify(sent[HERE], ENTRY) == PLAIN
+    assert other.authenticator.verify(sent[ELSEWHERE], ENTRY) == PLAIN
+    assert here.authenticator.verify(sent[ELSEWHERE], ENTRY) is None
 
 
 def test_without_accounts_nothing_is_signed_or_checked(monkeypatch):
@@ -230,92 +236,92 @@
 
     assert node.sign(other) is None
     assert node.send(other) is PLAIN
-    assert other.guard.incoming(PLAIN, ENTRY) is PLAIN
+    assert other.authenticator.verify(PLAIN, ENTRY) is PLAIN
     other.takes(None)
-    assert other.verifier.refusal_fields() == ()
+    assert other.verifier.refusal_headers() == ()
 
 
 def test_node_without_accounts_yet_reads_what_others_sign(entry):
     behind = Node(HERE, None, accounts=False)
 
-    assert behind.guard.incoming(entry.send(behind), ENTRY) == PLAIN
+    assert behind.authenticator.verify(entry.send(behind), ENTRY) == PLAIN
     behind.takes(entry.sign(behind))
 
 
 def test_node_that_lacks_the_secret_takes_what_comes(entry):
     lacking = Node(HERE, None)
 
-    assert lacking.keyring.lacks
-    assert lacking.guard.incoming(entry.send(lacking), ENTRY) == PLAIN
-    assert lacking.guard.incoming(PLAIN, ENTRY) == PLAIN
+    assert lacking.keyring.lacks_secret
+    assert lacking.authenticator.verify(entry.send(lacking), ENTRY) == PLAIN
+    assert lacking.authenticator.verify(PLAIN, ENTRY) == PLAIN
     lacking.takes(entry.sign(lacking))
     lacking.takes(None)
 
 
 def test_members_accept_before_they_require(entry):
-    adopting = Node(HERE, lenient=True)
+    adopting = Node(HERE, with_grace=True)
 
-    assert adopting.keyring.signing is not None
+    assert adopting.keyring.signing_secret is not None
     adopting.takes(None)
-    assert adopting.guard.incoming(PLAIN, ENTRY) == PLAIN
-    adopting.clock.advance(LENIENT_S)
+    assert adopting.authenticator.verify(PLAIN, ENTRY) == PLAIN
+    adopting.clock.advance(UNSIGNED_GRACE_S)
     with pytest.raises(PeerRefusedError):
         adopting.takes(None)
-    assert adopting.guard.incoming(PLAIN, ENTRY) is None
+    assert adopting.authenticator.verify(PLAIN, ENTRY) is None
 
 
 def test_replay_is_refused_also_while_signatures_are_not_required(entry):
-    adopting = Node(HERE, lenient=True)
+    adopting = Node(HERE, with_grace=True)
     entry.meets(adopting)
     field, data = entry.sign(adopting), entry.send(adopting)
     adopting.takes(field)
-    adopting.guard.incoming(data, ENTRY)
+    adopting.authenticator.verify(data, ENTRY)
 
     with pytest.raises(PeerReplayedError):
         adopting.takes(field)
-    assert adopting.guard.incoming(data, ENTRY) is None
+    assert adopting.authenticator.verify(data, ENTRY) is None
 
 
 def test_rotation_takes_both_secrets_for_a_while(entry, here):
-    here.keyring.learn(NEW, 2)
+    here.keyring.update_secret(NEW, 2)
 
     here.takes(entry.sign(here))
-    assert here.guard.incoming(entry.send(here), ENTRY) == PLAIN
-    entry.keyring.learn(NEW, 2)
+    assert here.authenticator.verify(entry.send(here), ENTRY) == PLAIN
+    entry.keyring.update_secret(NEW, 2)
     here.takes(entry.sign(here))
-    assert here.guard.incoming(entry.send(here), ENTRY) == PLAIN
+    assert here.authenticator.verify(entry.send(here), ENTRY) == PLAIN
 
 
 def test_replaced_secret_ends(entry, here):
-    here.keyring.learn(NEW, 2)
-    here.clock.advance(RETIRE_S)
+    here.keyring.update_secret(NEW, 2)
+    here.clock.advance(OLD_SECRET_VALID_S)
 
     with pytest.raises(PeerRefusedError):
         here.takes(entry.sign(here))
-    assert here.guard.incoming(entry.send(here), ENTRY) is None
+    assert here.authenticator.verify(entry.send(here), ENTRY) is None
 
 
 def test_older_record_changes_nothing(entry, here):
-    here.keyring.learn(NEW, 5)
-    here.keyring.learn(FOREIGN, 4)
+    here.keyring.update_secret(NEW, 5)
+    here.keyring.update_secret(FOREIGN, 4)
 
-    assert here.keyring.signing == NEW
+    assert here.keyring.signing_secret == NEW
 
 
 @pytest.mark.parametrize("by", ["datagram", "request"])
 def test_unknown_signature_asks_for_a_look_at_the_record(entry, here, by):
     asked = []
-    here.keyring.listen(lambda: asked.append(1))
-    entry.keyring.learn(NEW, 2)
+    here.keyring.subscribe(lambda: asked.append(1))
+    entry.keyring.update_secret(NEW, 2)
 
     if by == "datagram":
-        here.guard.incoming(entry.send(here), ENTRY)
+        here.authenticator.verify(entry.send(here), ENTRY)
     else:
         with pytest.raises(PeerRefusedError):
             here.takes(entry.sign(here))
 
     assert asked
-    assert here.keyring.doubted
+    assert here.keyring.may_be_outdated
 
 
 def test_no_line_or_field_holds_the_secret(entry, here):
@@ -326,11 +332,13 @@
     taker = lines.append
     logs._takers.append(taker)
     try:
-        here.keyring.learn(NEW, 2)
-        here.guard.incoming(PLAIN, ENTRY)
+        here.keyring.update_secret(NEW, 2)
+        here.authenticator.verify(PLAIN, ENTRY)
     finally:
         logs._takers.remove(taker)
-    text = repr(lines) + entry.sign(here) + repr(here.verifier.refusal_fields())
+    text = (
+        repr(lines) + entry.sign(here) + repr(here.verifier.refusal_headers())
+    )
 
     assert lines
     assert secret not in text
--- a/src/radishwind/peers/tests/test_malformed.py
+++ b/src/radishwind/peers/tests/test_malformed.py
@@ -11,9 +11,9 @@
 from radishwind.outcomes import outcome_response
 from radishwind.outcomes import Unknown
 from radishwind.peers.attempts import ANSWER_FIELD
+from radishwind.peers.attempts import decode_attempt
+from radishwind.peers.attempts import parse_attempt_result
 from radishwind.peers.attempts import PeerMalformedError
-from radishwind.peers.attempts import read_attempt
-from radishwind.peers.attempts import read_result
 
 _values = st.one_of(
     st.none(),
@@ -45,7 +45,7 @@
 def test_any_answer_is_read_or_unknown(field):
     response = Response(200, ((ANSWER_FIELD, field),), b"x")
 
-    outcome = read_result(response, "id").outcome
+    outcome = parse_attempt_result(response, "id").outcome
 
     assert 200 <= outcome_response(outcome).status <= 599
     if '"id"' not in field:
@@ -57,4 +57,4 @@
 @given(_arrays | _wire)
 def test_any_attempt_is_read_or_refused(field):
     with contextlib.suppress(PeerMalformedError):
-        read_attempt(field)
+        decode_attempt(field)
--- a/src/radishwind/peers/tests/test_traffic.py
+++ b/src/radishwind/peers/tests/test_peer_traffic.py
@@ -6,9 +6,9 @@
 from radishwind.http.types import Request
 from radishwind.http.types import Response
 from radishwind.membership.directory import Member
-from radishwind.peers.datagrams import Channel
-from radishwind.peers.traffic import MOST_SERIES
-from radishwind.peers.traffic import PeerTraffic
+from radishwind.peers.peer_socket import Channel
+from radishwind.peers.peer_traffic import MAX_SERIES
+from radishwind.peers.peer_traffic import PeerTraffic
 
 FAR = Member("f", "s", "b", Address("10.0.0.2", 80))
 
@@ -35,31 +35,31 @@
 def test_a_forward_and_its_answer_are_counted_apart_by_route():
     traffic = PeerTraffic()
     request = Request("POST", "/", (("A", "bc"),), b"12345", 5)
-    traffic.forward(FAR, call(), request)
-    traffic.answer(FAR, call(), Response(200, (), b"x" * 90, 90))
+    traffic.record_forward(FAR, call(), request)
+    traffic.record_answer(FAR, call(), Response(200, (), b"x" * 90, 90))
 
-    sizes = traffic.sizes()
+    sizes = traffic.byte_counts()
     assert sizes[labels("first-head", "r")] == 7
     assert sizes[labels("first-body", "r")] == 5
     assert sizes[labels("answer-body", "r")] == 90
-    assert traffic.messages()[labels("answer-body", "r")] == 1
+    assert traffic.message_counts()[labels("answer-body", "r")] == 1
 
 
 def test_a_repeat_is_told_from_a_first_attempt():
     traffic = PeerTraffic()
-    traffic.forward(FAR, call(steps=["x"]), Request("GET", "/"))
+    traffic.record_forward(FAR, call(steps=["x"]), Request("GET", "/"))
 
-    assert labels("again-head", "r") in traffic.messages()
+    assert labels("again-head", "r") in traffic.message_counts()
 
 
 def test_datagrams_and_control_messages_count_for_the_domain_of_their_host():
     traffic = PeerTraffic()
-    traffic.follow((FAR,))
-    traffic.datagram(Channel.LOADS, FAR.address, 40)
-    traffic.datagram(Channel.GOSSIP, Address("10.0.0.9", 80), 10)
-    traffic.control(FAR.address, "routes", 1000)
+    traffic.set_members((FAR,))
+    traffic.record_datagram(Channel.LOADS, FAR.address, 40)
+    traffic.record_datagram(Channel.GOSSIP, Address("10.0.0.9", 80), 10)
+    traffic.record_control(FAR.address, "routes", 1000)
 
-    sizes = traffic.sizes()
+    sizes = traffic.byte_counts()
     assert sizes[labels("datagram-loads")] == 40
     assert sizes[labels("datagram-gossip", domain="other")] == 10
     assert sizes[labels("control-routes")] == 1000
@@ -67,8 +67,10 @@
 
 def test_the_series_are_bounded_and_nothing_is_lost():
     traffic = PeerTraffic()
-    for number in range(2 * MOST_SERIES):
-        traffic.answer(FAR, call(f"r{number}"), Response(200, (), b"x", 1))
+    for number in range(2 * MAX_SERIES):
+        traffic.record_answer(
+            FAR, call(f"r{number}"), Response(200, (), b"x", 1)
+        )
 
-    assert len(traffic.sizes()) <= MOST_SERIES + 1
-    assert sum(traffic.sizes().values()) == 2 * MOST_SERIES
+    assert len(traffic.byte_counts()) <= MAX_SERIES + 1
+    assert sum(traffic.byte_counts().values()) == 2 * MAX_SERIES
--- a/src/radishwind/peers/tests/test_replays.py
+++ b/src/radishwind/peers/tests/test_replay_window.py
@@ -3,8 +3,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from radishwind.peers.replays import ReplayGuard
-from radishwind.peers.replays import ReplayWindow
+from radishwind.peers.replay_window import ReplayGuard
+from radishwind.peers.replay_window import ReplayWindow
 
 WINDOW = 64
 
--- a/src/radishwind/peers/tests/test_security.py
+++ b/src/radishwind/peers/tests/test_security.py
@@ -25,9 +25,9 @@
 from radishwind.peers import PeerListener
 from radishwind.peers import PeerSigner
 from radishwind.peers import PeerVerifier
-from radishwind.peers.attempts import with_answer
+from radishwind.peers.attempts import build_attempt_response
 from radishwind.peers.security import AUTH_FIELD
-from radishwind.peers.security import NonceMemory
+from radishwind.peers.security import NonceCache
 from radishwind.peers.security import PeerRefusedError
 from radishwind.peers.security import PeerReplayedError
 from radishwind.peers.security import PeerStaleError
@@ -70,7 +70,7 @@
             target=self.target,
             verifier=PeerVerifier(keys, self.clock, HERE),
         )
-        self.listener.add_control("echo", self._echo, max_bytes=100)
+        self.listener.add_control_handler("echo", self._echo, max_bytes=100)
         self.sender.handlers[HERE] = self.listener.handle
 
     def signer(self, key=OLD):
@@ -133,7 +133,9 @@
     with pytest.raises(PeerError, match="401"):
         await sender.call(HERE, "echo", b"hi", 1.0)
 
-    assert peers.listener.refused == {ResultCode.PEER_UNAUTHENTICATED: 1}
+    assert peers.listener.refused_by_code == {
+        ResultCode.PEER_UNAUTHENTICATED: 1
+    }
 
 
 @pytest.mark.parametrize(
@@ -259,7 +261,7 @@
         clock=peers.clock,
         target=peers.target,
         sender=peers.sender,
-        unreachable=hints.append,
+        on_unreachable=hints.append,
     )
     gone = Member("prenota-2", "prenota", "savona", ELSEWHERE)
 
@@ -274,17 +276,32 @@
     def sign(self, to, method, path, covered):
         return None
 
-    def may_sign_anew(self, to, answer):
+    def should_sign_again(self, to, answer):
         return True
 
 
 @pytest.mark.parametrize(
     ("answered", "sent"),
     [
-        (with_answer("a", NotRun(ResultCode.PEER_STALE, ""), None), 2),
-        (with_answer("a", Unknown(ResultCode.PEER_REPLAYED, ""), None), 1),
-        (with_answer("a", Done(Response(401)), None), 1),
-        (with_answer("b", NotRun(ResultCode.PEER_STALE, ""), None), 1),
+        (
+            build_attempt_response(
+                "a", NotRun(ResultCode.PEER_STALE, ""), None
+            ),
+            2,
+        ),
+        (
+            build_attempt_response(
+                "a", Unknown(ResultCode.PEER_REPLAYED, ""), None
+            ),
+            1,
+        ),
+        (build_attempt_response("a", Done(Response(401)), None), 1),
+        (
+            build_attempt_response(
+                "b", NotRun(ResultCode.PEER_STALE, ""), None
+            ),
+            1,
+        ),
         (Response(401), 1),
     ],
 )
@@ -348,7 +365,7 @@
 
 
 def test_nonces_are_bounded_and_what_is_forgotten_counts_as_old():
-    memory = NonceMemory(limit=10)
+    memory = NonceCache(limit=10)
 
     for number in range(35):
         assert memory.add(str(number), 1_000 + number)
--- a/src/radishwind/platform/tests/test_foreign.py
+++ b/src/radishwind/platform/tests/test_foreign.py
@@ -17,8 +17,8 @@
 from radishwind.loads import load_message
 from radishwind.membership import contact_records
 from radishwind.membership import messages
+from radishwind.peers.attempts import decode_attempt
 from radishwind.peers.attempts import PeerMalformedError
-from radishwind.peers.attempts import read_attempt
 from radishwind.platform import PlatformDialect
 from radishwind.platform import read_caller
 from radishwind.platform import read_routes
@@ -214,7 +214,7 @@
     for decode, refusal in (
         (messages.decode_message, messages.MessageError),
         (route_messages.decode, route_messages.FeedMalformedError),
-        (lambda raw: read_attempt(raw.decode("latin-1")), PeerMalformedError),
+        (lambda raw: decode_attempt(raw.decode("latin-1")), PeerMalformedError),
     ):
         with contextlib.suppress(refusal):
             decode(data)
--- a/src/radishwind/recency/proof_renewer.py
+++ b/src/radishwind/recency/proof_renewer.py
@@ -11,8 +11,8 @@
 from radishwind.core.clock import Clock
 from radishwind.http.types import Address
 from radishwind.membership.directory import Directory
-from radishwind.peers.datagrams import Channel
-from radishwind.peers.datagrams import PeerSocket
+from radishwind.peers.peer_socket import Channel
+from radishwind.peers.peer_socket import PeerSocket
 from radishwind.recency.model import FreshnessProof
 from radishwind.recency.model import ProofSchedule
 from radishwind.recency.proof_exchange import ProofExchange
@@ -88,7 +88,7 @@
             useful_below_s=schedule.relay_query_age_s,
             query_lifetime_s=schedule.bound_s,
         )
-        socket.add(Channel.RECENCY, self._receive)
+        socket.add_handler(Channel.RECENCY, self._receive)
         routes.listen(lambda cfg: self._wake())
 
     def connect(
--- a/src/radishwind/routes/feed.py
+++ b/src/radishwind/routes/feed.py
@@ -24,8 +24,8 @@
 from radishwind.membership.records import MAX_RUMOR_VALUE_CHARS
 from radishwind.membership.rumor_bus import RumorBus
 from radishwind.outcomes import problem_response
-from radishwind.peers.client import PeerClient
-from radishwind.peers.client import PeerError
+from radishwind.peers.peer_client import PeerClient
+from radishwind.peers.peer_client import PeerError
 from radishwind.recency.model import FreshnessProof
 from radishwind.routes.emptied import EmptiedDomains
 from radishwind.routes.emptied import EmptiedInForce
--- a/src/radishwind/routes/tests/test_emptied.py
+++ b/src/radishwind/routes/tests/test_emptied.py
@@ -11,7 +11,7 @@
 from radishwind.http.types import Request
 from radishwind.membership.directory import Member
 from radishwind.membership.directory import MemberState
-from radishwind.peers.client import PeerError
+from radishwind.peers.peer_client import PeerError
 from radishwind.platform.routes import emptied_domain
 from radishwind.routes import messages
 from radishwind.routes import Part
--- a/src/radishwind/routes/tests/test_unsigned.py
+++ b/src/radishwind/routes/tests/test_unsigned.py
@@ -6,7 +6,7 @@
 from radishwind.http.types import Address
 from radishwind.http.types import Request
 from radishwind.membership.directory import Member
-from radishwind.peers.client import PeerError
+from radishwind.peers.peer_client import PeerError
 from radishwind.routes import messages
 from radishwind.routes.emptied import EmptiedDomains
 from radishwind.routes.unsigned import UnsignedAsks
--- a/src/radishwind/routes/unsigned.py
+++ b/src/radishwind/routes/unsigned.py
@@ -12,8 +12,8 @@
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
 from radishwind.outcomes import problem_response
-from radishwind.peers.client import PeerClient
-from radishwind.peers.client import PeerError
+from radishwind.peers.peer_client import PeerClient
+from radishwind.peers.peer_client import PeerError
 from radishwind.routes.feed import CONTROL_NAME
 from radishwind.routes.feed import RouteFeed
 from radishwind.routes.messages import Ask
--- a/src/radishwind/sidecar/account_policy.py
+++ b/src/radishwind/sidecar/account_policy.py
@@ -4,7 +4,7 @@
 from radishwind.membership.directory import Directory
 from radishwind.peers.attempts import AttemptInfo
 from radishwind.peers.keyring import Keyring
-from radishwind.peers.listener import AttemptPolicy
+from radishwind.peers.peer_listener import AttemptPolicy
 from radishwind.platform import host_of
 from radishwind.platform import named_accounts
 from radishwind.routes.in_force import RoutesInForce
@@ -31,14 +31,14 @@
         self._routes = routes
         self._directory = directory
 
-    def agrees(self, info: AttemptInfo, request: Request) -> bool:
+    def matches_account(self, info: AttemptInfo, request: Request) -> bool:
         """Returns whether the server is told the account that was signed."""
-        if not self._keyring.requires:
+        if not self._keyring.requires_signatures:
             return True
         told = (info.account,) if info.account else ()
         return named_accounts(request.headers) == told
 
-    def takes_unsigned(self, info: AttemptInfo, request: Request) -> bool:
+    def accepts_unsigned(self, info: AttemptInfo, request: Request) -> bool:
         """Returns whether any caller might make the request without a key."""
         if info.account:
             return False
--- a/src/radishwind/sidecar/app.py
+++ b/src/radishwind/sidecar/app.py
@@ -18,7 +18,7 @@
 from radishwind.node.callers import CallerListener
 from radishwind.node.in_progress import RequestsInProgress
 from radishwind.node.membership_tasks import MembershipTasks
-from radishwind.peers.attempts import is_attempt
+from radishwind.peers.attempts import is_forwarded_attempt
 from radishwind.platform import PlatformDialect
 from radishwind.platform import PlatformStore
 from radishwind.routes.emptied import EmptiedInForce
@@ -182,7 +182,7 @@
             switches=self._switches,
             node_count=self._membership.node_count,
             service=lambda: self._settings.service,
-            unreachable=self._membership.unreachable,
+            on_unreachable=self._membership.unreachable,
             reports_unsolicited=lambda member: self._loads.reports_unsolicited(
                 member
             ),
@@ -210,7 +210,7 @@
             start_anew=self._stopping.set,
         )
         self._attempts = RequestsInProgress(
-            self._peers.listener.handle, self._clock, is_attempt
+            self._peers.listener.handle, self._clock, is_forwarded_attempt
         )
         self._loads = LoadSharing(
             node_name=settings.node,
--- a/src/radishwind/sidecar/control_side.py
+++ b/src/radishwind/sidecar/control_side.py
@@ -7,8 +7,8 @@
 from radishwind.core.clock import Clock
 from radishwind.membership.ranking import ranks_among_first
 from radishwind.node.membership_tasks import MembershipTasks
-from radishwind.peers.client import PeerClient
-from radishwind.peers.listener import PeerListener
+from radishwind.peers.peer_client import PeerClient
+from radishwind.peers.peer_listener import PeerListener
 from radishwind.platform import read_routes
 from radishwind.platform.routes import emptied_domain
 from radishwind.platform.routes import KEY as ROUTES_KEY
@@ -137,13 +137,13 @@
 
     def listen_on(self, peers: PeerListener) -> None:
         """Answers what other nodes tell of routes and of who leaves."""
-        peers.add_control(
+        peers.add_control_handler(
             ROUTES_CONTROL,
             self._feed.handle,
             ROUTES_MAX_BYTES,
-            unsigned=self._unsigned_asks.handle,
+            unsigned_handler=self._unsigned_asks.handle,
         )
-        peers.add_control(LEAVING_CONTROL, self._records.handle)
+        peers.add_control_handler(LEAVING_CONTROL, self._records.handle)
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
         """Starts the tasks in `tasks`."""
--- a/src/radishwind/sidecar/entry_side.py
+++ b/src/radishwind/sidecar/entry_side.py
@@ -26,7 +26,7 @@
 from radishwind.http.types import Headers
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
-from radishwind.peers.forward import ForwardRunner
+from radishwind.peers.forward_runner import ForwardRunner
 from radishwind.peers.signing import RequestSigner
 from radishwind.platform import read_caller
 from radishwind.platform import with_account
@@ -74,7 +74,7 @@
         switches: Switches,
         node_count: Callable[[], int],
         service: Callable[[], str],
-        unreachable: Callable[[str], None] | None = None,
+        on_unreachable: Callable[[str], None] | None = None,
         reports_unsolicited: Callable[[Member], bool] | None = None,
         observers: Sequence[CallObserver] = (),
         signer: RequestSigner | None = None,
@@ -96,7 +96,7 @@
           switches: what is in use.
           node_count: returns how many nodes share the budget of repeats.
           service: returns the service that the own instance's requests are of.
-          unreachable: takes the name of a target whose node takes no
+          on_unreachable: takes the name of a target whose node takes no
             connection.
           reports_unsolicited: returns whether a target tells this node its
             load though it got nothing from here.
@@ -151,7 +151,7 @@
             target=target.pipeline,
             sender=sender,
             signer=signer,
-            unreachable=unreachable,
+            on_unreachable=on_unreachable,
             traffic=links.traffic if links else None,
             sizes=links.sizes if links else None,
         )
--- a/src/radishwind/sidecar/link_side.py
+++ b/src/radishwind/sidecar/link_side.py
@@ -4,7 +4,7 @@
 from radishwind.http.types import Address
 from radishwind.loads.link_admission import LinkAdmission
 from radishwind.loads.link_meter import LinkMeter
-from radishwind.peers.traffic import PeerTraffic
+from radishwind.peers.peer_traffic import PeerTraffic
 from radishwind.routes.model import RouteConfig
 from radishwind.routing.path_costs import LinkPathCosts
 from radishwind.routing.round_trip_times import RoundTripTimes
--- a/src/radishwind/sidecar/loads.py
+++ b/src/radishwind/sidecar/loads.py
@@ -14,8 +14,8 @@
 from radishwind.membership.gossip import Gossip
 from radishwind.membership.gossip_directory import GossipDirectory
 from radishwind.membership.records import MemberRecord
-from radishwind.peers.datagrams import PeerSocket
-from radishwind.peers.traffic import PeerTraffic
+from radishwind.peers.peer_socket import PeerSocket
+from radishwind.peers.peer_traffic import PeerTraffic
 from radishwind.routing.fresh_load_chooser import FreshLoadChooser
 from radishwind.target.pipeline import TargetPipeline
 
@@ -131,7 +131,7 @@
             return
         self._stale = False
         members = self._directory.members()
-        self._traffic.follow(members)
+        self._traffic.set_members(members)
         self._audience.set_members(
             m for m in members if m.state is not MemberState.DEAD
         )
--- a/src/radishwind/sidecar/metrics.py
+++ b/src/radishwind/sidecar/metrics.py
@@ -146,9 +146,9 @@
         "radishwind_datagrams_total",
         "Datagrams between nodes: load, and short messages of membership.",
         lambda: {
-            'way="sent"': counted.peers.socket.sent,
-            'way="received"': counted.peers.socket.received,
-            'way="malformed"': counted.peers.socket.malformed,
+            'way="sent"': counted.peers.socket.sent_count,
+            'way="received"': counted.peers.socket.received_count,
+            'way="malformed"': counted.peers.socket.malformed_count,
         },
     )
     metrics.counter(
@@ -160,9 +160,11 @@
         "radishwind_peer_signatures",
         "1 for what holds: messages are signed, required to be, lack a secret.",
         lambda: {
-            'state="signed"': int(counted.peers.keyring.signing is not None),
-            'state="required"': int(counted.peers.keyring.requires),
-            'state="lacking"': int(counted.peers.keyring.lacks),
+            'state="signed"': int(
+                counted.peers.keyring.signing_secret is not None
+            ),
+            'state="required"': int(counted.peers.keyring.requires_signatures),
+            'state="lacking"': int(counted.peers.keyring.lacks_secret),
         },
     )
     _add_links(metrics, counted)
@@ -251,12 +253,12 @@
     metrics.counter(
         "radishwind_peer_messages_total",
         "Messages to other nodes, by failure domain, cause and route.",
-        links.traffic.messages,
+        links.traffic.message_counts,
     )
     metrics.counter(
         "radishwind_peer_bytes_total",
         "Bytes of these and of their answers.",
-        links.traffic.sizes,
+        links.traffic.byte_counts,
     )
     metrics.counter(
         "radishwind_link_bytes_total",
--- a/src/radishwind/sidecar/peer_side.py
+++ b/src/radishwind/sidecar/peer_side.py
@@ -17,16 +17,16 @@
 from radishwind.membership.directory import MemberState
 from radishwind.membership.ranking import ranks_among_first
 from radishwind.node.membership_tasks import MembershipTasks
-from radishwind.peers.client import HttpPeerClient
-from radishwind.peers.datagrams import PeerSocket
-from radishwind.peers.fleet_security import FleetDatagrams
+from radishwind.peers.fleet_security import FleetDatagramAuthenticator
 from radishwind.peers.fleet_security import FleetSigner
 from radishwind.peers.fleet_security import FleetVerifier
-from radishwind.peers.fleet_security import START_BYTES
-from radishwind.peers.fleet_security import Starts
+from radishwind.peers.fleet_security import START_ID_BYTES
+from radishwind.peers.fleet_security import StartIds
 from radishwind.peers.keyring import Keyring
-from radishwind.peers.listener import PeerListener
-from radishwind.peers.traffic import PeerTraffic
+from radishwind.peers.peer_client import HttpPeerClient
+from radishwind.peers.peer_listener import PeerListener
+from radishwind.peers.peer_socket import PeerSocket
+from radishwind.peers.peer_traffic import PeerTraffic
 from radishwind.platform import read_routes
 from radishwind.platform.routes import KEY as ROUTES_KEY
 from radishwind.routes.in_force import RoutesInForce
@@ -46,7 +46,7 @@
 
     Attributes:
       keyring: the secrets that count.
-      guard: checks datagrams.
+      authenticator: signs and verifies datagrams.
       signer: signs requests.
       client: sends control messages.
       socket: sends datagrams.
@@ -73,14 +73,14 @@
         self._clock = clock
         self._own = settings.peer_address or settings.peers
         self._ran_without = False
-        self._starts = Starts(os.urandom(START_BYTES))
+        self._start_ids = StartIds(os.urandom(START_ID_BYTES))
         self.keyring = Keyring(clock)
-        self.guard = FleetDatagrams(
-            self.keyring, self._starts, self._own, clock
+        self.authenticator = FleetDatagramAuthenticator(
+            self.keyring, self._start_ids, self._own, clock
         )
-        self.signer = FleetSigner(self.keyring, self._starts)
+        self.signer = FleetSigner(self.keyring, self._start_ids)
         self.client = HttpPeerClient(sender, self.signer, traffic)
-        self.socket = PeerSocket(self.guard, traffic.datagram)
+        self.socket = PeerSocket(self.authenticator, traffic.record_datagram)
 
     def wire(
         self,
@@ -132,7 +132,7 @@
             clock=self._clock,
             rules_for=lambda service: ServiceRules(),
             target=target,
-            verifier=FleetVerifier(self.keyring, self._starts, self._own),
+            verifier=FleetVerifier(self.keyring, self._start_ids, self._own),
             policy=AccountPolicy(self.keyring, routes, self._directory),
             record_request_from=record_request_from,
             link_admission=link_admission,
@@ -155,11 +155,11 @@
         return {
             **{
                 f'what="request",why="RW-{code}"': count
-                for code, count in self.listener.refused.items()
+                for code, count in self.listener.refused_by_code.items()
             },
             **{
                 f'what="datagram",why="{why}"': count
-                for why, count in self.guard.refused.items()
+                for why, count in self.authenticator.refused_by_reason.items()
             },
         }
 
@@ -169,8 +169,8 @@
         Where this node ran without accounts the others may still do so, and at
         the very first start all read the secret at the same time.
         """
-        lenient = self._ran_without or self._settings.first_start
-        self.keyring.follow(bool(cfg.accounts), lenient=lenient)
+        with_grace = self._ran_without or self._settings.first_start
+        self.keyring.set_has_accounts(bool(cfg.accounts), with_grace=with_grace)
         self._ran_without = not cfg.accounts
 
     def _ranks_first(self) -> bool:
--- a/src/radishwind/sidecar/quota_channel.py
+++ b/src/radishwind/sidecar/quota_channel.py
@@ -5,8 +5,8 @@
 
 from radishwind.core.clock import Clock
 from radishwind.http.types import Address
-from radishwind.peers.datagrams import Channel
-from radishwind.peers.datagrams import PeerSocket
+from radishwind.peers.peer_socket import Channel
+from radishwind.peers.peer_socket import PeerSocket
 from radishwind.quotas.borrower import Borrower
 from radishwind.quotas.lender import Lender
 from radishwind.quotas.messages import decode
@@ -55,7 +55,7 @@
         self._in_use = in_use
         self.sent = 0
         self.bytes_sent = 0
-        socket.add(Channel.QUOTAS, self._received)
+        socket.add_handler(Channel.QUOTAS, self._received)
 
     def flush(self) -> None:
         """Sends the questions that are due."""
--- a/src/radishwind/sidecar/quotas.py
+++ b/src/radishwind/sidecar/quotas.py
@@ -12,7 +12,7 @@
 from radishwind.membership.records import Liveness
 from radishwind.membership.records import MemberRecord
 from radishwind.node.membership_tasks import MembershipTasks
-from radishwind.peers.datagrams import PeerSocket
+from radishwind.peers.peer_socket import PeerSocket
 from radishwind.quotas import Borrower
 from radishwind.quotas import Lender
 from radishwind.quotas import LenderMap
--- a/src/radishwind/sidecar/recency.py
+++ b/src/radishwind/sidecar/recency.py
@@ -8,7 +8,7 @@
 from radishwind.accounts import KeyFreshness
 from radishwind.core.clock import Clock
 from radishwind.membership.directory import Directory
-from radishwind.peers.datagrams import PeerSocket
+from radishwind.peers.peer_socket import PeerSocket
 from radishwind.recency import ProofRenewer
 from radishwind.recency import ProofSchedule
 from radishwind.routes.feed import RouteFeed
--- a/src/radishwind/sidecar/secret.py
+++ b/src/radishwind/sidecar/secret.py
@@ -126,7 +126,7 @@
         self._due = anyio.Event()
         self._told = anyio.Event()
         rumor_bus.subscribe(TOPIC, self._on_rumor)
-        keyring.listen(self._wanted)
+        keyring.subscribe(self._wanted)
 
     def listed(self, entry: StoreEntry) -> None:
         """Takes an entry that was listed with the contacts."""
@@ -139,17 +139,17 @@
         while True:
             await self._due.wait()
             self._due = anyio.Event()
-            if self._keyring.lacks:
+            if self._keyring.lacks_secret:
                 await self._find()
-            elif self._keyring.in_use and self._is_doubtful():
+            elif self._keyring.has_accounts and self._is_doubtful():
                 await self._look_for_newer()
 
     def _is_doubtful(self) -> bool:
         """Returns whether the record should be read, by now."""
         rumored = self._heard > self._keyring.revision
-        if not rumored and not self._keyring.doubted:
+        if not rumored and not self._keyring.may_be_outdated:
             return False
-        self._keyring.doubted = False
+        self._keyring.may_be_outdated = False
         if rumored and not self._unread:
             return True
         return self._clock.monotonic() >= self._looks_again_at
@@ -175,12 +175,12 @@
             with anyio.move_on_after(OTHERS_WAIT_S):
                 await self._told.wait()
         for _ in range(_AGED_READS):
-            if not self._keyring.lenient or not self._heard:
+            if not self._keyring.in_grace_period or not self._heard:
                 break
             await anyio.sleep(_AGED_S)
-            if not self._keyring.lacks or await self._look(patient=True):
+            if not self._keyring.lacks_secret or await self._look(patient=True):
                 return
-        while self._keyring.lacks:
+        while self._keyring.lacks_secret:
             if await self._look():
                 self._backoff.record_success()
                 return
@@ -245,7 +245,7 @@
         if not result.succeeded:
             return False
         self._log.change("Made the secret.", revision=result.revision)
-        self._keyring.learn(record.secret, result.revision)
+        self._keyring.update_secret(record.secret, result.revision)
         self._tell(result.revision)
         return True
 
@@ -257,7 +257,7 @@
                 revision=entry.mod_revision,
             )
             return
-        self._keyring.learn(record.secret, entry.mod_revision)
+        self._keyring.update_secret(record.secret, entry.mod_revision)
 
     def _tell(self, revision: int) -> None:
         value = msgspec.json.encode(revision)
--- a/src/radishwind/sidecar/tests/test_forged.py
+++ b/src/radishwind/sidecar/tests/test_forged.py
@@ -27,13 +27,13 @@
 from radishwind.peers.attempts import ANSWER_FIELD
 from radishwind.peers.attempts import ATTEMPT_FIELD
 from radishwind.peers.attempts import AttemptInfo
-from radishwind.peers.client import CONTROL_PREFIX
-from radishwind.peers.datagrams import Channel
-from radishwind.peers.fleet_security import FleetDatagrams
+from radishwind.peers.fleet_security import FleetDatagramAuthenticator
 from radishwind.peers.fleet_security import FleetSigner
 from radishwind.peers.fleet_security import START_FIELD
-from radishwind.peers.fleet_security import Starts
+from radishwind.peers.fleet_security import StartIds
 from radishwind.peers.keyring import Keyring
+from radishwind.peers.peer_client import CONTROL_PREFIX
+from radishwind.peers.peer_socket import Channel
 from radishwind.peers.signing import AUTH_FIELD
 from radishwind.routes import messages as routes
 from radishwind.routes import Part
@@ -96,13 +96,13 @@
         self.node._build()
         self.peers = self.node._peers
         if secret is not None:
-            self.peers.keyring.learn(secret, 1)
+            self.peers.keyring.update_secret(secret, 1)
         self.adopt(accounts=accounts)
         fact = MemberRecord("b-1", "s", "b", str(PEER), 5)
         self.node._membership._received(Push("b-1", 0, (fact,)))
         self.heard = []
         for channel in (Channel.RECENCY, Channel.QUOTAS):
-            self.peers.socket.add(channel, self._hear)
+            self.peers.socket.add_handler(channel, self._hear)
 
     def adopt(self, *, accounts, version=3):
         held = (Account(ACCOUNT, (b"d",)),) if accounts else ()
@@ -132,17 +132,19 @@
     def __init__(self, here, secret):
         self.keyring = Keyring(here.clock)
         if secret is not None:
-            self.keyring.learn(secret, 1)
-        self.keyring.follow(True, lenient=False)
-        starts = Starts(b"peer")
-        starts.note(HERE, here.peers._starts.own)
-        self.signer = FleetSigner(self.keyring, starts)
-        self.guard = FleetDatagrams(self.keyring, starts, PEER, here.clock)
+            self.keyring.update_secret(secret, 1)
+        self.keyring.set_has_accounts(True, with_grace=False)
+        start_ids = StartIds(b"peer")
+        start_ids.update(HERE, here.peers._start_ids.own)
+        self.signer = FleetSigner(self.keyring, start_ids)
+        self.authenticator = FleetDatagramAuthenticator(
+            self.keyring, start_ids, PEER, here.clock
+        )
         self.here = here
 
     def datagram(self, channel, data):
         plain = bytes((channel,)) + data
-        ((sent, _),) = self.guard.outgoing(plain, [HERE])
+        ((sent, _),) = self.authenticator.sign(plain, [HERE])
         return sent
 
     def signed(self, path, covered):
@@ -344,7 +346,7 @@
     sender = Sender(here, SECRET)
     await message.send(sender)
     sender.signer._number = 0
-    sender.guard._number = 0
+    sender.authenticator._number = 0
 
     await message.send(sender)
 
@@ -434,7 +436,7 @@
 
     assert answer.status == 401
     told = header(answer.headers, "radishwind-node-start")
-    assert told == here.peers._starts.own.hex()
+    assert told == here.peers._start_ids.own.hex()
 
 
 async def test_configuration_is_given_to_nobody_who_does_not_sign(here):
--- a/src/radishwind/sidecar/tests/test_link_side.py
+++ b/src/radishwind/sidecar/tests/test_link_side.py
@@ -49,7 +49,7 @@
 
 def test_without_a_link_in_the_settings_ways_are_fixed(clock):
     made = side(clock, link_mbps=0.0)
-    made.traffic.follow((FAR,))
+    made.traffic.set_members((FAR,))
     made.took_trip(FAR.address, 0.3)
     ways, fixed = made.ways(CROSS_DOMAIN_S), FixedPathCosts("a")
 
@@ -63,7 +63,7 @@
     made = side(clock)
     made.took_trip(FAR.address, 0.3)
     assert made.trips.fresh_means_s(0.0) == {}
-    made.traffic.follow((FAR,))
+    made.traffic.set_members((FAR,))
     made.took_trip(FAR.address, 0.3)
 
     assert made.trips.fresh_means_s(0.0) == {"b": 0.3}
--- a/src/radishwind/sidecar/tests/test_quotas.py
+++ b/src/radishwind/sidecar/tests/test_quotas.py
@@ -16,7 +16,7 @@
 from radishwind.membership.records import AdvertisedState
 from radishwind.membership.records import Liveness
 from radishwind.membership.records import MemberRecord
-from radishwind.peers.datagrams import PeerSocket
+from radishwind.peers.peer_socket import PeerSocket
 from radishwind.quotas.messages import encode
 from radishwind.quotas.messages import LeaseRequest
 from radishwind.quotas.messages import LeaseRequestItem
--- a/src/radishwind/sidecar/tests/test_secret.py
+++ b/src/radishwind/sidecar/tests/test_secret.py
@@ -152,12 +152,12 @@
 async def test_of_many_that_find_none_one_wins(store, running):
     nodes = [Node(store, Board(), i) for i in range(8)]
     for node in nodes:
-        node.keyring.follow(True, lenient=False)
+        node.keyring.set_has_accounts(True, with_grace=False)
     running(*nodes)
 
-    await until(lambda: not any(n.keyring.lacks for n in nodes))
+    await until(lambda: not any(n.keyring.lacks_secret for n in nodes))
 
-    secrets = {n.keyring.signing for n in nodes}
+    secrets = {n.keyring.signing_secret for n in nodes}
     assert secrets == {read_record(store.value).secret}
     assert len(next(iter(secrets))) == SECRET_BYTES
 
@@ -169,10 +169,12 @@
     maker = Node(store, rumor_bus, 1)
     others = [Node(store, rumor_bus, i, makes=False) for i in range(2, 9)]
     for node in (maker, *others):
-        node.keyring.follow(True, lenient=False)
+        node.keyring.set_has_accounts(True, with_grace=False)
     running(*others, maker)
 
-    await until(lambda: not any(n.keyring.lacks for n in (maker, *others)))
+    await until(
+        lambda: not any(n.keyring.lacks_secret for n in (maker, *others))
+    )
 
     assert store.calls.count("transact") == 1
     assert store.calls.count("get") == 1
@@ -189,13 +191,15 @@
     maker = Node(store, rumor_bus, 1)
     others = [Node(store, rumor_bus, i, makes=False) for i in range(2, 9)]
     for node in (maker, *others):
-        node.keyring.follow(True, lenient=True)
+        node.keyring.set_has_accounts(True, with_grace=True)
     running(*others, maker)
     await until(lambda: store.calls.count("get stale") > len(others))
 
     store.behind = False
 
-    await until(lambda: not any(n.keyring.lacks for n in (maker, *others)))
+    await until(
+        lambda: not any(n.keyring.lacks_secret for n in (maker, *others))
+    )
     assert store.calls.count("get") == 1
 
 
@@ -206,15 +210,15 @@
     maker = Node(store, rumor_bus, 1)
     other = Node(store, rumor_bus, 2, makes=False)
     for node in (maker, other):
-        node.keyring.follow(True, lenient=True)
+        node.keyring.set_has_accounts(True, with_grace=True)
     running(other, maker)
 
-    await until(lambda: not other.keyring.lacks)
+    await until(lambda: not other.keyring.lacks_secret)
 
 
 async def test_the_secret_is_told_to_nobody(store, rumor_bus, running):
     node = Node(store, rumor_bus)
-    node.keyring.follow(True, lenient=False)
+    node.keyring.set_has_accounts(True, with_grace=False)
     running(node)
 
     await until(lambda: rumor_bus.told)
@@ -231,10 +235,10 @@
 
     node.keeper.listed(StoreEntry(CONTACTS_KEY_PREFIX + "a", b"{}", 3, 3))
     node.keeper.listed(StoreEntry(KEY, value, 4, 4))
-    node.keyring.follow(True, lenient=False)
+    node.keyring.set_has_accounts(True, with_grace=False)
     await settled()
 
-    assert node.keyring.signing == b"s" * SECRET_BYTES
+    assert node.keyring.signing_secret == b"s" * SECRET_BYTES
     assert store.calls == []
 
 
@@ -265,7 +269,7 @@
     node = Node(store, rumor_bus)
     running(node)
 
-    node.keyring.follow(False, lenient=False)
+    node.keyring.set_has_accounts(False, with_grace=False)
     await settled()
 
     assert store.calls == []
@@ -273,13 +277,13 @@
 
 async def test_a_known_secret_costs_no_further_call(store, rumor_bus, running):
     node = Node(store, rumor_bus)
-    node.keyring.follow(True, lenient=False)
+    node.keyring.set_has_accounts(True, with_grace=False)
     running(node)
-    await until(lambda: not node.keyring.lacks)
+    await until(lambda: not node.keyring.lacks_secret)
     before = len(store.calls)
 
-    node.keyring.follow(False, lenient=False)
-    node.keyring.follow(True, lenient=False)
+    node.keyring.set_has_accounts(False, with_grace=False)
+    node.keyring.set_has_accounts(True, with_grace=False)
     await settled()
 
     assert len(store.calls) == before
@@ -290,23 +294,23 @@
 ):
     store.away = True
     node = Node(store, rumor_bus)
-    node.keyring.follow(True, lenient=False)
+    node.keyring.set_has_accounts(True, with_grace=False)
     running(node)
     await until(lambda: len(store.calls) >= 2)
-    assert node.keyring.lacks
+    assert node.keyring.lacks_secret
 
     store.away = False
 
-    await until(lambda: not node.keyring.lacks)
+    await until(lambda: not node.keyring.lacks_secret)
 
 
 async def test_a_write_whose_answer_is_lost_is_found(store, rumor_bus, running):
     store.lost = 1
     node = Node(store, rumor_bus)
-    node.keyring.follow(True, lenient=False)
+    node.keyring.set_has_accounts(True, with_grace=False)
     running(node)
 
-    await until(lambda: not node.keyring.lacks)
+    await until(lambda: not node.keyring.lacks_secret)
 
     assert store.calls.count("transact") == 1
 
@@ -317,12 +321,12 @@
     store.replace(msgspec.json.encode(SecretRecord(b"s" * SECRET_BYTES)))
     store.behind = True
     node = Node(store, rumor_bus)
-    node.keyring.follow(True, lenient=False)
+    node.keyring.set_has_accounts(True, with_grace=False)
     running(node)
 
-    await until(lambda: not node.keyring.lacks)
+    await until(lambda: not node.keyring.lacks_secret)
 
-    assert node.keyring.signing == b"s" * SECRET_BYTES
+    assert node.keyring.signing_secret == b"s" * SECRET_BYTES
     assert "transact" not in store.calls
 
 
@@ -332,10 +336,10 @@
 ):
     store.replace(value)
     node = Node(store, rumor_bus)
-    node.keyring.follow(True, lenient=False)
+    node.keyring.set_has_accounts(True, with_grace=False)
     running(node)
 
-    await until(lambda: not node.keyring.lacks)
+    await until(lambda: not node.keyring.lacks_secret)
 
     assert read_record(store.value) is not None
 
@@ -345,38 +349,38 @@
 ):
     nodes = [Node(store, rumor_bus, i, makes=i == 1) for i in range(1, 4)]
     for node in nodes:
-        node.keyring.follow(True, lenient=False)
+        node.keyring.set_has_accounts(True, with_grace=False)
     running(*nodes)
-    await until(lambda: not any(n.keyring.lacks for n in nodes))
-    before = nodes[0].keyring.signing
+    await until(lambda: not any(n.keyring.lacks_secret for n in nodes))
+    before = nodes[0].keyring.signing_secret
 
     store.value = None
     started = Node(store, rumor_bus, 9)
-    started.keyring.follow(True, lenient=False)
+    started.keyring.set_has_accounts(True, with_grace=False)
     running(started)
     nodes.append(started)
 
-    await until(lambda: len({n.keyring.signing for n in nodes}) == 1)
-    assert started.keyring.signing != before
-    assert all(before in n.keyring.accepted for n in nodes[:3])
+    await until(lambda: len({n.keyring.signing_secret for n in nodes}) == 1)
+    assert started.keyring.signing_secret != before
+    assert all(before in n.keyring.accepted_secrets for n in nodes[:3])
 
 
 async def test_forged_messages_cause_few_looks(store, rumor_bus, running):
     node = Node(store, rumor_bus)
-    node.keyring.follow(True, lenient=False)
+    node.keyring.set_has_accounts(True, with_grace=False)
     running(node)
-    await until(lambda: not node.keyring.lacks)
+    await until(lambda: not node.keyring.lacks_secret)
     before = len(store.calls)
 
     for _ in range(200):
-        node.keyring.doubt()
+        node.keyring.suspect_outdated()
         await settled()
     await settled()
     assert len(store.calls) == before + 1
 
     for _ in range(600):
         node.clock.advance(1.0)
-        node.keyring.doubt()
+        node.keyring.suspect_outdated()
         await settled()
     assert len(store.calls) <= before + 40
 
@@ -395,9 +399,9 @@
     store, rumor_bus, running
 ):
     node = Node(store, rumor_bus)
-    node.keyring.follow(True, lenient=False)
+    node.keyring.set_has_accounts(True, with_grace=False)
     running(node)
-    await until(lambda: not node.keyring.lacks)
+    await until(lambda: not node.keyring.lacks_secret)
     store.away = True
     before = len(store.calls)
 
@@ -407,14 +411,14 @@
     await settled()
     assert len(store.calls) == before + 1
     for _ in range(50):
-        node.keyring.doubt()
+        node.keyring.suspect_outdated()
         await settled()
     assert len(store.calls) == before + 1
 
     store.away = False
     node.clock.advance(secret._LONGEST_DOUBT_S)
-    node.keyring.doubt()
-    await until(lambda: node.keyring.signing == b"n" * SECRET_BYTES)
+    node.keyring.suspect_outdated()
+    await until(lambda: node.keyring.signing_secret == b"n" * SECRET_BYTES)
     assert len(store.calls) == before + 2
 
 
@@ -422,14 +426,14 @@
     store, rumor_bus, running
 ):
     node = Node(store, rumor_bus)
-    node.keyring.follow(True, lenient=False)
+    node.keyring.set_has_accounts(True, with_grace=False)
     running(node)
-    await until(lambda: not node.keyring.lacks)
-    node.keyring.doubt()
+    await until(lambda: not node.keyring.lacks_secret)
+    node.keyring.suspect_outdated()
     await settled()
 
     store.replace(msgspec.json.encode(SecretRecord(b"n" * SECRET_BYTES)))
     for handler in rumor_bus.handlers:
         handler("record", msgspec.json.encode(store.revision))
 
-    await until(lambda: node.keyring.signing == b"n" * SECRET_BYTES)
+    await until(lambda: node.keyring.signing_secret == b"n" * SECRET_BYTES)
--- a/src/radishwind/sidecar/tests/test_unchecked.py
+++ b/src/radishwind/sidecar/tests/test_unchecked.py
@@ -77,7 +77,7 @@
     def adopt(self, version, source, accounts=ACCOUNTS, raw=None):
         cfg = RouteConfig(version, (ROUTE,), {}, accounts=accounts)
         self.routes.adopt(cfg, raw or str(version).encode(), source)
-        self.keyring.follow(bool(accounts), lenient=False)
+        self.keyring.set_has_accounts(bool(accounts), with_grace=False)
 
 
 @pytest.fixture
@@ -106,11 +106,11 @@
     await settled()
     assert node.calls == 0
 
-    node.keyring.learn(b"s" * 32, 1)
+    node.keyring.update_secret(b"s" * 32, 1)
 
     await until(lambda: node.forged)
     assert node.calls == 2
-    assert node.keyring.signing is None
+    assert node.keyring.signing_secret is None
 
 
 @pytest.mark.parametrize("behind", [False, True])
@@ -118,18 +118,18 @@
     node.behind = behind
     node.adopt(7, "peer 10.6.6.6", raw=b"07")
 
-    node.keyring.learn(b"s" * 32, 1)
+    node.keyring.update_secret(b"s" * 32, 1)
 
     await until(lambda: node.forged)
     assert node.calls == 2
-    assert node.keyring.signing is None
+    assert node.keyring.signing_secret is None
 
 
 async def test_version_where_the_store_has_none_is_found_out(node):
     node.value = None
     node.adopt(1, "peer 10.6.6.6")
 
-    node.keyring.learn(b"s" * 32, 1)
+    node.keyring.update_secret(b"s" * 32, 1)
 
     await until(lambda: node.forged)
 
@@ -138,19 +138,19 @@
 async def test_version_of_the_operator_stays(node, version):
     node.adopt(version, "peer 10.0.0.2")
 
-    node.keyring.learn(b"s" * 32, 1)
+    node.keyring.update_secret(b"s" * 32, 1)
     await settled()
 
     assert node.calls == 1
     assert not node.forged
-    assert node.keyring.signing is not None
+    assert node.keyring.signing_secret is not None
 
 
 async def test_an_old_answer_of_the_store_proves_nothing(node):
     node.behind = True
     node.adopt(7, "peer 10.0.0.2")
 
-    node.keyring.learn(b"s" * 32, 1)
+    node.keyring.update_secret(b"s" * 32, 1)
     await settled()
 
     assert node.calls == 2
@@ -163,12 +163,12 @@
     node.meanwhile = lambda: node.adopt(9, source)
     node.adopt(7, "peer 10.0.0.2")
 
-    node.keyring.learn(b"s" * 32, 1)
+    node.keyring.update_secret(b"s" * 32, 1)
     await settled()
 
     assert node.calls == 2
     assert not node.forged
-    assert node.keyring.signing is not None
+    assert node.keyring.signing_secret is not None
 
 
 async def test_what_replaces_a_forged_version_meanwhile_is_compared(node):
@@ -179,23 +179,23 @@
     node.behind = True
     node.meanwhile = replaced
     node.adopt(8, "peer 10.6.6.6")
-    node.keyring.learn(b"s" * 32, 1)
+    node.keyring.update_secret(b"s" * 32, 1)
     await until(lambda: node.calls == 2)
     assert not node.forged
-    assert node.keyring.signing is None
+    assert node.keyring.signing_secret is None
     node.value = b"9"
 
-    await until(lambda: node.keyring.signing is not None)
+    await until(lambda: node.keyring.signing_secret is not None)
     assert not node.forged
 
 
 async def test_store_that_is_away_is_asked_again(node):
     node.away = True
     node.adopt(999, "peer 10.6.6.6")
-    node.keyring.learn(b"s" * 32, 1)
+    node.keyring.update_secret(b"s" * 32, 1)
     await until(lambda: node.calls >= 3)
     assert not node.forged
-    assert node.keyring.signing is None
+    assert node.keyring.signing_secret is None
 
     node.away = False
 
@@ -205,7 +205,7 @@
 async def test_what_came_from_the_store_or_signed_costs_no_call(node):
     node.adopt(3, "peer 10.0.0.2")
     node.adopt(7, "store")
-    node.keyring.learn(b"s" * 32, 1)
+    node.keyring.update_secret(b"s" * 32, 1)
     node.adopt(9, "peer 10.0.0.2")
     await settled()
 
@@ -222,7 +222,7 @@
 async def test_store_that_nobody_can_read_changes_nothing(node):
     node.value = b"x"
     node.adopt(999, "peer 10.6.6.6")
-    node.keyring.learn(b"s" * 32, 1)
+    node.keyring.update_secret(b"s" * 32, 1)
     await settled()
 
     assert node.calls == 1
--- a/src/radishwind/sidecar/unchecked.py
+++ b/src/radishwind/sidecar/unchecked.py
@@ -59,12 +59,12 @@
         self._unchecked = False
         self._due = anyio.Event()
         routes.listen(self._adopted)
-        keyring.listen(self._wake)
+        keyring.subscribe(self._wake)
 
     async def run(self) -> None:
         """Runs until cancelled."""
         while True:
-            while self._unchecked and self._keyring.knows:
+            while self._unchecked and self._keyring.has_secret:
                 await self._compare()
                 if self._unchecked:
                     await anyio.sleep(_AGAIN_S)
@@ -74,14 +74,14 @@
     def _adopted(self, cfg: RouteConfig) -> None:
         if self._routes.source == SOURCE:
             self._settle()
-        elif not self._keyring.knows:
+        elif not self._keyring.has_secret:
             self._unchecked = True
-            self._keyring.held = True
+            self._keyring.is_signing_paused = True
 
     def _settle(self) -> None:
         """Lets the node sign: what it believes is the operator's."""
         self._unchecked = False
-        self._keyring.held = False
+        self._keyring.is_signing_paused = False
 
     def _wake(self) -> None:
         self._due.set()
--- a/src/radishwind/target/leaving_records.py
+++ b/src/radishwind/target/leaving_records.py
@@ -20,8 +20,8 @@
 from radishwind.membership.directory import Member
 from radishwind.membership.directory import MemberState
 from radishwind.membership.rumor_bus import RumorBus
-from radishwind.peers.client import PeerClient
-from radishwind.peers.client import PeerError
+from radishwind.peers.peer_client import PeerClient
+from radishwind.peers.peer_client import PeerError
 from radishwind.store.base import Put
 from radishwind.store.base import Store
 from radishwind.store.base import StoreError
--- a/src/radishwind/target/tests/test_leaving_records.py
+++ b/src/radishwind/target/tests/test_leaving_records.py
@@ -11,7 +11,7 @@
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
 from radishwind.membership.rumor_bus import NullRumorBus
-from radishwind.peers.client import HttpPeerClient
+from radishwind.peers.peer_client import HttpPeerClient
 from radishwind.store.base import StoreUnavailableError
 from radishwind.target.leaving_records import LeavingRecords
 from radishwind.target.server_process import ServerProcess
--- a/tests/proofs/plays.py
+++ b/tests/proofs/plays.py
@@ -78,7 +78,7 @@
     "not run told after a cut": Weak({"guard": CutMeansNotRun}),
     "answer taken for another attempt": Weak(
         patch=lambda: mock.patch.object(
-            peer_attempts, "_read_answer", _any_answer
+            peer_attempts, "_decode_answer", _any_answer
         )
     ),
     "last outcome told": Weak(
--- a/tests/support/recency_net.py
+++ b/tests/support/recency_net.py
@@ -142,7 +142,7 @@
         self.renewer.connect(self.side.confirm, self._on_newer_version)
 
     # Interface of a peer socket.
-    def add(self, channel, handler):
+    def add_handler(self, channel, handler):
         self.handler = handler
 
     def send(self, channel, data, peers):
--- a/tests/test_peers_processes.py
+++ b/tests/test_peers_processes.py
@@ -15,7 +15,7 @@
 from radishwind.membership.records import MemberRecord
 from radishwind.peers.attempts import ATTEMPT_FIELD
 from radishwind.peers.attempts import AttemptInfo
-from radishwind.peers.datagrams import Channel
+from radishwind.peers.peer_socket import Channel
 from radishwind.sidecar.secret import KEY
 from radishwind.standins.platform_fleet import Fleet
 from radishwind.standins.platform_fleet import HOST
