--- a/src/radishwind/store/__init__.py
+++ b/src/radishwind/store/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's key-value store, behind the abstract base class `Store`."""
+"""Client of the platform's key-value store."""
 
 from radishwind.store.base import Compare
 from radishwind.store.base import Delete
--- a/src/radishwind/store/base.py
+++ b/src/radishwind/store/base.py
@@ -1,4 +1,4 @@
-"""The interface of the store: compare-and-swap, leases and watches."""
+"""Interface of the key-value store: compare-and-swap, leases and watches."""
 
 import abc
 from collections.abc import AsyncIterator
@@ -12,35 +12,41 @@
 
 
 class StoreError(RadishwindError):
-    """A call of the store failed."""
+    """A call to the store failed."""
 
 
 class StoreUnavailableError(StoreError):
-    """The call certainly had no effect: no connection, or refused unread."""
+    """The call certainly had no effect.
+
+    The connection failed, or the store rejected the call without applying it.
+    """
 
     code = ResultCode.STORE_UNAVAILABLE
 
 
 class StoreAnswerLostError(StoreError):
-    """The call may have had its effect; its answer never came."""
+    """No response arrived; the call may have taken effect."""
 
     code = ResultCode.STORE_ANSWER_LOST
 
 
 class StoreAnswerMalformedError(StoreAnswerLostError):
-    """The answer cannot be read, so what the call did is unknown."""
+    """The response is malformed; the call may have taken effect."""
 
     code = ResultCode.STORE_ANSWER_MALFORMED
 
 
 class StoreCompactedError(StoreError):
-    """The store no longer has the revision that a watch was to start from."""
+    """The start revision of a watch has been compacted away."""
 
     code = ResultCode.STORE_UNAVAILABLE
 
 
 class StoreBudgetError(StoreUnavailableError):
-    """The call was not sent: this node's budget of store calls is spent."""
+    """The call was not sent, as this node's budget of store calls is spent.
+
+    Also raised while calls are paused after failures.
+    """
 
 
 class StoreEntry(msgspec.Struct, frozen=True):
@@ -51,9 +57,10 @@
       value: the value, at most 1 MB.
       create_revision: the store's revision at which the key was created.
       mod_revision: the store's revision of the last change of the key.
-      lease_id: the lease it hangs on; 0 for none.
-      store_revision: of the store when it answered, from which a watch misses
-        nothing (of several entries the lowest); 0 where it was not told.
+      lease_id: ID of the lease the key is attached to; 0 for none.
+      store_revision: the store's revision at the time of the read, the lowest
+        one if a list was read in several pages. A watch that starts from it
+        misses no change. 0 if the store did not state it.
     """
 
     key: str
@@ -69,8 +76,10 @@
 
     Attributes:
       key: the key.
-      mod_revision: what its last change must be; 0 for "does not exist".
-      create_revision: what its creation must be, instead of `mod_revision`.
+      mod_revision: required revision of the key's last change; 0 if the key
+        must not exist.
+      create_revision: required revision of the key's creation; if given, it
+        is compared instead of `mod_revision`.
     """
 
     key: str
@@ -79,7 +88,7 @@
 
 
 class Put(msgspec.Struct, frozen=True):
-    """Sets a key, on a lease where `lease_id` (ID, not 0) is given."""
+    """Sets a key; attaches it to the lease `lease_id` unless that is 0."""
 
     key: str
     value: bytes
@@ -87,7 +96,7 @@
 
 
 class Delete(msgspec.Struct, frozen=True):
-    """Removes a key."""
+    """Deletes a key."""
 
     key: str
 
@@ -96,11 +105,11 @@
 
 
 class TxnResult(msgspec.Struct, frozen=True):
-    """What a transaction did.
+    """Result of a transaction.
 
     Attributes:
-      succeeded: whether every condition held, so that the changes were made.
-      revision: the store's revision after it.
+      succeeded: whether all conditions held and the changes were applied.
+      revision: the store's revision after the transaction.
     """
 
     succeeded: bool
@@ -108,11 +117,11 @@
 
 
 class WatchEvent(msgspec.Struct, frozen=True):
-    """A change seen by a watch.
+    """A change reported by a watch.
 
     Attributes:
-      key: the key changed.
-      entry: its new value, `None` if it was removed.
+      key: the changed key.
+      entry: the new entry, `None` if the key was deleted.
       revision: the store's revision of the change.
     """
 
@@ -122,79 +131,81 @@
 
 
 class Store(abc.ABC):
-    """The part of the store that is used; every method is one call of it.
+    """Client of the key-value store.
 
-    Every method raises `StoreUnavailableError` where the call certainly had no
-    effect, and `StoreAnswerLostError` where that cannot be told.
+    Each method makes one call to the store, except that `list` makes one per
+    page. Each raises `StoreUnavailableError` if the call certainly had no
+    effect and `StoreAnswerLostError` if it may have taken effect.
     """
 
     @abc.abstractmethod
     async def get(
         self, key: str, *, allow_stale: bool = False
     ) -> StoreEntry | None:
-        """Returns the entry of `key`, if it exists.
+        """Returns the entry of `key`, `None` if it does not exist.
 
         Args:
           key: the key.
-          allow_stale: whether an answer that is seconds old will do; a store
-            gives it more cheaply, from any of its replicas.
+          allow_stale: accepts a value that is seconds old. Such a read is
+            cheaper for the store, since any of its replicas can serve it.
         """
 
     @abc.abstractmethod
     async def list(
         self, prefix: str, limit: int = 0, *, allow_stale: bool = False
     ) -> tuple[StoreEntry, ...]:
-        """Returns the entries whose key starts with `prefix`, by key.
+        """Returns the entries whose key starts with `prefix`, sorted by key.
 
-        It is read in pages, each a call of the store, so a key changed
-        meanwhile may be seen in either state.
+        The entries are read in pages, each of them one call to the store. A
+        key that changes during the read may be returned in either state.
 
         Args:
-          prefix: what the keys start with, not empty.
-          limit: how many entries at most, the first by key; 0 for all.
-          allow_stale: as with `get`.
+          prefix: prefix of the keys, not empty.
+          limit: maximum number of entries, the first by key; 0 for all.
+          allow_stale: as for `get`.
         """
 
     @abc.abstractmethod
     async def revision(self) -> int:
-        """Returns the store's revision, no older than this call.
+        """Returns the store's current revision by a linearizable read.
 
-        While it stays the same, nothing in the store has changed.
+        Nothing in the store has changed as long as the revision is the same.
         """
 
     @abc.abstractmethod
     async def transact(
         self, compares: Sequence[Compare], operations: Sequence[Operation]
     ) -> TxnResult:
-        """Makes all changes at once if every condition holds, else none."""
+        """Applies all changes atomically if all conditions hold, else none."""
 
     @abc.abstractmethod
     async def grant(self, ttl_s: int) -> int:
-        """Returns the ID of a new lease that lapses after `ttl_s` (s)."""
+        """Creates a lease that expires after `ttl_s` (s); returns its ID."""
 
     @abc.abstractmethod
     async def keep_alive(self, lease_id: int) -> int:
-        """Renews a lease; returns its new time to live (s), 0 if lapsed."""
+        """Renews a lease; returns its new time to live (s), 0 if expired."""
 
     @abc.abstractmethod
     async def revoke(self, lease_id: int) -> None:
-        """Ends a lease; the keys on it are removed."""
+        """Revokes a lease; the store deletes the keys attached to it."""
 
     @abc.abstractmethod
     def watch(
         self, prefix: str, from_revision: int
     ) -> AsyncIterator[WatchEvent]:
-        """Yields changes below `prefix` until the watch fails.
+        """Yields changes of keys that start with `prefix` until it fails.
 
-        It is one waiting call of the store.
+        A watch is one long-lived call to the store.
 
         Args:
-          prefix: what the keys start with, not empty.
-          from_revision: the first revision told; 0 for the next change.
+          prefix: prefix of the keys, not empty.
+          from_revision: first revision reported; 0 for changes from now on.
 
         Raises:
-          StoreCompactedError: `from_revision` is too old: read anew.
-          StoreError: the watch broke or was refused.
+          StoreCompactedError: `from_revision` has been compacted away; the
+            caller has to read the keys again.
+          StoreError: the watch was rejected or interrupted.
         """
 
     @abc.abstractmethod
--- a/src/radishwind/store/budgeted_store.py
+++ b/src/radishwind/store/budgeted_store.py
@@ -1,8 +1,8 @@
-"""A node's budget of store calls, and pauses while the store fails.
+"""Rate limit and back-off of a node's calls to the store.
 
-The store's rates grow more slowly than the fleet, so each node bounds its own
-calls; after a restart of all nodes at once the bound and the random pauses
-keep their sum in reach of the store.
+The rates that the store sustains grow more slowly than the fleet, so each node
+limits its own calls. When all nodes restart at once, the limit and the
+randomized pauses keep the total load within what the store can handle.
 """
 
 from collections.abc import AsyncIterator
@@ -23,19 +23,25 @@
 
 
 class TokenBucket:
-    """Tokens that come back at a rate up to a burst; time is passed in."""
+    """Token bucket; the caller passes in the time.
+
+    Args:
+      rate_per_s: refill rate (1/s).
+      burst: capacity in tokens; the bucket starts full.
+      now: current monotonic time (s).
+    """
 
     def __init__(self, rate_per_s: float, burst: float, now: float) -> None:
         self._rate_per_s = rate_per_s
         self._burst = burst
         self._tokens = burst
-        self._at = now
+        self._refilled_at = now
 
     def try_spend(self, now: float) -> bool:
-        """Takes one token; returns whether there was one."""
-        gained = max(0.0, now - self._at) * self._rate_per_s
-        self._tokens = min(self._burst, self._tokens + gained)
-        self._at = max(self._at, now)
+        """Spends one token; returns false if none is left at `now` (s)."""
+        refill = max(0.0, now - self._refilled_at) * self._rate_per_s
+        self._tokens = min(self._burst, self._tokens + refill)
+        self._refilled_at = max(self._refilled_at, now)
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -43,10 +49,18 @@
 
 
 class Backoff:
-    """Pauses that double with each failure, chosen at random ("full jitter").
+    """Exponential back-off with random jitter.
+
+    Each pause is drawn uniformly between half of `initial_s` and an upper
+    bound that doubles with each consecutive failure.
+
+    Args:
+      rng: source of the jitter.
+      initial_s: upper bound of the first pause (s).
+      max_s: longest pause (s).
 
     Attributes:
-      failures: failures in a row.
+      failures: number of consecutive failures.
     """
 
     def __init__(
@@ -58,27 +72,29 @@
         self.failures = 0
 
     def record_failure(self) -> float:
-        """Counts a failure; returns how long to pause (s)."""
+        """Counts a failure; returns the duration of the next pause (s)."""
         doublings = min(self.failures, 30)
         self.failures += 1
-        ceiling = min(self._max_s, self._initial_s * 2**doublings)
-        return self._rng.uniform(self._initial_s / 2, ceiling)
+        bound_s = min(self._max_s, self._initial_s * 2**doublings)
+        return self._rng.uniform(self._initial_s / 2, bound_s)
 
     def record_success(self) -> None:
-        """Ends the row of failures."""
+        """Resets the number of consecutive failures."""
         self.failures = 0
 
 
 class StoreBudget(msgspec.Struct, frozen=True):
-    """What one node may ask of the store.
+    """Limits on one node's calls to the store.
 
     Attributes:
-      calls_per_s: calls in the long run (1/s).
-      burst: calls at once.
-      pause_after_failures: failures in a row that start a pause, in which
-        calls are refused unsent.
-      initial_pause_s: the upper bound of the first pause (s); it doubles.
-      max_pause_s: the longest pause (s).
+      calls_per_s: sustained rate of calls (1/s).
+      burst: number of calls that may be sent at once.
+      pause_after_failures: number of consecutive failures from which on each
+        failure starts a pause. Calls are refused without being sent during a
+        pause.
+      initial_pause_s: upper bound of the pause after the first failure (s);
+        it doubles with each further failure.
+      max_pause_s: longest pause (s).
     """
 
     calls_per_s: float = 20.0
@@ -89,15 +105,17 @@
 
 
 class BudgetedStore(Store):
-    """Passes calls on within the budget; counts them by kind.
+    """Forwards calls to another store within a budget; counts them by kind.
 
-    A call beyond the budget, or during a pause, raises `StoreBudgetError` at
-    once: it had no effect, and nobody waits for a store that is away.
+    A call that exceeds the budget or falls into a pause raises
+    `StoreBudgetError` at once. It certainly had no effect, and the caller does
+    not wait for a store that is unavailable.
 
     Attributes:
-      calls: calls sent, by kind; a watch counts as one.
-      refused: calls not sent.
-      failed: calls sent that failed.
+      call_counts: number of calls sent, by kind; a watch counts as one call,
+        and so does a list of several pages.
+      refused_count: number of calls not sent.
+      failed_count: number of calls sent that failed.
     """
 
     def __init__(
@@ -122,51 +140,51 @@
     async def get(
         self, key: str, *, allow_stale: bool = False
     ) -> StoreEntry | None:
-        self._spend("get stale" if allow_stale else "get")
-        with _Watched(self):
+        self._admit("get stale" if allow_stale else "get")
+        with _RecordResult(self):
             return await self._inner.get(key, allow_stale=allow_stale)
 
     async def list(
         self, prefix: str, limit: int = 0, *, allow_stale: bool = False
     ) -> tuple[StoreEntry, ...]:
-        self._spend("list stale" if allow_stale else "list")
-        with _Watched(self):
+        self._admit("list stale" if allow_stale else "list")
+        with _RecordResult(self):
             return await self._inner.list(
                 prefix, limit, allow_stale=allow_stale
             )
 
     async def revision(self) -> int:
-        self._spend("revision")
-        with _Watched(self):
+        self._admit("revision")
+        with _RecordResult(self):
             return await self._inner.revision()
 
     async def transact(
         self, compares: Sequence[Compare], operations: Sequence[Operation]
     ) -> TxnResult:
-        self._spend("transact")
-        with _Watched(self):
+        self._admit("transact")
+        with _RecordResult(self):
             return await self._inner.transact(compares, operations)
 
     async def grant(self, ttl_s: int) -> int:
-        self._spend("grant")
-        with _Watched(self):
+        self._admit("grant")
+        with _RecordResult(self):
             return await self._inner.grant(ttl_s)
 
     async def keep_alive(self, lease_id: int) -> int:
-        self._spend("keep_alive")
-        with _Watched(self):
+        self._admit("keep_alive")
+        with _RecordResult(self):
             return await self._inner.keep_alive(lease_id)
 
     async def revoke(self, lease_id: int) -> None:
-        self._spend("revoke")
-        with _Watched(self):
+        self._admit("revoke")
+        with _RecordResult(self):
             await self._inner.revoke(lease_id)
 
     async def watch(
         self, prefix: str, from_revision: int
     ) -> AsyncIterator[WatchEvent]:
-        self._spend("watch")
-        with _Watched(self):
+        self._admit("watch")
+        with _RecordResult(self):
             async for event in self._inner.watch(prefix, from_revision):
                 self._backoff.record_success()
                 yield event
@@ -174,15 +192,23 @@
     async def close(self) -> None:
         await self._inner.close()
 
-    def _spend(self, kind: str) -> None:
+    def _admit(self, kind: str) -> None:
+        """Counts a call of `kind` that is about to be sent.
+
+        Raises:
+          StoreBudgetError: the budget is spent or calls are paused.
+        """
         now = self._clock.monotonic()
         if now < self._paused_until or not self._bucket.try_spend(now):
             self.refused_count += 1
-            raise StoreBudgetError(f"{kind}: not sent, budget spent or paused")
+            raise StoreBudgetError(
+                f"{kind}: not sent; the budget of store calls is spent, or "
+                "calls are paused after failures"
+            )
         self.call_counts[kind] = self.call_counts.get(kind, 0) + 1
 
-    def _settle(self, failed: bool) -> None:
-        if not failed:
+    def _record_result(self, is_failure: bool) -> None:
+        if not is_failure:
             self._backoff.record_success()
             return
         self.failed_count += 1
@@ -191,8 +217,12 @@
             self._paused_until = self._clock.monotonic() + pause_s
 
 
-class _Watched:
-    """Notes whether the call inside the `with` block failed."""
+class _RecordResult:
+    """Records whether the call inside the `with` block failed.
+
+    Other exceptions than a `StoreError`, such as a cancellation, count neither
+    as a success nor as a failure.
+    """
 
     def __init__(self, store: BudgetedStore) -> None:
         self._store = store
@@ -201,6 +231,6 @@
         return None
 
     def __exit__(self, kind: type[BaseException] | None, *_: object) -> None:
-        failed = kind is not None and issubclass(kind, StoreError)
-        if failed or kind is None:
-            self._store._settle(failed)
+        is_failure = kind is not None and issubclass(kind, StoreError)
+        if is_failure or kind is None:
+            self._store._record_result(is_failure)
--- a/src/radishwind/store/etcd_store.py
+++ b/src/radishwind/store/etcd_store.py
@@ -1,4 +1,4 @@
-"""`Store` spoken by the JSON gateway of etcd's v3 API."""
+"""`Store` on top of the JSON gateway of etcd's v3 API."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Sequence
@@ -29,22 +29,29 @@
 
 _CONNECT_TIMEOUT_S = 1.0
 
-#: Entries asked for at once, so that an answer stays in the range of
+#: Entries per page of a list. It keeps the size of a response in the range of
 #: megabytes.
 PAGE_ENTRIES = 200
 
-#: Statuses by which the gateway says that it refused a call unread or before
-#: it was proposed: bad argument, not authenticated, not permitted, not found,
-#: too large, too many, not implemented. Others (500, 503, 504) leave open
-#: whether a write took effect.
-_NO_EFFECT = frozenset({400, 401, 403, 404, 413, 429, 501})
+#: Statuses that the gateway sends if it rejected a call before it was proposed
+#: to the cluster: bad argument, not authenticated, not permitted, not found,
+#: too large, too many requests, not implemented. After any other error status
+#: (500, 503, 504), a write may have taken effect.
+_NO_EFFECT_STATUSES = frozenset({400, 401, 403, 404, 413, 429, 501})
 
-#: A key that nobody writes.
-_NO_KEY = b"\0"
+#: A key that never exists. Reading it returns the store's revision alone.
+_ABSENT_KEY = b"\0"
 
 
 class EtcdStore(Store):
-    """Calls the store at one address; a call is never sent twice."""
+    """Client of an etcd store at one address; it never retries a call.
+
+    Args:
+      sender: sends the HTTP requests.
+      address: address of the gateway.
+      timeout_s: how long a call may take (s); for a watch, until the headers
+        of the response.
+    """
 
     def __init__(
         self, sender: Sender, address: Address, timeout_s: float = 2.0
@@ -60,7 +67,7 @@
             "key": gateway.encode_bytes(key.encode()),
             "serializable": allow_stale,
         }
-        entries = gateway.read_entries(await self._call("kv/range", body))
+        entries = gateway.parse_entries(await self._call("kv/range", body))
         return entries[0] if entries else None
 
     async def list(
@@ -69,50 +76,54 @@
         entries: list[StoreEntry] = []
         start = prefix.encode()
         while True:
-            page = PAGE_ENTRIES
+            page_limit = PAGE_ENTRIES
             if limit:
-                page = min(page, limit - len(entries))
+                page_limit = min(page_limit, limit - len(entries))
             body = {
                 "key": gateway.encode_bytes(start),
                 "range_end": gateway.encode_bytes(gateway.prefix_end(prefix)),
-                "limit": page,
+                "limit": page_limit,
                 "serializable": allow_stale,
             }
-            got = gateway.read_entries(await self._call("kv/range", body))
-            entries.extend(got)
-            if len(got) < page or len(entries) == limit:
+            page = gateway.parse_entries(await self._call("kv/range", body))
+            entries.extend(page)
+            if len(page) < page_limit or len(entries) == limit:
                 return tuple(entries)
-            start = _next_start(start, got)
+            start = _next_page_start(start, page)
 
     async def revision(self) -> int:
-        body = {"key": gateway.encode_bytes(_NO_KEY), "count_only": True}
-        return gateway.read_revision(await self._call("kv/range", body))
+        body = {"key": gateway.encode_bytes(_ABSENT_KEY), "count_only": True}
+        return gateway.parse_revision(await self._call("kv/range", body))
 
     async def transact(
         self, compares: Sequence[Compare], operations: Sequence[Operation]
     ) -> TxnResult:
-        answer = await self._call(
+        message = await self._call(
             "kv/txn",
             {
-                "compare": [gateway.compare_message(c) for c in compares],
-                "success": [gateway.operation_message(o) for o in operations],
+                "compare": [gateway.encode_compare(c) for c in compares],
+                "success": [gateway.encode_operation(o) for o in operations],
             },
         )
-        succeeded = answer.get("succeeded", False)
+        succeeded = message.get("succeeded", False)
         if not isinstance(succeeded, bool):
-            raise StoreAnswerMalformedError("kv/txn: expected true or false")
-        return TxnResult(succeeded, gateway.read_revision(answer))
+            raise StoreAnswerMalformedError(
+                "kv/txn: expected true or false in the field succeeded"
+            )
+        return TxnResult(succeeded, gateway.parse_revision(message))
 
     async def grant(self, ttl_s: int) -> int:
-        answer = await self._call("lease/grant", {"TTL": ttl_s, "ID": 0})
-        return gateway.read_int(answer, "ID")
+        message = await self._call("lease/grant", {"TTL": ttl_s, "ID": 0})
+        return gateway.parse_int(message, "ID")
 
     async def keep_alive(self, lease_id: int) -> int:
-        answer = await self._call("lease/keepalive", {"ID": lease_id})
-        return gateway.read_int(answer.get("result"), "TTL", 0)
+        message = await self._call("lease/keepalive", {"ID": lease_id})
+        return gateway.parse_int(message.get("result"), "TTL", 0)
 
     async def revoke(self, lease_id: int) -> None:
-        await self._call("lease/revoke", {"ID": lease_id}, absent_is_fine=True)
+        await self._call(
+            "lease/revoke", {"ID": lease_id}, ignore_not_found=True
+        )
 
     async def watch(
         self, prefix: str, from_revision: int
@@ -127,36 +138,53 @@
             with anyio.fail_after(self._timeout_s):
                 response = await self._send("watch", payload)
         except TimeoutError as exc:
-            raise StoreUnavailableError("watch: no answer in time") from exc
+            raise StoreUnavailableError(
+                "watch: no response within the timeout"
+            ) from exc
         if response.status != 200:
             abort_body(response.body)
-            raise StoreUnavailableError(f"watch: status {response.status}")
+            raise StoreUnavailableError(
+                f"watch: expected status 200, got {response.status}"
+            )
         try:
-            async for line in _lines(response.body):
-                for event in gateway.read_watch(line):
+            async for line in _iterate_lines(response.body):
+                for event in gateway.parse_watch_message(line):
                     yield event
         except ExchangeBrokenError as exc:
             raise StoreUnavailableError(f"watch: {exc}") from exc
         finally:
             abort_body(response.body)
-        raise StoreUnavailableError("watch: the store closed it")
+        raise StoreUnavailableError("watch: the store ended the stream")
 
     async def close(self) -> None:
         await self._sender.close()
 
     async def _call(
-        self, name: str, body: dict[str, Any], absent_is_fine: bool = False
+        self, name: str, body: dict[str, Any], ignore_not_found: bool = False
     ) -> dict[str, Any]:
+        """Makes a call and returns the message of the response.
+
+        Args:
+          name: path of the method below `/v3/`.
+          body: message of the request.
+          ignore_not_found: returns an empty message for the status 404.
+
+        Raises:
+          StoreUnavailableError: the call certainly had no effect.
+          StoreAnswerLostError: the call may have taken effect.
+        """
         try:
             with anyio.fail_after(self._timeout_s):
                 response = await self._send(name, msgspec.json.encode(body))
                 content = await whole_body(response.body)
         except (ExchangeBrokenError, TimeoutError) as exc:
             raise StoreAnswerLostError(f"{name}: {exc!r}") from exc
-        if response.status == 404 and absent_is_fine:
+        if response.status == 404 and ignore_not_found:
             return {}
-        if response.status in _NO_EFFECT:
-            raise StoreUnavailableError(f"{name}: status {response.status}")
+        if response.status in _NO_EFFECT_STATUSES:
+            raise StoreUnavailableError(
+                f"{name}: expected status 200, got {response.status}"
+            )
         if response.status != 200:
             raise StoreAnswerLostError(
                 f"{name}: expected status 200, got {response.status}"
@@ -179,30 +207,38 @@
             raise StoreUnavailableError(f"{name}: {exc}") from exc
 
 
-def _next_start(start: bytes, got: Sequence[StoreEntry]) -> bytes:
-    """Returns the key after the last one got.
+def _next_page_start(start: bytes, page: Sequence[StoreEntry]) -> bytes:
+    """Returns the key directly after the last one of `page`.
 
     Raises:
-      StoreAnswerMalformedError: the store went backwards, which would make
-        the reading endless.
+      StoreAnswerMalformedError: the page ends before its start key, so that
+        reading on would never end.
     """
-    following = got[-1].key.encode() + b"\0"
-    if following <= start:
-        raise StoreAnswerMalformedError("kv/range: keys out of order")
-    return following
+    next_start = page[-1].key.encode() + b"\0"
+    if next_start <= start:
+        raise StoreAnswerMalformedError(
+            "kv/range: expected keys in ascending order"
+        )
+    return next_start
+
 
+async def _iterate_lines(body: Body) -> AsyncIterator[bytes]:
+    """Yields the lines of `body` without line breaks.
 
-async def _lines(body: Body) -> AsyncIterator[bytes]:
-    """Yields the lines of `body` without their ends; bounded in length."""
+    Raises:
+      StoreAnswerMalformedError: a line is longer than `MAX_LINE_BYTES`.
+    """
     if isinstance(body, bytes):
         for line in body.splitlines():
             yield line
         return
-    rest = b""
-    async for piece in body:
-        *lines, rest = (rest + piece).split(b"\n")
+    incomplete = b""
+    async for chunk in body:
+        *lines, incomplete = (incomplete + chunk).split(b"\n")
         for line in lines:
             if line.strip():
                 yield line
-        if len(rest) > gateway.MAX_LINE_BYTES:
-            raise StoreAnswerMalformedError("watch: message too long")
+        if len(incomplete) > gateway.MAX_LINE_BYTES:
+            raise StoreAnswerMalformedError(
+                "watch: message exceeds the maximum size"
+            )
--- a/src/radishwind/store/tests/test_etcd_store.py
+++ b/src/radishwind/store/tests/test_etcd_store.py
@@ -1,4 +1,4 @@
-"""The store client against the stand-in, with and without faults."""
+"""Tests of the store client against the stand-in, with and without faults."""
 
 import contextlib
 import random
@@ -38,7 +38,9 @@
     return "asyncio"
 
 
-class Bench:
+class StoreSetup:
+    """An `EtcdStore` connected to the stand-in of the store."""
+
     def __init__(self, timeout_s=2.0):
         self.clock = ManualClock()
         self.standin = StoreStandin(self.clock)
@@ -47,8 +49,8 @@
         self.store = EtcdStore(self.sender, ADDRESS, timeout_s)
 
 
-async def test_only_one_of_two_writers_on_one_base_wins():
-    store = Bench().store
+async def test_only_one_of_two_conditional_writes_succeeds():
+    store = StoreSetup().store
     first = await store.transact((Compare("k", 0),), (Put("k", b"1"),))
     second = await store.transact((Compare("k", 0),), (Put("k", b"2"),))
     assert (first.succeeded, second.succeeded) == (True, False)
@@ -56,18 +58,18 @@
 
 
 async def test_list_reads_every_page():
-    bench = Bench()
-    for at in range(0, 450, 90):
-        puts = tuple(Put(f"p/{i:04d}", b"v") for i in range(at, at + 90))
-        await bench.store.transact((), puts)
-    entries = await bench.store.list("p/")
+    setup = StoreSetup()
+    for start in range(0, 450, 90):
+        puts = tuple(Put(f"p/{i:04d}", b"v") for i in range(start, start + 90))
+        await setup.store.transact((), puts)
+    entries = await setup.store.list("p/")
     assert [e.key for e in entries] == [f"p/{i:04d}" for i in range(450)]
-    assert bench.standin.calls["range"] == 3
-    assert len(await bench.store.list("p/", limit=7)) == 7
+    assert setup.standin.calls["range"] == 3
+    assert len(await setup.store.list("p/", limit=7)) == 7
 
 
-async def test_the_revision_grows_with_each_change():
-    store = Bench().store
+async def test_revision_grows_with_each_change():
+    store = StoreSetup().store
     first = await store.revision()
     assert await store.revision() == first
     written = await store.transact((), (Put("k", b"1"),))
@@ -75,49 +77,49 @@
     assert first < await store.revision() == written.revision
 
 
-async def test_keys_on_a_lapsed_lease_are_gone_and_renewal_tells():
-    bench = Bench()
-    lease = await bench.store.grant(10)
-    await bench.store.transact((), (Put("k", b"v", lease),))
-    bench.clock.advance(9)
-    assert await bench.store.keep_alive(lease) == 10
-    bench.clock.advance(11)
-    assert await bench.store.get("k") is None
-    assert await bench.store.keep_alive(lease) == 0
-    await bench.store.revoke(lease)
-
-
-async def test_watch_tells_past_and_coming_changes_in_order():
-    bench = Bench()
-    first = await bench.store.transact((), (Put("w/a", b"1"),))
-    await bench.store.transact((), (Put("other", b"1"),))
-    seen = []
-    async for event in bench.store.watch("w/", first.revision):
-        seen.append((event.key, event.entry and event.entry.value))
-        if len(seen) == 1:
-            assert bench.standin.watching == 1
-            await bench.store.transact((), (Put("w/b", b"2"),))
-            await bench.store.transact((), (Delete("w/a"),))
-        if len(seen) == 3:
+async def test_keys_of_an_expired_lease_are_deleted():
+    setup = StoreSetup()
+    lease = await setup.store.grant(10)
+    await setup.store.transact((), (Put("k", b"v", lease),))
+    setup.clock.advance(9)
+    assert await setup.store.keep_alive(lease) == 10
+    setup.clock.advance(11)
+    assert await setup.store.get("k") is None
+    assert await setup.store.keep_alive(lease) == 0
+    await setup.store.revoke(lease)
+
+
+async def test_watch_reports_past_and_new_changes_in_order():
+    setup = StoreSetup()
+    first = await setup.store.transact((), (Put("w/a", b"1"),))
+    await setup.store.transact((), (Put("other", b"1"),))
+    events = []
+    async for event in setup.store.watch("w/", first.revision):
+        events.append((event.key, event.entry and event.entry.value))
+        if len(events) == 1:
+            assert setup.standin.watching == 1
+            await setup.store.transact((), (Put("w/b", b"2"),))
+            await setup.store.transact((), (Delete("w/a"),))
+        if len(events) == 3:
             break
-    assert seen == [("w/a", b"1"), ("w/b", b"2"), ("w/a", None)]
-    assert bench.standin.calls["watch"] == 1
+    assert events == [("w/a", b"1"), ("w/b", b"2"), ("w/a", None)]
+    assert setup.standin.calls["watch"] == 1
 
 
-async def test_watch_from_compacted_history_says_so():
-    bench = Bench()
+async def test_watch_from_a_compacted_revision_fails():
+    setup = StoreSetup()
     for _ in range(40):
-        await bench.store.transact((), tuple(Put("w", b"") for _ in range(120)))
+        await setup.store.transact((), tuple(Put("w", b"") for _ in range(120)))
     with pytest.raises(StoreCompactedError):
-        await anext(bench.store.watch("w", 1))
+        await anext(setup.store.watch("w", 1))
 
 
-async def test_watch_ends_when_the_store_goes_down():
-    bench = Bench()
-    await bench.store.transact((), (Put("w", b""),))
-    watch = bench.store.watch("w", 1)
+async def test_watch_fails_when_the_store_goes_down():
+    setup = StoreSetup()
+    await setup.store.transact((), (Put("w", b""),))
+    watch = setup.store.watch("w", 1)
     await anext(watch)
-    bench.standin.set_faults(StoreFaults(down="refuse"))
+    setup.standin.set_faults(StoreFaults(down="refuse"))
     with pytest.raises(StoreUnavailableError):
         await anext(watch)
 
@@ -130,35 +132,37 @@
         (Fault.ANSWER_LOST, StoreAnswerLostError, True),
     ],
 )
-async def test_a_failure_is_classified(fault, error, took_effect):
-    bench = Bench()
-    bench.sender.next_faults = [fault]
+async def test_failure_is_classified_by_its_possible_effect(
+    fault, error, took_effect
+):
+    setup = StoreSetup()
+    setup.sender.next_faults = [fault]
     with pytest.raises(error):
-        await bench.store.transact((), (Put("k", b"v"),))
-    assert (await bench.store.get("k") is not None) is took_effect
+        await setup.store.transact((), (Put("k", b"v"),))
+    assert (await setup.store.get("k") is not None) is took_effect
 
 
 @pytest.mark.parametrize("down", ["refuse", "hang"])
-async def test_a_store_that_is_down_carries_nothing_out(down):
-    bench = Bench(timeout_s=0.01)
-    bench.standin.set_faults(StoreFaults(down=down))
+async def test_store_that_is_down_applies_nothing(down):
+    setup = StoreSetup(timeout_s=0.01)
+    setup.standin.set_faults(StoreFaults(down=down))
     with pytest.raises(StoreAnswerLostError):
-        await bench.store.transact((), (Put("k", b"v"),))
-    bench.standin.set_faults(StoreFaults())
-    assert await bench.store.get("k") is None
+        await setup.store.transact((), (Put("k", b"v"),))
+    setup.standin.set_faults(StoreFaults())
+    assert await setup.store.get("k") is None
 
 
-async def test_faults_are_set_by_request_and_lose_an_answer_of_a_write():
-    bench = Bench()
+async def test_stand_in_loses_the_response_of_a_write_on_request():
+    setup = StoreSetup()
     body = msgspec.json.encode({"lose_answers": 1})
-    answer = await bench.standin.handle(
+    response = await setup.standin.handle(
         Request("POST", "/standin/faults", (), body)
     )
-    assert answer.status == 200
+    assert response.status == 200
     with pytest.raises(StoreAnswerLostError):
-        await bench.store.transact((), (Put("k", b"v"),))
-    assert (await bench.store.get("k")).value == b"v"
-    counters = await bench.standin.handle(Request("GET", "/standin/counters"))
+        await setup.store.transact((), (Put("k", b"v"),))
+    assert (await setup.store.get("k")).value == b"v"
+    counters = await setup.standin.handle(Request("GET", "/standin/counters"))
     assert msgspec.json.decode(counters.body)["calls"] == {
         "txn": 1,
         "range": 1,
@@ -170,14 +174,14 @@
     [(429, StoreUnavailableError), (503, StoreAnswerLostError)],
 )
 async def test_statuses_are_classified(status, error):
-    bench = Bench()
+    setup = StoreSetup()
 
     async def handle(_):
         return Response(status, (), b"{}")
 
-    bench.sender.handlers[ADDRESS] = handle
+    setup.sender.handlers[ADDRESS] = handle
     with pytest.raises(error):
-        await bench.store.get("k")
+        await setup.store.get("k")
 
 
 _FIELDS = [
@@ -209,15 +213,15 @@
 
 
 @given(st.binary(max_size=60) | _json.map(msgspec.json.encode))
-def test_a_malformed_answer_is_an_error_of_the_store(content):
-    bench = Bench()
+def test_malformed_response_raises_a_store_error(content):
+    setup = StoreSetup()
 
     async def handle(_):
         return Response(200, (), content)
 
-    async def drive():
-        bench.sender.handlers[ADDRESS] = handle
-        store = bench.store
+    async def make_calls():
+        setup.sender.handlers[ADDRESS] = handle
+        store = setup.store
         for call in (
             lambda: store.get("k"),
             lambda: store.list("k"),
@@ -229,34 +233,34 @@
             with contextlib.suppress(StoreError):
                 await call()
 
-    anyio.run(drive)
+    anyio.run(make_calls)
 
 
-async def test_calls_beyond_the_budget_are_not_sent():
-    bench = Bench()
+async def test_calls_that_exceed_the_budget_are_not_sent():
+    setup = StoreSetup()
     budget = StoreBudget(calls_per_s=2, burst=3)
-    store = BudgetedStore(bench.store, bench.clock, random.Random(1), budget)
+    store = BudgetedStore(setup.store, setup.clock, random.Random(1), budget)
     for _ in range(3):
         await store.get("k")
     with pytest.raises(StoreBudgetError):
         await store.get("k")
-    bench.clock.advance(0.5)
+    setup.clock.advance(0.5)
     await store.get("k")
     assert (store.call_counts, store.refused_count) == ({"get": 4}, 1)
-    assert bench.standin.calls == {"range": 4}
+    assert setup.standin.calls == {"range": 4}
 
 
-async def test_failures_in_a_row_start_growing_pauses():
-    bench = Bench()
+async def test_consecutive_failures_start_growing_pauses():
+    setup = StoreSetup()
     budget = StoreBudget(pause_after_failures=2, max_pause_s=4.0)
-    store = BudgetedStore(bench.store, bench.clock, random.Random(1), budget)
-    bench.sender.faults[ADDRESS] = Fault.REFUSED
+    store = BudgetedStore(setup.store, setup.clock, random.Random(1), budget)
+    setup.sender.faults[ADDRESS] = Fault.REFUSED
     for _ in range(200):
-        bench.clock.advance(0.05)
+        setup.clock.advance(0.05)
         with pytest.raises(StoreUnavailableError):
             await store.get("k")
     assert store.call_counts["get"] < 20
-    del bench.sender.faults[ADDRESS]
-    bench.clock.advance(4.0)
+    del setup.sender.faults[ADDRESS]
+    setup.clock.advance(4.0)
     await store.get("k")
     await store.get("k")
