--- a/src/radishwind/claims/claim_cache.py
+++ b/src/radishwind/claims/claim_cache.py
@@ -1,4 +1,4 @@
-"""The claims a node remembers, bounded in bytes."""
+"""LRU cache of the claims known to a node, bounded in bytes."""
 
 import collections
 import dataclasses
@@ -6,24 +6,35 @@
 from radishwind.claims.claim_record import ClaimRecord
 from radishwind.claims.claim_record import KeyedRequest
 
-#: What one record takes besides its key and answer (bytes), roughly.
-_RECORD_BYTES = 600
+#: Approximate memory use of a record without its key and response.
+_RECORD_OVERHEAD_BYTES = 600
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Entry:
-    """A record, kept until a monotonic time (s), and what it takes."""
+    """A cached record.
+
+    Attributes:
+      record: the record.
+      expires_at: monotonic time until which it is valid (s).
+      size_bytes: approximate memory use.
+    """
 
     record: ClaimRecord
-    until: float
+    expires_at: float
     size_bytes: int
 
 
 class ClaimCache:
-    """Keeps the claims used last; answers repeats without the store.
+    """Caches claims, so that duplicates are answered without the store.
+
+    The least recently used claims are evicted first.
 
     Args:
-      max_bytes: the most it holds (bytes).
+      max_bytes: maximum memory use.
+
+    Attributes:
+      used_bytes: approximate memory use.
     """
 
     def __init__(self, max_bytes: int) -> None:
@@ -33,37 +44,37 @@
         )
         self.used_bytes = 0
 
-    def get(self, sending: KeyedRequest, now: float) -> ClaimRecord | None:
-        """Returns the claim of the sending's key, if known at `now` (s)."""
-        identity = sending.identity
-        kept = self._entries.get(identity)
-        if kept is None:
+    def get(self, request: KeyedRequest, now: float) -> ClaimRecord | None:
+        """Returns the claim of the request's key, if cached at `now` (s)."""
+        identity = request.identity
+        entry = self._entries.get(identity)
+        if entry is None:
             return None
-        if kept.until <= now:
-            self._drop(identity)
+        if entry.expires_at <= now:
+            self._evict(identity)
             return None
         self._entries.move_to_end(identity)
-        return kept.record
+        return entry.record
 
     def put(
-        self, sending: KeyedRequest, record: ClaimRecord, until: float
+        self, request: KeyedRequest, record: ClaimRecord, expires_at: float
     ) -> None:
-        """Keeps `record` until the monotonic time `until` (s)."""
-        identity = sending.identity
-        self._drop(identity)
-        size = _RECORD_BYTES + len(record.key)
+        """Caches `record` until the monotonic time `expires_at` (s)."""
+        identity = request.identity
+        self._evict(identity)
+        size_bytes = _RECORD_OVERHEAD_BYTES + len(record.key)
         if record.answer is not None:
-            size += record.answer.size_bytes()
-        self._entries[identity] = _Entry(record, until, size)
-        self.used_bytes += size
+            size_bytes += record.answer.size_bytes()
+        self._entries[identity] = _Entry(record, expires_at, size_bytes)
+        self.used_bytes += size_bytes
         while self.used_bytes > self._max_bytes:
-            self._drop(next(iter(self._entries)))
+            self._evict(next(iter(self._entries)))
 
-    def remove(self, sending: KeyedRequest) -> None:
-        """Forgets the claim of the sending's key; it was released."""
-        self._drop(sending.identity)
+    def remove(self, request: KeyedRequest) -> None:
+        """Removes the claim of the request's key, which was released."""
+        self._evict(request.identity)
 
-    def _drop(self, identity: tuple[str, str]) -> None:
-        kept = self._entries.pop(identity, None)
-        if kept is not None:
-            self.used_bytes -= kept.size_bytes
+    def _evict(self, identity: tuple[str, str]) -> None:
+        entry = self._entries.pop(identity, None)
+        if entry is not None:
+            self.used_bytes -= entry.size_bytes
--- a/src/radishwind/claims/claim_guard.py
+++ b/src/radishwind/claims/claim_guard.py
@@ -1,4 +1,4 @@
-"""The interface that stands between a keyed call and its attempts."""
+"""Interface of the guard through which every call is executed."""
 
 import abc
 from collections.abc import Awaitable
@@ -11,25 +11,26 @@
 if TYPE_CHECKING:
     from radishwind.entry.call import Call
 
-#: Runs the attempts of a call.
+#: Executes a call: dispatches its attempts and returns the outcome.
 Execute: TypeAlias = Callable[["Call"], Awaitable[Outcome]]
 
 
 class ClaimGuard(abc.ABC):
-    """Lets a call with an idempotency key run at most once."""
+    """Ensures that a call with an idempotency key runs at most once."""
 
     @abc.abstractmethod
     async def run(self, call: "Call", execute: Execute) -> Outcome:
-        """Returns the outcome of `call`, running it unless it ran before.
+        """Executes `call` unless it is a duplicate; returns its outcome.
 
         Args:
-          call: any call; one without a key is just executed.
-          execute: runs its attempts; called at most once.
+          call: the call, with or without an idempotency key; without one it is
+            executed unconditionally.
+          execute: executes the call; called at most once.
         """
 
 
 class NoClaims(ClaimGuard):
-    """Remembers nothing."""
+    """Executes every call; does not detect duplicates."""
 
     async def run(self, call: "Call", execute: Execute) -> Outcome:
         return await execute(call)
--- a/src/radishwind/claims/claim_record.py
+++ b/src/radishwind/claims/claim_record.py
@@ -1,4 +1,4 @@
-"""What is written of a claim, and by what a sending is known."""
+"""The record of a claim in the store, and the request that it is made for."""
 
 import dataclasses
 import enum
@@ -15,18 +15,22 @@
 
 
 class ClaimState(enum.StrEnum):
-    """How far a claimed call has come, as far as is written."""
+    """State of a claimed call according to the store.
+
+    CLAIMED means that the call may be running or may have run. DONE means that
+    the server responded.
+    """
 
     CLAIMED = "claimed"
     DONE = "done"
 
 
 class RecordedResponse(msgspec.Struct, frozen=True, array_like=True):
-    """A server's answer, small enough to keep.
+    """A server's response, recorded with a claim.
 
     Attributes:
       status: the HTTP status.
-      headers: the field lines in order.
+      headers: the header field lines in order.
       body: the whole body.
     """
 
@@ -35,24 +39,26 @@
     body: bytes
 
     def size_bytes(self) -> int:
-        """Returns roughly what it takes to keep (bytes)."""
-        fields = sum(len(k) + len(v) + 4 for k, v in self.headers)
-        return len(self.body) + fields
+        """Returns the approximate size of the response (bytes)."""
+        header_bytes = sum(len(k) + len(v) + 4 for k, v in self.headers)
+        return len(self.body) + header_bytes
 
 
 class ClaimRecord(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A claim as the store keeps it, in JSON.
+    """A claim as it is stored, in JSON.
 
     Attributes:
-      key: the caller's idempotency key, whole.
-      nonce: names the writing of this claim, unique.
-      node: the entry node that holds it.
-      fingerprint: of the request, see `fingerprint`.
-      expires_ms: the call's deadline (ms since the epoch, UTC); nothing runs
-        under this claim afterwards.
-      caller: the name the caller gave itself, empty for none.
-      state: how far it has come.
-      answer: what the server answered, `None` if not done or too large.
+      key: the caller's complete idempotency key; the store key only contains
+        its digest.
+      nonce: unique ID of the write that made this claim.
+      node: name of the entry node that made the claim.
+      fingerprint: digest of the request, see `fingerprint`.
+      expires_ms: deadline of the call (ms since the epoch, UTC). No attempt
+        of the call runs after it.
+      caller: name that the caller stated for itself, empty if none.
+      state: state of the call.
+      answer: the server's response; `None` if there is none so far or it was
+        too large to be recorded.
     """
 
     key: str
@@ -67,13 +73,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyedRequest:
-    """One sending of a keyed request.
+    """A request with an idempotency key.
+
+    A request that the caller sends again is a `KeyedRequest` of its own, with
+    the same `identity`.
 
     Attributes:
-      service: the service it is for.
+      service: name of the requested service.
       key: the caller's idempotency key.
-      fingerprint: of the request.
-      caller: the name the caller gave itself, empty for none.
+      fingerprint: digest of the request, see `fingerprint`.
+      caller: name that the caller stated for itself, empty if none.
     """
 
     service: str
@@ -83,24 +92,27 @@
 
     @classmethod
     def from_call(cls, call: Call) -> "KeyedRequest":
-        """Returns the sending that `call`, which has a key, is."""
+        """Returns the keyed request of `call`, which must have a key."""
         assert call.key is not None
-        name = header(call.request.headers, CALLER_FIELD) or ""
-        return cls(call.service, call.key, fingerprint(call), name)
+        caller = header(call.request.headers, CALLER_FIELD) or ""
+        return cls(call.service, call.key, fingerprint(call), caller)
 
     @property
     def identity(self) -> tuple[str, str]:
-        """What all sendings of one keyed request share: service and key."""
+        """Service and key, by which duplicates are detected."""
         return self.service, self.key
 
     def store_key(self) -> str:
-        """Returns the key of the store that its claim is written at."""
+        """Returns the key in the store at which its claim is written."""
         digest = xxhash.xxh3_128_hexdigest(self.key.encode())
         return f"{CLAIM_PREFIX}{self.service}/{digest}"
 
 
 def fingerprint(call: Call) -> str:
-    """Returns a digest of method, path and body, which is held whole."""
+    """Returns a digest of method, path and body of a call.
+
+    The body must have been buffered.
+    """
     request = call.request
     assert isinstance(request.body, bytes)
     digest = xxhash.xxh3_128(f"{request.method} {request.path}\n".encode())
--- a/src/radishwind/claims/claim_writer.py
+++ b/src/radishwind/claims/claim_writer.py
@@ -1,4 +1,4 @@
-"""Writes claims to the store, several in one transaction where they wait."""
+"""Writes claims to the store, in batches under load."""
 
 import abc
 import dataclasses
@@ -12,19 +12,25 @@
 from radishwind.store.base import StoreError
 from radishwind.store.base import TxnResult
 
-#: Claims in one transaction; stores allow some 128 operations in each.
+#: Maximum number of claims per transaction. Stores allow about 128 operations
+#: per transaction.
 MAX_BATCH_LENGTH = 32
 
-#: Transactions under way at a time, so that one that hangs stops no others.
+#: Maximum number of concurrent transactions. It is more than one, so that a
+#: transaction that hangs does not block the others.
 MAX_IN_FLIGHT = 4
 
 
 class ClaimWriter(abc.ABC):
-    """Writes claims that must not exist yet, or must be unchanged."""
+    """Writes claims by compare-and-swap."""
 
     @abc.abstractmethod
     async def write(self, compare: Compare, put: Put) -> TxnResult:
-        """Makes the change if the condition holds.
+        """Writes a claim if the condition holds.
+
+        Args:
+          compare: the condition: the key must not exist, or be unchanged.
+          put: the claim.
 
         Raises:
           StoreError: the store failed.
@@ -32,39 +38,48 @@
 
     @abc.abstractmethod
     async def run(self) -> None:
-        """Does what is to be done between calls, for ever."""
+        """Runs the background work of the writer until cancelled."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Waiting:
-    """A claim that waits for the transaction under way to end."""
+class _PendingWrite:
+    """A claim that waits to be written in a batch.
+
+    Attributes:
+      compare: the condition of the write.
+      put: the claim.
+      completed: set once `result` or `error` is.
+      result: result of the transaction.
+      error: why the transaction failed.
+    """
 
     compare: Compare
     put: Put
-    ended: anyio.Event
+    completed: anyio.Event
     result: TxnResult | None = None
     error: StoreError | None = None
 
-    def end(self, result: TxnResult | StoreError) -> None:
-        """Tells whoever waits what became of the claim."""
+    def complete(self, result: TxnResult | StoreError) -> None:
+        """Sets the result of the write and wakes the task that waits for it."""
         if isinstance(result, TxnResult):
             self.result = result
         else:
             self.error = result
-        self.ended.set()
+        self.completed.set()
 
 
 class BatchClaimWriter(ClaimWriter):
-    """Sends what waits at the same moment in one transaction.
+    """Writes the claims that wait at the same time in one transaction.
 
-    A claim goes at once, by itself, while few transactions are under way;
-    those that come meanwhile go together. A transaction with one claim that
-    exists already fails whole; its halves are then tried, and groups are made
-    smaller until they succeed again.
+    While fewer than `max_in_flight` transactions are in flight, a claim is
+    written at once in a transaction of its own. Claims that arrive meanwhile
+    are batched. A batch in which one claim exists already fails as a whole; it
+    is then halved recursively, and batches are kept smaller until they succeed
+    again.
 
     Args:
       store: the store.
-      max_in_flight: the most transactions under way at a time.
+      max_in_flight: maximum number of concurrent transactions.
     """
 
     def __init__(
@@ -72,93 +87,105 @@
     ) -> None:
         self._store = store
         self._max_in_flight = max_in_flight
-        self._waiting: list[_Waiting] = []
+        self._pending: list[_PendingWrite] = []
         self._in_flight = 0
-        self._most = MAX_BATCH_LENGTH
+        self._batch_length = MAX_BATCH_LENGTH
         self._wake = anyio.Event()
 
     async def write(self, compare: Compare, put: Put) -> TxnResult:
-        if self._in_flight < self._max_in_flight and not self._waiting:
-            return await self._write_alone(compare, put)
-        waiting = _Waiting(compare, put, anyio.Event())
-        self._waiting.append(waiting)
+        if self._in_flight < self._max_in_flight and not self._pending:
+            return await self._write_single(compare, put)
+        pending = _PendingWrite(compare, put, anyio.Event())
+        self._pending.append(pending)
         try:
-            await waiting.ended.wait()
+            await pending.completed.wait()
         finally:
-            # Whoever gives up before the group leaves is not sent.
-            if waiting in self._waiting:
-                self._waiting.remove(waiting)
-        if waiting.error is not None:
-            raise waiting.error
-        assert waiting.result is not None
-        return waiting.result
+            # A write that is cancelled before its batch is sent is withdrawn.
+            if pending in self._pending:
+                self._pending.remove(pending)
+        if pending.error is not None:
+            raise pending.error
+        assert pending.result is not None
+        return pending.result
 
     async def run(self) -> None:
-        """Sends the groups, for ever."""
+        """Writes the batches until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
                 await self._wake.wait()
                 self._wake = anyio.Event()
-                while self._waiting and self._in_flight < self._max_in_flight:
+                while self._pending and self._in_flight < self._max_in_flight:
                     self._in_flight += 1
-                    tasks.start_soon(self._write_waiting, self._next_group())
+                    tasks.start_soon(self._write_batch, self._next_batch())
 
-    async def _write_alone(self, compare: Compare, put: Put) -> TxnResult:
+    async def _write_single(self, compare: Compare, put: Put) -> TxnResult:
         self._in_flight += 1
         try:
             return await self._store.transact((compare,), (put,))
         finally:
-            self._end_one()
+            self._transaction_ended()
 
-    async def _write_waiting(self, group: list[_Waiting]) -> None:
+    async def _write_batch(self, batch: list[_PendingWrite]) -> None:
         try:
-            await self._write_group(group)
+            await self._write_or_split(batch)
         except StoreError as exc:
-            _end(group, exc)
+            _complete(batch, exc)
         finally:
-            self._end_one()
-            # Cancelled: nobody knows what became of them.
-            _end(group, StoreAnswerLostError("the node is stopping"))
-
-    async def _write_group(self, group: list[_Waiting]) -> None:
-        if await self._write_whole(group):
-            self._most = min(self._most + 1, MAX_BATCH_LENGTH)
+            self._transaction_ended()
+            # Only after a cancellation are writes left without a result. They
+            # may have taken effect.
+            _complete(batch, StoreAnswerLostError("the node is stopping"))
+
+    async def _write_or_split(self, batch: list[_PendingWrite]) -> None:
+        if await self._try_write(batch):
+            self._batch_length = min(self._batch_length + 1, MAX_BATCH_LENGTH)
             return
-        self._most = max(1, self._most // 4)
-        await self._write_halves(group)
+        self._batch_length = max(1, self._batch_length // 4)
+        await self._write_halves(batch)
+
+    async def _write_halves(self, batch: list[_PendingWrite]) -> None:
+        middle = len(batch) // 2
+        for half in (batch[:middle], batch[middle:]):
+            if not await self._try_write(half):
+                await self._write_halves(half)
 
-    async def _write_halves(self, group: list[_Waiting]) -> None:
-        half = len(group) // 2
-        for part in (group[:half], group[half:]):
-            if not await self._write_whole(part):
-                await self._write_halves(part)
+    async def _try_write(self, batch: list[_PendingWrite]) -> bool:
+        """Writes a batch in one transaction.
 
-    async def _write_whole(self, group: list[_Waiting]) -> bool:
-        """Returns whether each claim of the group has its result."""
+        Returns:
+          Whether the writes are completed. Otherwise the condition of at least
+          one of several claims did not hold and none was written.
+        """
         result = await self._store.transact(
-            [w.compare for w in group], [w.put for w in group]
+            [w.compare for w in batch], [w.put for w in batch]
         )
-        if not result.succeeded and len(group) > 1:
+        if not result.succeeded and len(batch) > 1:
             return False
-        _end(group, result)
+        _complete(batch, result)
         return True
 
-    def _next_group(self) -> list[_Waiting]:
-        """Takes the first that wait; a transaction may name a key once."""
-        group: dict[str, _Waiting] = {}
-        for waiting in self._waiting:
-            if len(group) == self._most or waiting.put.key in group:
+    def _next_batch(self) -> list[_PendingWrite]:
+        """Removes the next batch from the queue and returns it.
+
+        It ends before a key that it already contains, since a transaction may
+        change a key only once.
+        """
+        batch: dict[str, _PendingWrite] = {}
+        for pending in self._pending:
+            if len(batch) == self._batch_length or pending.put.key in batch:
                 break
-            group[waiting.put.key] = waiting
-        del self._waiting[: len(group)]
-        return list(group.values())
+            batch[pending.put.key] = pending
+        del self._pending[: len(batch)]
+        return list(batch.values())
 
-    def _end_one(self) -> None:
+    def _transaction_ended(self) -> None:
         self._in_flight -= 1
         self._wake.set()
 
 
-def _end(group: list[_Waiting], result: TxnResult | StoreError) -> None:
-    for waiting in group:
-        if not waiting.ended.is_set():
-            waiting.end(result)
+def _complete(
+    batch: list[_PendingWrite], result: TxnResult | StoreError
+) -> None:
+    for pending in batch:
+        if not pending.completed.is_set():
+            pending.complete(result)
--- a/src/radishwind/claims/request_body.py
+++ b/src/radishwind/claims/request_body.py
@@ -1,4 +1,8 @@
-"""Holds the whole body of a keyed request, so that a repeat can be compared."""
+"""Buffers the body of a request with an idempotency key.
+
+The whole body is needed for the fingerprint by which a duplicate is compared
+with the original request.
+"""
 
 import dataclasses
 
@@ -16,14 +20,14 @@
 
 
 async def buffer_request_body(
-    call: Call, max_bytes: int, left_s: float
+    call: Call, max_bytes: int, timeout_s: float
 ) -> Call | Outcome:
-    """Returns `call` with its body in memory, else what its caller is told.
+    """Returns `call` with its body in memory, or the outcome if that failed.
 
     Args:
-      call: a keyed call.
-      max_bytes: the most to hold (bytes).
-      left_s: how long reading may take (s).
+      call: a call with an idempotency key.
+      max_bytes: maximum size of the body.
+      timeout_s: how long reading may take (s).
     """
     body = call.request.body
     if isinstance(body, bytes):
@@ -31,13 +35,14 @@
     if (call.request.body_bytes or 0) > max_bytes:
         return _too_large(body, max_bytes)
     try:
-        with anyio.fail_after(max(0.0, left_s)):
-            content = await _read(body, max_bytes)
+        with anyio.fail_after(max(0.0, timeout_s)):
+            content = await _read_body(body, max_bytes)
     except (ExchangeBrokenError, TimeoutError):
         abort_body(body)
-        # Not "not run": an earlier sending with the same key may have run.
+        # The outcome is unknown rather than not run, since an earlier request
+        # with the same key may have run.
         return Unknown(
-            ResultCode.SENDER_TOO_SLOW, "The request's body did not end."
+            ResultCode.SENDER_TOO_SLOW, "The request's body was incomplete."
         )
     if content is None:
         return _too_large(body, max_bytes)
@@ -47,20 +52,22 @@
     return dataclasses.replace(call, request=request)
 
 
-async def _read(body: BodyStream, max_bytes: int) -> bytes | None:
-    pieces: list[bytes] = []
-    size = 0
-    async for piece in body:
-        pieces.append(piece)
-        size += len(piece)
-        if size > max_bytes:
+async def _read_body(body: BodyStream, max_bytes: int) -> bytes | None:
+    """Returns the whole body, `None` if it is larger than `max_bytes`."""
+    chunks: list[bytes] = []
+    size_bytes = 0
+    async for chunk in body:
+        chunks.append(chunk)
+        size_bytes += len(chunk)
+        if size_bytes > max_bytes:
             return None
-    return b"".join(pieces)
+    return b"".join(chunks)
 
 
 def _too_large(body: BodyStream, max_bytes: int) -> Outcome:
     abort_body(body)
     return NotRun(
         ResultCode.REQUEST_TOO_LARGE,
-        f"expected at most {max_bytes} bytes with an Idempotency-Key",
+        f"expected at most {max_bytes} bytes in the body of a request with an "
+        "Idempotency-Key",
     )
--- a/src/radishwind/claims/store_call_budget.py
+++ b/src/radishwind/claims/store_call_budget.py
@@ -1,49 +1,54 @@
-"""What of the store's rate a node may take for claims."""
+"""Rate limit of a node's calls to the store for claims."""
 
 from collections.abc import Callable
 
-#: Unused budget is kept for at most this long (s).
+#: Capacity of the bucket, as the time in which it refills from empty.
 BURST_S = 10.0
 
-#: How long to wait for a token while the rate is zero (s).
-_NO_RATE_WAIT_S = 60.0
+#: Reported time until the next token while the rate is zero.
+_ZERO_RATE_WAIT_S = 60.0
 
 
 class StoreCallBudget:
-    """A token bucket; one token is one call of the store.
+    """Token bucket in which one token is one call to the store.
 
     Args:
-      rate: returns the calls per second allowed now, which shrinks as nodes
-        join; a node alone may not take more than its share.
+      rate_per_s: returns the current refill rate (1/s). It is the node's share
+        of the rate of the whole fleet, and thus falls as nodes join.
     """
 
-    def __init__(self, rate: Callable[[], float]) -> None:
-        self._rate = rate
-        self._tokens = max(1.0, rate() * BURST_S)
-        self._filled = 0.0
+    def __init__(self, rate_per_s: Callable[[], float]) -> None:
+        self._rate_per_s = rate_per_s
+        self._tokens = max(1.0, rate_per_s() * BURST_S)
+        self._refilled_at = 0.0
 
     def try_spend(self, now: float) -> bool:
-        """Takes one token, if there is one at `now` (s)."""
-        self._fill(now)
+        """Spends one token; returns false if none is left at `now` (s)."""
+        self._refill(now)
         if self._tokens < 1:
             return False
         self._tokens -= 1
         return True
 
     def charge(self, now: float) -> None:
-        """Takes one token for a call that must be made, even on credit."""
-        self._fill(now)
+        """Spends one token unconditionally; the balance may become negative.
+
+        This is for calls that must be made even if the budget is spent.
+        """
+        self._refill(now)
         self._tokens -= 1
 
     def next_token_s(self, now: float) -> float:
-        """Returns how long until there is a token (s)."""
-        self._fill(now)
-        rate = self._rate()
+        """Returns the time until a token is available (s)."""
+        self._refill(now)
+        rate_per_s = self._rate_per_s()
         missing = max(0.0, 1 - self._tokens)
-        return missing / rate if rate > 0 else _NO_RATE_WAIT_S
-
-    def _fill(self, now: float) -> None:
-        rate = self._rate()
-        earned = max(0.0, now - self._filled) * rate
-        self._filled = now
-        self._tokens = min(self._tokens + earned, max(1.0, rate * BURST_S))
+        return missing / rate_per_s if rate_per_s > 0 else _ZERO_RATE_WAIT_S
+
+    def _refill(self, now: float) -> None:
+        rate_per_s = self._rate_per_s()
+        refill = max(0.0, now - self._refilled_at) * rate_per_s
+        self._refilled_at = now
+        self._tokens = min(
+            self._tokens + refill, max(1.0, rate_per_s * BURST_S)
+        )
--- a/src/radishwind/claims/tests/test_bounds.py
+++ b/src/radishwind/claims/tests/test_bounds.py
@@ -17,7 +17,7 @@
     for sending in sendings:
         answer = RecordedResponse(200, (("A", "b"),), b"x" * 1000)
         record = ClaimRecord(sending.key, "n", "a", "f", 0, answer=answer)
-        cache.put(sending, record, until=10.0)
+        cache.put(sending, record, expires_at=10.0)
         assert cache.get(sendings[0], 1.0) is not None
         assert cache.used_bytes <= 10_000
 
