--- a/src/radishwind/quarantine/__init__.py
+++ b/src/radishwind/quarantine/__init__.py
@@ -1,4 +1,7 @@
-"""Requests that crash servers: found, run alone, refused for a while."""
+"""Quarantine: requests that crash servers run alone or are refused for a while.
+
+Such requests are detected by broken exchanges before a crash.
+"""
 
 from radishwind.quarantine.crash_detector import CrashDetector
 from radishwind.quarantine.crash_detector import CrashSuspect
--- a/src/radishwind/quarantine/isolating_runner.py
+++ b/src/radishwind/quarantine/isolating_runner.py
@@ -1,8 +1,8 @@
-"""Sends a call on with care after an attempt of it broke off.
+"""Runs a call alone after one of its attempts broke off.
 
-A request that crashes servers would otherwise crash one with each attempt, and
-take what else runs there with it. Facts between nodes take seconds; the next
-attempt comes at once.
+Otherwise a request that crashes servers would crash another one with each
+attempt, together with everything else that runs there. Suspect reports take
+seconds to spread between nodes, but the next attempt follows at once.
 """
 
 import collections
@@ -15,35 +15,39 @@
 from radishwind.membership.directory import Member
 from radishwind.outcomes.model import Unknown
 
-#: Calls remembered whose attempt broke off.
+#: Maximum number of calls tracked that had a broken attempt.
 MAX_BROKEN_CALLS = 1024
 
-#: After so many attempts that broke off there is no further one.
+#: Number of broken attempts after which a call is not tried again.
 MAX_BROKEN_ATTEMPTS = 2
 
 
 class IsolatingRunner(AttemptRunner):
-    """Lets a call run alone after one broken attempt, and not after two."""
+    """Runs a call alone after one broken attempt, and not at all after two."""
 
     def __init__(self, runner: AttemptRunner) -> None:
         self._runner = runner
-        self._breaks: collections.OrderedDict[str, int] = (
+        self._broken_attempts: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
 
     async def run(
         self, call: Call, member: Member, attempt_id: str
     ) -> AttemptResult:
-        breaks = self._breaks.get(call.call_id, 0) if self._breaks else 0
-        if breaks >= MAX_BROKEN_ATTEMPTS:
-            # It may have run, so this must not be told as "not run".
+        broken_count = (
+            self._broken_attempts.get(call.call_id, 0)
+            if self._broken_attempts
+            else 0
+        )
+        if broken_count >= MAX_BROKEN_ATTEMPTS:
+            # Not `NotRun`: an earlier attempt may have run.
             return AttemptResult(
                 Unknown(
                     ResultCode.EXCHANGE_BROKEN,
-                    "Two servers broke off under this request.",
+                    "Two servers broke the connection during this request.",
                 )
             )
-        if breaks:
+        if broken_count:
             call = dataclasses.replace(call, suspect=True)
         result = await self._runner.run(call, member, attempt_id)
         outcome = result.outcome
@@ -51,10 +55,10 @@
             isinstance(outcome, Unknown)
             and outcome.code is ResultCode.EXCHANGE_BROKEN
         ):
-            self._note(call.call_id, breaks + 1)
+            self._record_broken(call.call_id, broken_count + 1)
         return result
 
-    def _note(self, call_id: str, breaks: int) -> None:
-        self._breaks[call_id] = breaks
-        while len(self._breaks) > MAX_BROKEN_CALLS:
-            self._breaks.popitem(last=False)
+    def _record_broken(self, call_id: str, broken_count: int) -> None:
+        self._broken_attempts[call_id] = broken_count
+        while len(self._broken_attempts) > MAX_BROKEN_CALLS:
+            self._broken_attempts.popitem(last=False)
--- a/src/radishwind/quarantine/quarantine.py
+++ b/src/radishwind/quarantine/quarantine.py
@@ -1,4 +1,4 @@
-"""The quarantine as the entry and target sides use it."""
+"""The quarantine as seen by the entry side and the target side of a node."""
 
 import abc
 from collections.abc import Sequence
@@ -22,29 +22,32 @@
 if TYPE_CHECKING:
     from radishwind.entry.call import Call
 
-#: The topic of the facts between nodes.
+#: Topic of the suspect reports on the rumor bus.
 TOPIC = "quarantine"
 
 _decoder = msgspec.json.Decoder(SuspectReport)
 
 
 class QuarantineCheck(abc.ABC):
-    """Says before an attempt whether a request is refused everywhere."""
+    """Decides before an attempt whether a call is refused by all targets."""
 
     @abc.abstractmethod
     def refusal(self, call: "Call") -> NotRun | None:
-        """Returns the refusal of `call`, if it is quarantined."""
+        """Returns the refusal of `call` if it is quarantined, else `None`."""
 
 
 class NoQuarantine(QuarantineCheck):
-    """Refuses nothing."""
+    """Refuses no call."""
 
     def refusal(self, call: "Call") -> NotRun | None:
         return None
 
 
 class Quarantine(QuarantineCheck):
-    """One book for each service called; facts come by the rumor bus."""
+    """Tracks the suspects of each service by the reports of all targets.
+
+    Reports are exchanged between nodes over the rumor bus.
+    """
 
     def __init__(
         self, *, target: str, service: str, clock: Clock, rumor_bus: RumorBus
@@ -53,88 +56,94 @@
         self._service = service
         self._clock = clock
         self._rumor_bus = rumor_bus
-        self._books: dict[str, SuspectRegistry] = {}
+        self._registries: dict[str, SuspectRegistry] = {}
         self._log = PartLogger("quarantine", clock)
-        rumor_bus.subscribe(TOPIC, self._learn)
+        rumor_bus.subscribe(TOPIC, self._handle_rumor)
 
     def set_service(self, service: str) -> None:
-        """Takes that the server beside now gives `service`."""
+        """Sets the service of the local server."""
         self._service = service
 
     def refusal(self, call: "Call") -> NotRun | None:
-        book = self._books.get(call.service)
-        if not book:
+        registry = self._registries.get(call.service)
+        if not registry:
             return None
         now = self._clock.monotonic()
-        verdict = book.judge(fingerprint(call.request), now)
+        verdict = registry.judge(fingerprint(call.request), now)
         if verdict.ruling is not Ruling.REFUSE:
             return None
         return NotRun(
             ResultCode.QUARANTINED,
-            "Servers crashed under this request; it is refused for a while.",
+            "Servers crashed during this request; it is refused for a while.",
             round(verdict.retry_after_s, 3),
         )
 
     def must_run_alone(self, call: "Call") -> bool:
-        """Returns whether `call` must run alone."""
-        book = self._books.get(call.service)
-        if not book:
+        """Returns whether `call` may run only if nothing else runs."""
+        registry = self._registries.get(call.service)
+        if not registry:
             return call.suspect
         now = self._clock.monotonic()
-        verdict = book.judge(fingerprint(call.request), now)
+        verdict = registry.judge(fingerprint(call.request), now)
         return call.suspect or verdict.ruling is not Ruling.RUN
 
     def record_crash(self, suspects: Sequence[CrashSuspect]) -> None:
-        """Tells every node what ran when the server beside crashed."""
+        """Reports to all nodes what was running when the local server crashed.
+
+        Does nothing if nothing was running.
+        """
         if not suspects:
             return
         self._log.error(
-            "The server crashed; what it ran is suspected.",
+            "The server crashed; the requests that it ran are suspects.",
             suspects=" ".join(s.fingerprint for s in suspects),
         )
         now_ms = self._clock.wall_ms()
         for suspect in suspects:
-            self._tell(
+            self._publish(
                 SuspectReport(
                     suspect.fingerprint, self._target, now_ms, suspect.ran_alone
                 )
             )
 
     def record_safe_run(self, call: "Call") -> None:
-        """Clears a suspect that ran alone and harmed nothing."""
-        book = self._books.get(call.service)
-        if not book:
+        """Reports that `call` ran alone without a crash, if it is a suspect."""
+        registry = self._registries.get(call.service)
+        if not registry:
             return
-        cleared = book.clearance(fingerprint(call.request), self._target)
-        if cleared is not None:
-            self._tell(cleared)
+        clearance = registry.clearance(fingerprint(call.request), self._target)
+        if clearance is not None:
+            self._publish(clearance)
 
     def status(self) -> dict[str, Any]:
-        """Returns what is refused, by service."""
+        """Returns the fingerprints that are refused, by service."""
         now = self._clock.monotonic()
-        books = self._books.items()
+        registries = self._registries.items()
         return {
-            name: list(book.refused_fingerprints(now)) for name, book in books
+            service: list(registry.refused_fingerprints(now))
+            for service, registry in registries
         }
 
-    def _tell(self, fact: SuspectReport) -> None:
-        self._take(self._service, fact)
-        kind = "crash" if fact.crashed_ms else "clear"
+    def _publish(self, report: SuspectReport) -> None:
+        self._apply(self._service, report)
+        kind = "crash" if report.crashed_ms else "clear"
         self._rumor_bus.publish(
             TOPIC,
-            f"{self._service}/{fact.fingerprint}/{self._target}/{kind}",
+            f"{self._service}/{report.fingerprint}/{self._target}/{kind}",
             self._clock.wall_ms(),
-            msgspec.json.encode(fact),
+            msgspec.json.encode(report),
             QUARANTINE_S,
         )
 
-    def _learn(self, key: str, value: bytes) -> None:
+    def _handle_rumor(self, key: str, value: bytes) -> None:
         service = key.partition("/")[0]
         try:
-            self._take(service, _decoder.decode(value))
+            self._apply(service, _decoder.decode(value))
         except msgspec.MsgspecError as exc:
-            self._log.warning("A fact is malformed.", reason=str(exc))
+            self._log.warning(
+                "Ignored a malformed suspect report.", reason=str(exc)
+            )
 
-    def _take(self, service: str, fact: SuspectReport) -> None:
-        book = self._books.setdefault(service, SuspectRegistry())
-        book.apply(fact, self._clock.monotonic())
+    def _apply(self, service: str, report: SuspectReport) -> None:
+        registry = self._registries.setdefault(service, SuspectRegistry())
+        registry.apply(report, self._clock.monotonic())
--- a/src/radishwind/quarantine/suspect_registry.py
+++ b/src/radishwind/quarantine/suspect_registry.py
@@ -1,31 +1,32 @@
-"""What is known of suspected requests in one service, and what follows.
+"""Decides how to treat suspected requests, by the crashes under them.
 
-Every node of the service keeps such a book and gets the same facts, so all
-come to the same verdicts without asking one another.
+Every node keeps the same registry of a service by the same reports, so that all
+nodes reach the same verdicts without asking each other.
 """
 
 import enum
 
 import msgspec
 
-#: How long one crash makes a request a suspect (s).
+#: Time for which a request stays a suspect after one crash (s).
 SUSPICION_S = 120.0
 
-#: How long a request is refused that was in flight at crashes of two targets,
-#: at one of them alone (s).
+#: Time for which a request is refused that ran during crashes of two targets,
+#: during one of them alone (s).
 QUARANTINE_S = 300.0
 
-#: How long one is refused that never was alone; then it is tried alone (s).
+#: Time for which it is refused if it never ran alone during a crash (s). After
+#: that it runs alone, to find out whether it crashes the server.
 UNPROVEN_QUARANTINE_S = 5.0
 
-#: Fingerprints kept; the oldest give way.
+#: Maximum number of fingerprints; beyond it the oldest are removed.
 MAX_SUSPECTS = 1024
 
 _MIN_CRASHED_TARGETS = 2
 
 
 class Ruling(enum.Enum):
-    """What to do with a request."""
+    """How to treat a request."""
 
     RUN = "run"
     RUN_ALONE = "run alone"
@@ -33,7 +34,7 @@
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """A ruling and, for a refusal, when to come back (s)."""
+    """A ruling; for a refusal also the time until it ends (s)."""
 
     ruling: Ruling
     retry_after_s: float = 0.0
@@ -44,16 +45,17 @@
 
 
 class SuspectReport(msgspec.Struct, frozen=True, array_like=True):
-    """What one target's node found out about a fingerprint.
+    """Report of one target on a fingerprint: a crash, or a clearance.
 
     Attributes:
       fingerprint: of the request.
-      target: who found it out.
-      crashed_ms: when it was in flight at a crash there (ms since the epoch,
-        UTC); 0 if it never was.
-      alone: whether nothing else ran then.
-      cleared_ms: it ran alone and harmed nothing; the crashes up to this time
-        (ms since the epoch, UTC) do not count any more.
+      target: the target that reports.
+      crashed_ms: when the target crashed while the request was running (ms
+        since the epoch, UTC); 0 in a clearance.
+      ran_alone: whether no other request was running then.
+      cleared_ms: the request ran alone without a crash, so that crashes up to
+        this time (ms since the epoch, UTC) do not count any more; 0 in a report
+        of a crash.
     """
 
     fingerprint: str
@@ -64,106 +66,126 @@
 
 
 class _Crash(msgspec.Struct, frozen=True):
-    """A crash with the request in flight.
+    """A crash of a target while the request was running.
 
     Attributes:
-      at_ms: when it was (ms since the epoch, UTC), by the clock there.
-      alone: whether nothing else ran.
-      learned: when this node heard of it (monotonic, s).
+      at_ms: when it happened (ms since the epoch, UTC), by the target's clock.
+      ran_alone: whether no other request was running.
+      learned_at: when this node learned of it (monotonic s).
     """
 
     at_ms: int
     ran_alone: bool
-    learned: float
+    learned_at: float
 
 
-class _Record(msgspec.Struct):
-    """What is known of one fingerprint.
+class _SuspectRecord(msgspec.Struct):
+    """The reports on one fingerprint.
 
     Attributes:
-      crashes: the last crash with it in flight, by target.
-      cleared_ms: crashes up to this time (ms since the epoch, UTC) no longer
-        count; 0 if it was never cleared.
-      learned: when the last fact came (monotonic, s).
+      crashes: the last crash during the request, by target.
+      cleared_ms: crashes up to this time (ms since the epoch, UTC) do not count
+        any more; 0 if it was never cleared.
+      updated_at: when the last report arrived (monotonic s).
     """
 
     crashes: dict[str, _Crash] = msgspec.field(default_factory=dict)
     cleared_ms: int = 0
-    learned: float = 0.0
+    updated_at: float = 0.0
 
 
 class SuspectRegistry:
-    """Judges fingerprints by the facts of all targets of a service."""
+    """The suspects of one service, by the reports of all of its targets."""
 
     def __init__(self) -> None:
-        self._records: dict[str, _Record] = {}
+        self._records: dict[str, _SuspectRecord] = {}
 
     def __len__(self) -> int:
         return len(self._records)
 
-    def apply(self, fact: SuspectReport, now: float) -> None:
-        """Takes a fact from this node or another; again does no harm."""
-        record = self._records.get(fact.fingerprint)
+    def apply(self, report: SuspectReport, now: float) -> None:
+        """Applies a report of this or another node; idempotent.
+
+        Args:
+          report: the report.
+          now: monotonic time (s).
+        """
+        record = self._records.get(report.fingerprint)
         if record is None:
-            record = self._records[fact.fingerprint] = _Record()
-        record.learned = now
-        record.cleared_ms = max(record.cleared_ms, fact.cleared_ms)
-        known = record.crashes.get(fact.target)
-        if fact.crashed_ms and (not known or known.at_ms < fact.crashed_ms):
-            record.crashes[fact.target] = _Crash(
-                fact.crashed_ms, fact.ran_alone, now
+            record = self._records[report.fingerprint] = _SuspectRecord()
+        record.updated_at = now
+        record.cleared_ms = max(record.cleared_ms, report.cleared_ms)
+        known = record.crashes.get(report.target)
+        if report.crashed_ms and (not known or known.at_ms < report.crashed_ms):
+            record.crashes[report.target] = _Crash(
+                report.crashed_ms, report.ran_alone, now
             )
-        self._bound(now)
+        self._remove_excess(now)
 
     def judge(self, fingerprint: str, now: float) -> Verdict:
-        """Returns what to do with a request of this fingerprint."""
+        """Returns how to treat a request with this fingerprint.
+
+        Args:
+          fingerprint: of the request.
+          now: monotonic time (s).
+        """
         record = self._records.get(fingerprint)
         if record is None:
             return RUN
-        counting = self._counting(record, now)
-        if not counting:
+        crashes = self._counted_crashes(record, now)
+        if not crashes:
             return RUN
-        if len(counting) < _MIN_CRASHED_TARGETS:
+        if len(crashes) < _MIN_CRASHED_TARGETS:
             return RUN_ALONE
-        learned = max(c.learned for c in counting)
-        proven = any(c.ran_alone for c in counting)
-        until = learned + (QUARANTINE_S if proven else UNPROVEN_QUARANTINE_S)
+        learned_at = max(c.learned_at for c in crashes)
+        is_proven = any(c.ran_alone for c in crashes)
+        until = learned_at + (
+            QUARANTINE_S if is_proven else UNPROVEN_QUARANTINE_S
+        )
         if now < until:
             return Verdict(Ruling.REFUSE, until - now)
         return RUN_ALONE
 
     def clearance(self, fingerprint: str, target: str) -> SuspectReport | None:
-        """Returns the fact that clears `fingerprint`, if it needs clearing."""
+        """Returns the report by which `target` clears `fingerprint`.
+
+        Returns:
+          The report; `None` if there is no crash to be cleared.
+        """
         record = self._records.get(fingerprint)
         if record is None or not record.crashes:
             return None
-        newest_ms = max(c.at_ms for c in record.crashes.values())
-        if newest_ms <= record.cleared_ms:
+        latest_ms = max(c.at_ms for c in record.crashes.values())
+        if latest_ms <= record.cleared_ms:
             return None
-        return SuspectReport(fingerprint, target, cleared_ms=newest_ms)
+        return SuspectReport(fingerprint, target, cleared_ms=latest_ms)
 
     def refused_fingerprints(self, now: float) -> tuple[str, ...]:
-        """Returns the fingerprints that are refused now."""
+        """Returns the fingerprints that are refused at `now` (monotonic s)."""
         return tuple(
             name
             for name in self._records
             if self.judge(name, now).ruling is Ruling.REFUSE
         )
 
-    def _counting(self, record: _Record, now: float) -> list[_Crash]:
-        """Returns the crashes that are neither cleared nor lapsed."""
+    def _counted_crashes(
+        self, record: _SuspectRecord, now: float
+    ) -> list[_Crash]:
+        """Returns the crashes that are neither cleared nor expired."""
         crashes = [
             c for c in record.crashes.values() if c.at_ms > record.cleared_ms
         ]
-        many = len(crashes) >= _MIN_CRASHED_TARGETS
-        term_s = QUARANTINE_S if many else SUSPICION_S
-        return [c for c in crashes if now - c.learned < term_s]
+        is_quarantined = len(crashes) >= _MIN_CRASHED_TARGETS
+        max_age_s = QUARANTINE_S if is_quarantined else SUSPICION_S
+        return [c for c in crashes if now - c.learned_at < max_age_s]
 
-    def _bound(self, now: float) -> None:
-        """Forgets what has lapsed; beyond the bound, the oldest."""
+    def _remove_excess(self, now: float) -> None:
+        """Removes expired records, and the oldest beyond `MAX_SUSPECTS`."""
         for name, record in list(self._records.items()):
-            if now - record.learned >= QUARANTINE_S:
+            if now - record.updated_at >= QUARANTINE_S:
                 del self._records[name]
         while len(self._records) > MAX_SUSPECTS:
-            oldest = min(self._records, key=lambda n: self._records[n].learned)
+            oldest = min(
+                self._records, key=lambda n: self._records[n].updated_at
+            )
             del self._records[oldest]
