--- a/src/radishwind/outcomes/__init__.py
+++ b/src/radishwind/outcomes/__init__.py
@@ -1,4 +1,4 @@
-"""NotRun, Done and Unknown: what became of an attempt, and how it is told."""
+"""Outcomes of attempts (NotRun, Done, Unknown) and the responses for them."""
 
 from radishwind.outcomes.combining import combine_outcomes
 from radishwind.outcomes.model import Done
--- a/src/radishwind/outcomes/combining.py
+++ b/src/radishwind/outcomes/combining.py
@@ -1,4 +1,4 @@
-"""What holds of a call after several attempts of it."""
+"""Combines the outcomes of several attempts of a call."""
 
 from radishwind.http.types import is_server_error
 from radishwind.outcomes.model import Done
@@ -6,22 +6,26 @@
 from radishwind.outcomes.model import Outcome
 
 
-def combine_outcomes(before: Outcome | None, outcome: Outcome) -> Outcome:
-    """Returns what holds of both attempts.
+def combine_outcomes(earlier: Outcome | None, later: Outcome) -> Outcome:
+    """Returns the outcome of a call by those of two of its attempts.
 
-    An answer goes before none, and an answer of success before one of
-    failure; what may have run stays unknown whatever was refused later.
+    A response takes precedence over none, and a successful response over an
+    error. If one attempt may have run, a later refusal does not change that.
+
+    Args:
+      earlier: outcome of the earlier attempts; `None` if there were none.
+      later: outcome of the latest attempt.
     """
-    if before is None or isinstance(before, NotRun):
-        return outcome
-    if isinstance(outcome, NotRun):
-        return before
-    if isinstance(before, Done):
-        return outcome if _is_better(before, outcome) else before
-    return outcome
+    if earlier is None or isinstance(earlier, NotRun):
+        return later
+    if isinstance(later, NotRun):
+        return earlier
+    if isinstance(earlier, Done):
+        return later if _is_better(earlier, later) else earlier
+    return later
 
 
-def _is_better(before: Done, outcome: Outcome) -> bool:
-    if not isinstance(outcome, Done):
+def _is_better(earlier: Done, later: Outcome) -> bool:
+    if not isinstance(later, Done):
         return False
-    return is_server_error(before.response.status)
+    return is_server_error(earlier.response.status)
--- a/src/radishwind/outcomes/model.py
+++ b/src/radishwind/outcomes/model.py
@@ -1,7 +1,7 @@
-"""The three outcomes of an attempt, as types.
+"""The three possible outcomes of an attempt.
 
-A request that is not idempotent may be tried again only after `NotRun`. The
-result code and the caller's text are made from these values alone.
+A request that is not idempotent may be retried only after `NotRun`. The result
+code and the text for the caller are taken from these values alone.
 """
 
 from typing import TypeAlias
@@ -16,9 +16,10 @@
     """No byte of the request reached the server, or the server refused it.
 
     Attributes:
-      code: why, from the 2000 or 3000 family.
-      detail: a sentence for the caller.
-      retry_after_s: when to come back (s), if that can help.
+      code: the reason, from the 2000 or 3000 family.
+      detail: explanation for the caller, one sentence.
+      retry_after_s: time after which a retry is likely to be accepted (s);
+        `None` if it is not known or a retry is of no use.
     """
 
     code: ResultCode
@@ -27,23 +28,24 @@
 
 
 class Done(msgspec.Struct, frozen=True):
-    """The server answered.
+    """The server responded.
 
     Attributes:
-      response: the server's answer; its body may still be streaming.
+      response: the response of the server; its body may still be streaming.
     """
 
     response: Response
 
 
 class Unknown(msgspec.Struct, frozen=True):
-    """The request may have run; nothing tells whether it did.
+    """The request may have run; it is not known whether it did.
 
     Attributes:
-      code: why, from the 4000 family; 2005 where the body of a repeated
+      code: the reason, from the 4000 family; 2005 if the body of a repeated
         request did not end.
-      detail: a sentence for the caller.
-      retry_after_s: when asking again may tell more (s), if it can.
+      detail: explanation for the caller, one sentence.
+      retry_after_s: time after which a repetition of the request may return
+        its outcome (s); `None` if it can't.
     """
 
     code: ResultCode
--- a/src/radishwind/outcomes/responses.py
+++ b/src/radishwind/outcomes/responses.py
@@ -1,4 +1,4 @@
-"""Answers to the caller made from outcomes, as problem details in JSON."""
+"""Creates the responses to callers from outcomes, as JSON problem details."""
 
 from radishwind.core.codes import ResultCode
 from radishwind.http.problems import problem_body
@@ -31,7 +31,7 @@
 
 
 def outcome_response(outcome: Outcome) -> Response:
-    """Returns the final answer to the caller for `outcome`."""
+    """Returns the response to the caller for `outcome`."""
     if isinstance(outcome, Done):
         return outcome.response
     if isinstance(outcome, NotRun):
@@ -49,14 +49,17 @@
     outcome: str,
     retry_after_s: float | None = None,
 ) -> Response:
-    """Returns an error answer with the status that its code has.
+    """Returns an error response with the HTTP status of `code`.
 
     Args:
-      code: the numbered result code; it decides the status.
-      detail: a sentence for the caller.
+      code: the result code.
+      detail: explanation for the caller, one sentence.
       outcome: `not-run` or `unknown`.
-      retry_after_s: when to come back (s).
+      retry_after_s: time after which the caller should retry (s); `None` for no
+        Retry-After.
     """
-    default = _STATUS_NOT_RUN if outcome == "not-run" else _STATUS_UNKNOWN
-    status = _STATUS_BY_CODE.get(code, default)
+    default_status = (
+        _STATUS_NOT_RUN if outcome == "not-run" else _STATUS_UNKNOWN
+    )
+    status = _STATUS_BY_CODE.get(code, default_status)
     return problem_body(code, status, detail, outcome, retry_after_s)
