--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -21,7 +21,7 @@
 import anyio
 import msgspec
 from tests.support.configs import ConfigFleet
-from tests.support.configs import Desk
+from tests.support.configs import ConfigTestbed
 
 from bench.report import keep
 from radishwind.config import records
@@ -41,11 +41,11 @@
 from radishwind.config.parts import decode_part
 from radishwind.config.parts import encode_part
 from radishwind.config.parts import Snapshot
-from radishwind.config.parts import split
-from radishwind.config.spread import Catch
-from radishwind.config.spread import decode_offer
-from radishwind.config.spread import Offers
-from radishwind.config.spread import Pull
+from radishwind.config.parts import split_into_parts
+from radishwind.config.pull import decode_reply
+from radishwind.config.pull import Pull
+from radishwind.config.pull import PullResponder
+from radishwind.config.pull import SnapshotBuilder
 from radishwind.config.watchers import WATCHERS_PER_DOMAIN
 from radishwind.http import Request
 from radishwind.http import Response
@@ -116,20 +116,20 @@
 
 async def accepted(
     inventory: Inventory, rules: Rules, changed: Inventory
-) -> tuple[Desk, list[Snapshot], dict[str, int]]:
+) -> tuple[ConfigTestbed, list[Snapshot], dict[str, int]]:
     """Returns snapshots before and after one change, and its store calls."""
-    desk = Desk()
-    await desk.apply(inventory)
-    await desk.apply(rules)
-    before = await desk.loaded()
-    counted = dict(desk.standin.calls)
-    await desk.apply(changed)
-    calls = {k: v - counted.get(k, 0) for k, v in desk.standin.calls.items()}
-    return desk, [before, await desk.loaded()], calls
+    testbed = ConfigTestbed()
+    await testbed.apply(inventory)
+    await testbed.apply(rules)
+    before = await testbed.loaded()
+    counted = dict(testbed.standin.calls)
+    await testbed.apply(changed)
+    calls = {k: v - counted.get(k, 0) for k, v in testbed.standin.calls.items()}
+    return testbed, [before, await testbed.loaded()], calls
 
 
 def sizes_row(
-    size: tuple[int, int], desk: Desk, snapshots: list[Snapshot]
+    size: tuple[int, int], testbed: ConfigTestbed, snapshots: list[Snapshot]
 ) -> dict[str, Any]:
     """Returns the sizes of what is kept and sent (bytes)."""
     before, after = snapshots
@@ -146,7 +146,9 @@
         "all parts": sum(encoded),
         "largest part": max(encoded),
         "manifest": len(records.encode_manifest(after.refs)),
-        "root after a change of one target": len(desk.value(records.ROOT_KEY)),
+        "root after a change of one target": len(
+            testbed.value(records.ROOT_KEY)
+        ),
         "difference from a peer": len(msgspec.json.encode(offer)),
         "first answer to a new node": len(msgspec.json.encode(whole)),
     }
@@ -166,7 +168,7 @@
     offer = msgspec.json.encode(_offer(after, before))
 
     def take_difference() -> None:
-        Catch(before, decode_offer(offer)).whole()
+        SnapshotBuilder(before, decode_reply(offer)).build()
 
     return {
         "targets": size[1],
@@ -176,7 +178,8 @@
         "check rules file": timed(lambda: read_rules(rules_file), rounds),
         "cut and encode": timed(
             lambda: [
-                encode_part(p) for p in split(cfg.inventory, cfg.rules).values()
+                encode_part(p)
+                for p in split_into_parts(cfg.inventory, cfg.rules).values()
             ],
             rounds,
         ),
@@ -207,19 +210,21 @@
 def _offer(after: Snapshot, held: Snapshot) -> Any:
     adopter = Adopter()
     adopter.adopt(after)
-    return Offers(adopter).offer(Pull(held.revision, held.change_id))
+    return PullResponder(adopter).respond(Pull(held.revision, held.change_id))
 
 
-def fail_once_told(desk: Desk, fleet: ConfigFleet, revision: int) -> None:
+def fail_once_told(
+    testbed: ConfigTestbed, fleet: ConfigFleet, revision: int
+) -> None:
     """Lets the store fail once one node has the accepted revision."""
 
     async def accept_and_fail(request: Request) -> Response:
-        response = await desk.standin.handle(request)
+        response = await testbed.standin.handle(request)
         await fleet.until(lambda: revision in fleet.revisions())
-        desk.standin.set_faults(StoreFaults(down="refuse"))
+        testbed.standin.set_faults(StoreFaults(down="refuse"))
         return response
 
-    desk.on_swap = accept_and_fail
+    testbed.on_swap = accept_and_fail
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -240,20 +245,23 @@
 
 
 async def change_cost(
-    desk: Desk, fleet: ConfigFleet, changed: Inventory, revision: int
+    testbed: ConfigTestbed,
+    fleet: ConfigFleet,
+    changed: Inventory,
+    revision: int,
 ) -> ChangeCost:
     """Applies `changed` as `revision` and waits until all have it."""
     asked, received_bytes = fleet.totals()
-    calls = sum(desk.standin.calls.values())
-    desk.sender.sent.clear()
+    calls = sum(testbed.standin.calls.values())
+    testbed.sender.sent.clear()
     start = time.perf_counter()
-    await desk.apply(changed)
+    await testbed.apply(changed)
     await fleet.in_force(revision)
     took_s = time.perf_counter() - start
     asked_after, received_after = fleet.totals()
     return ChangeCost(
         took_s,
-        sum(desk.standin.calls.values()) - calls,
+        sum(testbed.standin.calls.values()) - calls,
         asked_after - asked,
         received_after - received_bytes,
     )
@@ -263,23 +271,23 @@
     nodes: int, changes: int, store_fails: bool, watches: int
 ) -> list[ChangeCost]:
     """Runs `nodes` nodes and returns what each of `changes` cost."""
-    desk = Desk()
-    fleet = ConfigFleet(desk, ConfigPeriods())
+    testbed = ConfigTestbed()
+    fleet = ConfigFleet(testbed, ConfigPeriods())
     services = max(3, nodes // 8)
     costs = []
     async with anyio.create_task_group() as tasks:
         for number in range(nodes):
             fleet.start(tasks, f"n-{number:04d}", f"domain-{number % DOMAINS}")
-        await desk.apply(made_inventory(services, nodes))
+        await testbed.apply(made_inventory(services, nodes))
         await fleet.in_force(1)
-        await fleet.until(lambda: desk.standin.watching == watches)
+        await fleet.until(lambda: testbed.standin.watching == watches)
         for revision in range(2, 2 + changes):
             if store_fails:
-                desk.standin.set_faults(StoreFaults())
-                await fleet.until(lambda: desk.standin.watching == watches)
-                fail_once_told(desk, fleet, revision)
+                testbed.standin.set_faults(StoreFaults())
+                await fleet.until(lambda: testbed.standin.watching == watches)
+                fail_once_told(testbed, fleet, revision)
             changed = made_inventory(services, nodes, revision)
-            costs.append(await change_cost(desk, fleet, changed, revision))
+            costs.append(await change_cost(testbed, fleet, changed, revision))
         tasks.cancel_scope.cancel()
     return costs
 
@@ -322,8 +330,8 @@
     for size in SIZES:
         contents = made_inventory(*size), made_rules(size[0])
         changed = made_inventory(*size, slots=8)
-        desk, snapshots, counted = anyio.run(accepted, *contents, changed)
-        sizes.append(sizes_row(size, desk, snapshots))
+        testbed, snapshots, counted = anyio.run(accepted, *contents, changed)
+        sizes.append(sizes_row(size, testbed, snapshots))
         times.append(times_row(size, snapshots, options.rounds))
         calls.append({"targets": size[1], **counted})
     spread = [
--- a/src/radishwind/cli/changes.py
+++ b/src/radishwind/cli/changes.py
@@ -11,12 +11,12 @@
 from radishwind.cli.documents import StoreOption
 from radishwind.cli.documents import tell_accepted
 from radishwind.cli.documents import with_store
-from radishwind.config.accept import Change
-from radishwind.config.accept import describe
-from radishwind.config.accept import Settlement
+from radishwind.config.change_acceptor import Change
+from radishwind.config.change_acceptor import ChangeStatus
+from radishwind.config.change_acceptor import describe_change
 from radishwind.config.errors import ChangeUnsettledError
 from radishwind.config.records import ChangeRecord
-from radishwind.config.records import revision_of
+from radishwind.config.records import parse_revision
 from radishwind.config.repository import ConfigRepository
 from radishwind.settings import SettingError
 from radishwind.store import Store
@@ -45,7 +45,7 @@
         _settle(store, change_id)
         return
     for record in with_store(store, lambda s: _last(s, last)):
-        typer.echo(describe(record))
+        typer.echo(describe_change(record))
 
 
 @_app.command("restore")
@@ -74,27 +74,27 @@
 
 async def _last(store: Store, count: int) -> tuple[ChangeRecord, ...]:
     repository = ConfigRepository(store)
-    root, _ = await repository.newest()
+    root, _ = await repository.read_newest()
     if root is None:
         return ()
     newest = root.record
-    return await repository.changes_after(
+    return await repository.read_changes_after(
         max(0, newest.revision - count), newest, count
     )
 
 
 def _settle(store: str, change_id: str) -> None:
     try:
-        revision = revision_of(change_id)
+        revision = parse_revision(change_id)
     except ValueError as exc:
         raise SettingError(f"change id: {exc}") from exc
-    settlement = with_store(store, lambda s: acceptor(s).settle(change_id))
-    if settlement is Settlement.OPEN:
+    settlement = with_store(store, lambda s: acceptor(s).read_status(change_id))
+    if settlement is ChangeStatus.UNDECIDED:
         raise ChangeUnsettledError(f"change {change_id}: {settlement.value}")
     typer.echo(f"change {change_id}: {settlement.value}")
-    if settlement is Settlement.ACCEPTED:
+    if settlement is ChangeStatus.ACCEPTED:
         record = with_store(
-            store, lambda s: ConfigRepository(s).change(revision)
+            store, lambda s: ConfigRepository(s).read_change(revision)
         )
         if record is not None:
-            typer.echo(describe(record))
+            typer.echo(describe_change(record))
--- a/src/radishwind/cli/documents.py
+++ b/src/radishwind/cli/documents.py
@@ -14,9 +14,9 @@
 import typer
 
 from radishwind.cli import fleet
-from radishwind.config.accept import Acceptor
-from radishwind.config.accept import Change
-from radishwind.config.accept import describe
+from radishwind.config.change_acceptor import Change
+from radishwind.config.change_acceptor import ChangeAcceptor
+from radishwind.config.change_acceptor import describe_change
 from radishwind.config.files import write_file
 from radishwind.config.model import Configuration
 from radishwind.config.model import Inventory
@@ -160,9 +160,9 @@
         typer.echo(write_file(document).decode(), nl=False)
 
 
-def acceptor(store: Store) -> Acceptor:
+def acceptor(store: Store) -> ChangeAcceptor:
     """Returns what accepts changes by `store`."""
-    return Acceptor(store, SystemClock(), random.Random(os.urandom(16)))
+    return ChangeAcceptor(store, SystemClock(), random.Random(os.urandom(16)))
 
 
 def with_store(text: str, use: Callable[[Store], Awaitable[_T]]) -> _T:
@@ -208,7 +208,7 @@
     if record is None:
         typer.echo("nothing differs from the one in force")
         return
-    typer.echo(f"accepted as {describe(record)}")
+    typer.echo(f"accepted as {describe_change(record)}")
 
 
 def _in_force(store: str | None, admin: str | None) -> Configuration:
@@ -221,7 +221,7 @@
 
 async def _newest(store: Store) -> Configuration:
     repository = ConfigRepository(store)
-    root, _ = await repository.newest()
+    root, _ = await repository.read_newest()
     if root is None:
         return Configuration()
     return (await repository.load(root, Snapshot())).cfg
--- a/src/radishwind/config/adopter.py
+++ b/src/radishwind/config/adopter.py
@@ -37,7 +37,7 @@
         self.last_refusal = ""
         self._reported: tuple[str, str] | None = None
 
-    def weigh(
+    def classify(
         self, revision: int, change_id: str, source: Source, held: int
     ) -> Verdict:
         """Returns what to do about the newest revision seen somewhere.
--- a/src/radishwind/config/accept.py
+++ b/src/radishwind/config/change_acceptor.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from radishwind.config import records
-from radishwind.config.checking import FileFault
-from radishwind.config.checking import FileInvalidError
+from radishwind.config.cleanup import delete_keys
+from radishwind.config.cleanup import tidy
 from radishwind.config.diff import differences
 from radishwind.config.errors import ChangeConflictError
 from radishwind.config.errors import ChangeUnsettledError
@@ -22,13 +22,13 @@
 from radishwind.config.parts import encode_part
 from radishwind.config.parts import Part
 from radishwind.config.parts import Snapshot
-from radishwind.config.parts import split
+from radishwind.config.parts import split_into_parts
 from radishwind.config.records import ChangeRecord
 from radishwind.config.records import PartRef
 from radishwind.config.records import Root
 from radishwind.config.repository import ConfigRepository
-from radishwind.config.tidy import delete_keys
-from radishwind.config.tidy import tidy
+from radishwind.config.validation import FileFault
+from radishwind.config.validation import FileInvalidError
 from radishwind.core.clock import Clock
 from radishwind.store import Backoff
 from radishwind.store import Compare
@@ -56,13 +56,13 @@
 _LONGEST_PAUSE_S = 1.0
 
 
-class Settlement(enum.Enum):
+class ChangeStatus(enum.Enum):
     """What became of a change."""
 
     ACCEPTED = "accepted"
-    LOST = "not accepted, and never will be"
-    OPEN = "not seen so far; the store may still carry it out"
-    FORGOTTEN = "older than the history that is kept"
+    REJECTED = "not accepted, and never will be"
+    UNDECIDED = "not seen so far; the store may still carry it out"
+    EXPIRED = "older than the history that is kept"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
     above: int = 0
 
 
-class Acceptor:
+class ChangeAcceptor:
     """Accepts changes for operators."""
 
     def __init__(
@@ -91,13 +91,13 @@
         store: Store,
         clock: Clock,
         rng: random.Random,
-        settle_s: float = 10.0,
+        decision_wait_s: float = 10.0,
     ) -> None:
         self._store = store
         self._repository = ConfigRepository(store)
         self._clock = clock
         self._rng = rng
-        self._settle_s = settle_s
+        self._decision_wait_s = decision_wait_s
 
     async def accept(self, change: Change) -> ChangeRecord | None:
         """Makes `change` the newest configuration.
@@ -122,30 +122,30 @@
         await tidy(self._store, record, snapshot.refs)
         return record
 
-    async def settle(self, change_id: str) -> Settlement:
+    async def read_status(self, change_id: str) -> ChangeStatus:
         """Tells by reading whether a change was accepted.
 
         Raises:
           ValueError: `change_id` is none.
           StoreError: the store failed.
         """
-        revision = records.revision_of(change_id)
-        root, _ = await self._repository.newest()
+        revision = records.parse_revision(change_id)
+        root, _ = await self._repository.read_newest()
         if root is None or root.record.revision < revision:
-            return Settlement.OPEN
+            return ChangeStatus.UNDECIDED
         newest = root.record
         if newest.change_id == change_id:
-            return Settlement.ACCEPTED
+            return ChangeStatus.ACCEPTED
         if newest.revision - revision >= records.KEPT_CHANGES:
-            return Settlement.FORGOTTEN
-        kept = await self._repository.change(revision)
+            return ChangeStatus.EXPIRED
+        kept = await self._repository.read_change(revision)
         if kept is not None and kept.change_id == change_id:
-            return Settlement.ACCEPTED
-        return Settlement.LOST
+            return ChangeStatus.ACCEPTED
+        return ChangeStatus.REJECTED
 
     async def _read_base(self) -> tuple[Snapshot, int]:
         try:
-            root, stored_at = await self._repository.newest()
+            root, stored_at = await self._repository.read_newest()
             if root is None:
                 return Snapshot(), stored_at
             base = await self._repository.load(root, Snapshot())
@@ -167,7 +167,7 @@
             return None, base
         revision = max(base.revision, change.above) + 1
         change_id = records.change_id(revision, self._rng.getrandbits(64))
-        parts = split(inventory, rules)
+        parts = split_into_parts(inventory, rules)
         _check_sizes(parts)
         changed = [n for n, p in parts.items() if base.parts.get(n) != p]
         refs = {name: base.refs.get(name, change_id) for name in parts}
@@ -230,14 +230,14 @@
     ) -> bool:
         """Reads until the change is seen or superseded; never writes."""
         backoff = Backoff(self._rng, _FIRST_PAUSE_S, _LONGEST_PAUSE_S)
-        until = self._clock.monotonic() + self._settle_s
+        until = self._clock.monotonic() + self._decision_wait_s
         while True:
             try:
-                settlement = await self.settle(record.change_id)
+                settlement = await self.read_status(record.change_id)
             except StoreError:
-                settlement = Settlement.OPEN
-            if settlement is not Settlement.OPEN:
-                return settlement is Settlement.ACCEPTED
+                settlement = ChangeStatus.UNDECIDED
+            if settlement is not ChangeStatus.UNDECIDED:
+                return settlement is ChangeStatus.ACCEPTED
             pause_s = backoff.record_failure()
             if self._clock.monotonic() + pause_s > until:
                 raise ChangeUnsettledError(
@@ -257,21 +257,21 @@
             )
 
     async def _conflict_with_changes(self, base: int) -> ChangeConflictError:
-        root, _ = await self._repository.newest()
+        root, _ = await self._repository.read_newest()
         if root is None:
             return ChangeConflictError(f"base {base}: the store has none")
         newest = root.record
-        since = await self._repository.changes_after(
+        since = await self._repository.read_changes_after(
             base, newest, _SHOWN_CHANGES
         )
-        text = "\n".join(describe(r) for r in since) or "  none kept"
+        text = "\n".join(describe_change(r) for r in since) or "  none kept"
         return ChangeConflictError(
             f"expected revision {base} to be the newest, got "
             f"{newest.revision}. Changed since:\n{text}"
         )
 
 
-def describe(record: ChangeRecord) -> str:
+def describe_change(record: ChangeRecord) -> str:
     """Returns a change as text for operators, several lines."""
     head = (
         f"revision {record.revision}, change {record.change_id}, "
--- a/src/radishwind/config/tidy.py
+++ b/src/radishwind/config/cleanup.py
@@ -33,8 +33,8 @@
       refs: the version of each part in force since.
     """
     with contextlib.suppress(StoreError, RevisionRefusedError):
-        old = await ConfigRepository(store).change(
-            record.revision - records.KEPT_PARTS
+        old = await ConfigRepository(store).read_change(
+            record.revision - records.KEPT_PART_REVISIONS
         )
         keys = []
         if record.revision > records.KEPT_CHANGES:
@@ -58,13 +58,13 @@
     """
     keys = []
     for entry in await store.list(records.PARTS_PREFIX):
-        ref = records.ref_of_key(entry.key)
+        ref = records.parse_part_key(entry.key)
         if refs.get(ref.name) != ref.version:
             keys.append((ref.version, entry.key))
     for entry in await store.list(records.MANIFESTS_PREFIX):
         version = entry.key.removeprefix(records.MANIFESTS_PREFIX)
         keys.append((version, entry.key))
-    limit = revision - records.KEPT_PARTS
+    limit = revision - records.KEPT_PART_REVISIONS
     await delete_keys(store, [key for v, key in keys if _at_most(v, limit)])
 
 
@@ -79,6 +79,6 @@
 def _at_most(version: str, revision: int) -> bool:
     """Returns whether `version` is a change id up to `revision`."""
     try:
-        return records.revision_of(version) <= revision
+        return records.parse_revision(version) <= revision
     except ValueError:
         return False
--- a/src/radishwind/config/exchange.py
+++ b/src/radishwind/config/config_exchange.py
@@ -11,14 +11,14 @@
 from radishwind.config.adopter import Verdict
 from radishwind.config.errors import RevisionRefusedError
 from radishwind.config.parts import Snapshot
+from radishwind.config.pull import decode_pull
+from radishwind.config.pull import decode_reply
+from radishwind.config.pull import Pull
+from radishwind.config.pull import PullReply
+from radishwind.config.pull import PullResponder
+from radishwind.config.pull import SnapshotBuilder
 from radishwind.config.records import Root
 from radishwind.config.repository import ConfigRepository
-from radishwind.config.spread import Catch
-from radishwind.config.spread import decode_offer
-from radishwind.config.spread import decode_pull
-from radishwind.config.spread import Offer
-from radishwind.config.spread import Offers
-from radishwind.config.spread import Pull
 from radishwind.http.types import Address
 from radishwind.peers.peer_client import PeerClient
 from radishwind.store import Store
@@ -36,13 +36,13 @@
 _MAX_WANTED = 256
 
 
-class Exchange:
+class ConfigExchange:
     """Asks peers and the store, and answers peers.
 
     Attributes:
       adopter: holds the configuration in force.
-      answered: pulls answered.
-      asked: pulls sent.
+      pulls_answered: pulls answered.
+      pulls_sent: pulls sent.
       bytes_received: bytes of configuration messages received from peers.
     """
 
@@ -52,8 +52,8 @@
         peers: PeerClient,
         store: Store,
         own_address: Address,
-        heard: Callable[[int, Address], None],
-        adopted: Callable[[Snapshot, Source], None],
+        on_newer_revision: Callable[[int, Address], None],
+        on_adopted: Callable[[Snapshot, Source], None],
     ) -> None:
         """Wires the exchange.
 
@@ -62,38 +62,40 @@
           peers: sends to other nodes.
           store: the store.
           own_address: this node's peer listener.
-          heard: called when a peer tells that it has a higher revision.
-          adopted: called with each configuration put in force, and where it
+          on_newer_revision: called when a peer reports a higher revision.
+          on_adopted: called with each configuration put in force, and where it
             came from.
         """
         self.adopter = adopter
-        self.answered = 0
-        self.asked = 0
+        self.pulls_answered = 0
+        self.pulls_sent = 0
         self.bytes_received = 0
         self._peers = peers
         self._repository = ConfigRepository(store)
         self._own_address = own_address
-        self._heard = heard
-        self._adopted = adopted
-        self._offers = Offers(adopter)
+        self._on_newer_revision = on_newer_revision
+        self._on_adopted = on_adopted
+        self._offers = PullResponder(adopter)
 
-    def answer(self, content: bytes) -> bytes:
+    def handle_pull(self, content: bytes) -> bytes:
         """Answers the pull of a peer.
 
         Raises:
           RevisionRefusedError: it is malformed.
         """
         pull = decode_pull(content)
-        self.answered += 1
+        self.pulls_answered += 1
         self.bytes_received += len(content)
         if pull.revision > self.adopter.snapshot.revision:
             try:
-                self._heard(pull.revision, Address.parse(pull.address))
+                self._on_newer_revision(
+                    pull.revision, Address.parse(pull.address)
+                )
             except ValueError as exc:
                 raise RevisionRefusedError(f"address: {exc}") from exc
-        return msgspec.json.encode(self._offers.offer(pull))
+        return msgspec.json.encode(self._offers.respond(pull))
 
-    async def ask(self, address: Address) -> Offer:
+    async def pull_from(self, address: Address) -> PullReply:
         """Asks one peer; adopts what it has if that is newer.
 
         Returns:
@@ -105,7 +107,7 @@
         """
         held = self.adopter.snapshot
         offer = await self._pull(address, Pull(held.revision, held.change_id))
-        verdict = self.adopter.weigh(
+        verdict = self.adopter.classify(
             offer.revision, offer.change_id, Source.PEER, held.revision
         )
         if verdict is not Verdict.NEWER or offer.record is None:
@@ -126,11 +128,11 @@
           RevisionRefusedError: what it has can't be adopted.
         """
         held = self.adopter.snapshot
-        root, stored_at = await self._repository.newest()
+        root, stored_at = await self._repository.read_newest()
         await self._take_root(root, held)
         return stored_at
 
-    async def take_event(self, event: WatchEvent) -> None:
+    async def apply_event(self, event: WatchEvent) -> None:
         """Adopts what a watch of the root told, if that is newer.
 
         Raises:
@@ -145,7 +147,7 @@
     async def _take_root(self, root: Root | None, held: Snapshot) -> None:
         revision = root.record.revision if root else 0
         change_id = root.record.change_id if root else ""
-        verdict = self.adopter.weigh(
+        verdict = self.adopter.classify(
             revision, change_id, Source.STORE, held.revision
         )
         if verdict is Verdict.NEWER and root is not None:
@@ -153,37 +155,37 @@
             self._adopt(snapshot, Source.STORE)
 
     async def _catch_up(
-        self, address: Address, held: Snapshot, offer: Offer
+        self, address: Address, held: Snapshot, offer: PullReply
     ) -> Snapshot | None:
         """Returns what the peer offers; `None` if it moved on meanwhile."""
         try:
-            catch = Catch(held, offer)
+            catch = SnapshotBuilder(held, offer)
         except RevisionRefusedError:
             # The difference doesn't fit what is held, as after changes on
             # two copies of the store; the whole does.
             offer = await self._pull(address, Pull(0, ""))
-            catch = Catch(held, offer)
+            catch = SnapshotBuilder(held, offer)
         for _ in range(_MAX_ANSWERS):
-            missing = catch.missing()[:_MAX_WANTED]
+            missing = catch.missing_parts()[:_MAX_WANTED]
             if not missing:
-                return catch.whole()
+                return catch.build()
             pull = Pull(held.revision, held.change_id, want=missing)
-            if not catch.take(await self._pull(address, pull)):
+            if not catch.add_parts(await self._pull(address, pull)):
                 return None
         return None
 
-    async def _pull(self, address: Address, pull: Pull) -> Offer:
-        self.asked += 1
+    async def _pull(self, address: Address, pull: Pull) -> PullReply:
+        self.pulls_sent += 1
         told = msgspec.structs.replace(pull, address=str(self._own_address))
         content = await self._peers.call(
             address, CONTROL_NAME, msgspec.json.encode(told), _CALL_TIMEOUT_S
         )
         self.bytes_received += len(content)
-        return decode_offer(content)
+        return decode_reply(content)
 
     def _adopt(self, snapshot: Snapshot, source: Source) -> None:
         if self.adopter.adopt(snapshot):
-            self._adopted(snapshot, source)
+            self._on_adopted(snapshot, source)
 
 
 def jittered(rng: random.Random, period_s: float) -> float:
--- a/src/radishwind/config/consistency.py
+++ b/src/radishwind/config/consistency.py
@@ -8,9 +8,9 @@
 import itertools
 from typing import Any
 
-from radishwind.config.checking import FileFault
-from radishwind.config.checking import shown
 from radishwind.config.model import ServiceRules
+from radishwind.config.validation import FileFault
+from radishwind.config.validation import shown
 
 _DEFAULTS = ServiceRules()
 
@@ -18,7 +18,7 @@
 _LIST = (list, tuple)
 
 
-def inventory_faults(inventory: Any) -> list[FileFault]:
+def find_inventory_faults(inventory: Any) -> list[FileFault]:
     """Returns duplicates, unknown references and ambiguous routes."""
     faults: list[FileFault] = []
     for kind in ("failure_domains", "services", "targets"):
@@ -34,7 +34,7 @@
     return faults
 
 
-def rules_faults(rules: Any) -> list[FileFault]:
+def find_rules_faults(rules: Any) -> list[FileFault]:
     """Returns what is contradictory within the rules of a service."""
     faults: list[FileFault] = []
     defaults = _field(rules, "defaults", dict) or {}
@@ -46,7 +46,7 @@
     return faults
 
 
-def cross_faults(
+def find_cross_faults(
     inventory: Any, rules: Any, changed: str = "rules"
 ) -> list[FileFault]:
     """Returns rules of services that the inventory doesn't list.
--- a/src/radishwind/config/files.py
+++ b/src/radishwind/config/files.py
@@ -8,12 +8,12 @@
 import msgspec
 
 from radishwind.config import consistency
-from radishwind.config.checking import faults_against
-from radishwind.config.checking import FileFault
-from radishwind.config.checking import FileInvalidError
-from radishwind.config.checking import RepeatedKeys
 from radishwind.config.model import Inventory
 from radishwind.config.model import Rules
+from radishwind.config.validation import FileFault
+from radishwind.config.validation import FileInvalidError
+from radishwind.config.validation import find_model_faults
+from radishwind.config.validation import RepeatedKeys
 
 #: The largest file read (bytes): some fifteen times the design size.
 MAX_FILE_BYTES = 16 * 1024 * 1024
@@ -28,8 +28,8 @@
       FileInvalidError: it has faults; it lists all of them.
     """
     document = _decode(content)
-    faults = faults_against(Inventory, document)
-    faults += consistency.inventory_faults(document)
+    faults = find_model_faults(Inventory, document)
+    faults += consistency.find_inventory_faults(document)
     if faults:
         raise FileInvalidError(faults)
     return _convert(document, Inventory)
@@ -42,8 +42,8 @@
       FileInvalidError: they have faults; it lists all of them.
     """
     document = _decode(content)
-    faults = faults_against(Rules, document)
-    faults += consistency.rules_faults(document)
+    faults = find_model_faults(Rules, document)
+    faults += consistency.find_rules_faults(document)
     if faults:
         raise FileInvalidError(faults)
     defaults = document.get("defaults", {})
@@ -62,7 +62,7 @@
     Raises:
       FileInvalidError: they don't fit.
     """
-    faults = consistency.cross_faults(
+    faults = consistency.find_cross_faults(
         msgspec.to_builtins(inventory), msgspec.to_builtins(rules), changed
     )
     if faults:
--- a/src/radishwind/config/integrity.py
+++ b/src/radishwind/config/integrity.py
@@ -16,7 +16,7 @@
 _failure_domain = operator.attrgetter("failure_domain")
 
 
-def first_fault(cfg: Configuration) -> str:
+def find_first_fault(cfg: Configuration) -> str:
     """Returns the first thing that is wrong; empty if nothing is."""
     inventory = cfg.inventory
     checks = (_names, _failure_domains, _services, _routes)
--- a/src/radishwind/config/parts.py
+++ b/src/radishwind/config/parts.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from radishwind.config.errors import RevisionRefusedError
-from radishwind.config.integrity import first_fault
+from radishwind.config.integrity import find_first_fault
 from radishwind.config.model import Configuration
 from radishwind.config.model import FailureDomain
 from radishwind.config.model import Inventory
@@ -84,7 +84,7 @@
         return self.cfg.change_id
 
 
-def split(inventory: Inventory, rules: Rules) -> dict[str, Part]:
+def split_into_parts(inventory: Inventory, rules: Rules) -> dict[str, Part]:
     """Returns the parts of a configuration by name, in canonical order."""
     targets: dict[str, list[Target]] = {}
     for target in sorted(inventory.targets, key=lambda t: t.name):
@@ -180,6 +180,6 @@
 
 
 def _check(cfg: Configuration) -> None:
-    fault = first_fault(cfg)
+    fault = find_first_fault(cfg)
     if fault:
         raise RevisionRefusedError(f"revision {cfg.revision}: {fault}")
--- a/src/radishwind/config/spread.py
+++ b/src/radishwind/config/pull.py
@@ -45,7 +45,7 @@
     want: tuple[PartRef, ...] = ()
 
 
-class Offer(msgspec.Struct, frozen=True, omit_defaults=True):
+class PullReply(msgspec.Struct, frozen=True, omit_defaults=True):
     """The answer to a `Pull`.
 
     Attributes:
@@ -70,7 +70,7 @@
 _T = TypeVar("_T")
 
 _pull_decoder = msgspec.json.Decoder(Pull)
-_offer_decoder = msgspec.json.Decoder(Offer)
+_offer_decoder = msgspec.json.Decoder(PullReply)
 
 
 def decode_pull(content: bytes) -> Pull:
@@ -82,7 +82,7 @@
     return _decode(_pull_decoder, content)
 
 
-def decode_offer(content: bytes) -> Offer:
+def decode_reply(content: bytes) -> PullReply:
     """Returns the answer in `content`.
 
     Raises:
@@ -91,7 +91,7 @@
     return _decode(_offer_decoder, content)
 
 
-class Offers:
+class PullResponder:
     """Answers pulls from the configuration in force.
 
     It remembers which parts went away at which revision, so that a node a few
@@ -104,11 +104,11 @@
         self._gone_since = 0
         self._seen = adopter.snapshot
 
-    def offer(self, pull: Pull) -> Offer:
+    def respond(self, pull: Pull) -> PullReply:
         """Returns the answer to `pull`."""
         own = self._adopter.snapshot
         self._follow(own)
-        plain = Offer(own.revision, own.change_id)
+        plain = PullReply(own.revision, own.change_id)
         if own.record is None or own.revision < pull.revision:
             return plain
         if pull.want:
@@ -120,15 +120,15 @@
             return plain
         return self._difference(own, pull)
 
-    def _difference(self, own: Snapshot, pull: Pull) -> Offer:
+    def _difference(self, own: Snapshot, pull: Pull) -> PullReply:
         whole = pull.revision == 0 or pull.revision < self._gone_since
         changed = tuple(
             PartRef(name, version)
             for name, version in own.refs.items()
-            if whole or records.revision_of(version) > pull.revision
+            if whole or records.parse_revision(version) > pull.revision
         )
         gone = [n for n, at in self._gone.items() if at > pull.revision]
-        return Offer(
+        return PullReply(
             own.revision,
             own.change_id,
             own.record,
@@ -151,14 +151,14 @@
         self._seen = own
 
 
-class Catch:
+class SnapshotBuilder:
     """Collects the parts of one newer configuration from a peer's answers.
 
     Attributes:
       record: the record of the configuration.
     """
 
-    def __init__(self, held: Snapshot, offer: Offer) -> None:
+    def __init__(self, held: Snapshot, offer: PullReply) -> None:
         """Starts from the first answer.
 
         Args:
@@ -183,9 +183,9 @@
             for name, version in self._refs.items()
             if held.refs.get(name) == version
         }
-        self.take(offer)
+        self.add_parts(offer)
 
-    def take(self, offer: Offer) -> bool:
+    def add_parts(self, offer: PullReply) -> bool:
         """Takes the parts of an answer; returns whether any was lacking.
 
         Raises:
@@ -197,7 +197,7 @@
                 self._parts[name] = decode_part(name, bytes(raw))
         return len(self._parts) > before
 
-    def missing(self) -> tuple[PartRef, ...]:
+    def missing_parts(self) -> tuple[PartRef, ...]:
         """Returns the parts still to ask for."""
         return tuple(
             PartRef(name, version)
@@ -205,7 +205,7 @@
             if name not in self._parts
         )
 
-    def whole(self) -> Snapshot:
+    def build(self) -> Snapshot:
         """Returns the configuration.
 
         Raises:
--- a/src/radishwind/config/records.py
+++ b/src/radishwind/config/records.py
@@ -22,7 +22,7 @@
 
 #: Revisions for which replaced parts and manifests stay readable, for nodes
 #: that are in the middle of reading them.
-KEPT_PARTS = 16
+KEPT_PART_REVISIONS = 16
 #: Accepted changes that `changes show` can tell of.
 KEPT_CHANGES = 1000
 
@@ -98,7 +98,7 @@
     return f"{revision}-{random_bits:016x}"
 
 
-def revision_of(version: str) -> int:
+def parse_revision(version: str) -> int:
     """Returns the revision that a change id starts with.
 
     Raises:
@@ -120,7 +120,7 @@
     return f"{PARTS_PREFIX}{ref.name}/{ref.version}"
 
 
-def ref_of_key(key: str) -> PartRef:
+def parse_part_key(key: str) -> PartRef:
     """Returns the version of a part that `key` is of."""
     name, _, version = key.removeprefix(PARTS_PREFIX).rpartition("/")
     return PartRef(name, version)
@@ -163,7 +163,7 @@
     Raises:
       RevisionRefusedError: it is not.
     """
-    if revision_of(record.change_id) == record.revision:
+    if parse_revision(record.change_id) == record.revision:
         return record
     raise RevisionRefusedError(
         f"expected a change id of revision {record.revision}, "
--- a/src/radishwind/config/repository.py
+++ b/src/radishwind/config/repository.py
@@ -23,7 +23,7 @@
     def __init__(self, store: Store) -> None:
         self._store = store
 
-    async def newest(self) -> tuple[Root | None, int]:
+    async def read_newest(self) -> tuple[Root | None, int]:
         """Returns the root and its store revision (0 if there is none)."""
         entry = await self._store.get(records.ROOT_KEY)
         if entry is None:
@@ -50,19 +50,19 @@
         parts.update(await self._read_parts(missing))
         return assemble(record, refs, parts)
 
-    async def change(self, revision: int) -> ChangeRecord | None:
+    async def read_change(self, revision: int) -> ChangeRecord | None:
         """Returns the accepted change that made `revision`, if kept."""
         entry = await self._store.get(records.change_key(revision))
         return None if entry is None else records.decode_record(entry.value)
 
-    async def changes_after(
+    async def read_changes_after(
         self, revision: int, newest: ChangeRecord, limit: int
     ) -> tuple[ChangeRecord, ...]:
         """Returns the last changes above `revision`, the newest first."""
         found = [newest] if newest.revision > revision else []
         oldest = max(revision, newest.revision - limit)
         for number in range(newest.revision - 1, oldest, -1):
-            record = await self.change(number)
+            record = await self.read_change(number)
             if record is not None:
                 found.append(record)
         return tuple(found)
--- a/src/radishwind/config/tests/test_accept_random.py
+++ b/src/radishwind/config/tests/test_change_acceptor_random.py
@@ -4,12 +4,12 @@
 
 import anyio
 import pytest
-from tests.support.configs import Desk
+from tests.support.configs import ConfigTestbed
 from tests.support.configs import inventory
 from tests.support.configs import STORE
 from tests.support.direct import Fault
 
-from radishwind.config.accept import Settlement
+from radishwind.config.change_acceptor import ChangeStatus
 from radishwind.config.errors import ChangeConflictError
 from radishwind.config.errors import ChangeUnsettledError
 from radishwind.store import StoreUnavailableError
@@ -27,22 +27,22 @@
 @pytest.mark.parametrize("seed", range(20))
 async def test_each_accepted_change_has_one_revision_and_stays(seed):
     rng = random.Random(seed)
-    shared = Desk()
+    shared = ConfigTestbed()
     await shared.apply(inventory())
     accepted, unsettled, slots = [], [], iter(range(10, 1000))
 
     async def operate(name):
-        desk = Desk(seed=rng.getrandbits(32))
+        testbed = ConfigTestbed(seed=rng.getrandbits(32))
         handle = shared.sender.handlers[STORE]
-        desk.sender.handlers[STORE] = handle
+        testbed.sender.handlers[STORE] = handle
         for _ in range(6):
-            desk.sender.next_faults = [
+            testbed.sender.next_faults = [
                 rng.choice(FAULTS) if rng.random() < 0.15 else None
                 for _ in range(12)
             ]
             try:
                 accepted.append(
-                    await desk.apply(inventory(slots=next(slots)), name)
+                    await testbed.apply(inventory(slots=next(slots)), name)
                 )
             except ChangeUnsettledError as exc:
                 unsettled.append(str(exc).split()[2].rstrip(":"))
@@ -54,7 +54,8 @@
             tasks.start_soon(operate, f"op-{number}")
     newest = await shared.loaded()
     history = [
-        await shared.repository.change(r + 1) for r in range(newest.revision)
+        await shared.repository.read_change(r + 1)
+        for r in range(newest.revision)
     ]
     kept = {record.change_id for record in history}
     assert [r.revision for r in history] == list(range(1, newest.revision + 1))
@@ -62,6 +63,6 @@
     assert bases == ["", *(r.change_id for r in history[:-1])]
     assert {r.change_id for r in accepted} <= kept
     for change_id in unsettled:
-        took_effect = await shared.acceptor.settle(change_id)
-        assert (took_effect is Settlement.ACCEPTED) is (change_id in kept)
+        took_effect = await shared.acceptor.read_status(change_id)
+        assert (took_effect is ChangeStatus.ACCEPTED) is (change_id in kept)
     assert newest.cfg.inventory.targets[0].slots != 9 or newest.revision == 1
--- a/src/radishwind/config/tests/test_files.py
+++ b/src/radishwind/config/tests/test_files.py
@@ -8,14 +8,14 @@
 import msgspec
 import pytest
 
-from radishwind.config.checking import FileInvalidError
 from radishwind.config.files import check_together
 from radishwind.config.files import read_inventory
 from radishwind.config.files import read_rules
 from radishwind.config.files import write_file
-from radishwind.config.integrity import first_fault
+from radishwind.config.integrity import find_first_fault
 from radishwind.config.model import Configuration
 from radishwind.config.model import Inventory
+from radishwind.config.validation import FileInvalidError
 
 EXAMPLES = pathlib.Path(__file__).parents[4] / "examples"
 
@@ -141,7 +141,7 @@
     doc[kind].append(entry)
     assert faults(read_inventory, doc)
     listed = msgspec.convert(doc, Inventory)
-    assert first_fault(Configuration(inventory=listed))
+    assert find_first_fault(Configuration(inventory=listed))
 
 
 def outcome(read, content):
@@ -172,7 +172,7 @@
     listed, found = outcome(read_inventory, content)
     assert (listed is None) is bool(found)
     if listed is not None:
-        assert first_fault(Configuration(inventory=listed)) == ""
+        assert find_first_fault(Configuration(inventory=listed)) == ""
         assert len(listed.targets) == 4
         assert read_inventory(write_file(listed)) == listed
 
--- a/src/radishwind/config/tests/test_spread.py
+++ b/src/radishwind/config/tests/test_pull.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 import msgspec
 import pytest
-from tests.support.configs import Desk
+from tests.support.configs import ConfigTestbed
 from tests.support.configs import inventory
 
 from radishwind.config import records
@@ -19,14 +19,14 @@
 from radishwind.config.errors import RevisionRefusedError
 from radishwind.config.parts import assemble
 from radishwind.config.parts import Snapshot
-from radishwind.config.parts import split
+from radishwind.config.parts import split_into_parts
+from radishwind.config.pull import decode_pull
+from radishwind.config.pull import decode_reply
+from radishwind.config.pull import Pull
+from radishwind.config.pull import PullResponder
+from radishwind.config.pull import SnapshotBuilder
 from radishwind.config.records import ChangeRecord
 from radishwind.config.records import PartRef
-from radishwind.config.spread import Catch
-from radishwind.config.spread import decode_offer
-from radishwind.config.spread import decode_pull
-from radishwind.config.spread import Offers
-from radishwind.config.spread import Pull
 
 
 def history(*inventories):
@@ -34,10 +34,10 @@
     found = []
 
     async def run():
-        desk = Desk()
+        testbed = ConfigTestbed()
         for content in inventories:
-            await desk.apply(content)
-            found.append(await desk.loaded())
+            await testbed.apply(content)
+            found.append(await testbed.loaded())
 
     anyio.run(run)
     return found
@@ -49,14 +49,16 @@
 
     def ask(pull):
         nonlocal size
-        offer = offers.offer(decode_pull(msgspec.json.encode(pull)))
+        offer = offers.respond(decode_pull(msgspec.json.encode(pull)))
         size += len(msgspec.json.encode(offer))
-        return decode_offer(msgspec.json.encode(offer))
+        return decode_reply(msgspec.json.encode(offer))
 
-    catch = Catch(held, ask(Pull(held.revision, held.change_id)))
-    while missing := catch.missing():
-        assert catch.take(ask(Pull(held.revision, held.change_id, "", missing)))
-    return catch.whole(), size
+    catch = SnapshotBuilder(held, ask(Pull(held.revision, held.change_id)))
+    while missing := catch.missing_parts():
+        assert catch.add_parts(
+            ask(Pull(held.revision, held.change_id, "", missing))
+        )
+    return catch.build(), size
 
 
 def holding(snapshot):
@@ -85,25 +87,25 @@
         (1, "1-b", Source.STORE, 1, Verdict.OLDER),
     ],
 )
-def test_a_revision_is_weighed(revision, change_id, source, held, verdict):
+def test_a_revision_is_classified(revision, change_id, source, held, verdict):
     adopter = holding(history(inventory(), inventory(slots=4))[1])
     if change_id == "own":
         change_id = adopter.snapshot.change_id
     for _ in range(3):
-        assert adopter.weigh(revision, change_id, source, held) is verdict
+        assert adopter.classify(revision, change_id, source, held) is verdict
     assert adopter.refusals == (1 if verdict is Verdict.REFUSED else 0)
 
 
 def test_a_node_one_revision_behind_gets_only_the_part_that_changed():
     old, new = history(inventory(100, 8), inventory(100, 8, slots=4))
-    got, size = passed_on(Offers(holding(new)), old)
+    got, size = passed_on(PullResponder(holding(new)), old)
     assert got.cfg == new.cfg
     assert size < 2_500
 
 
 def test_a_new_node_gets_the_whole_in_several_answers():
     (new,) = history(inventory(400, 8))
-    got, size = passed_on(Offers(holding(new)), Snapshot())
+    got, size = passed_on(PullResponder(holding(new)), Snapshot())
     assert got.cfg == new.cfg
     assert size > 300_000
 
@@ -111,10 +113,10 @@
 def test_services_that_went_away_are_gone_at_nodes_that_lag():
     steps = history(inventory(5), inventory(4), inventory(3), inventory(6))
     adopter = holding(steps[0])
-    offers = Offers(adopter)
+    offers = PullResponder(adopter)
     for later in steps[1:]:
         adopter.adopt(later)
-        offers.offer(Pull(0, ""))
+        offers.respond(Pull(0, ""))
         for held in steps[:3]:
             if held.revision < later.revision:
                 assert passed_on(offers, held)[0].cfg == later.cfg
@@ -122,7 +124,9 @@
 
 def test_nothing_is_offered_to_a_node_that_is_ahead_or_level():
     old, new = history(inventory(), inventory(slots=4))
-    offer = Offers(holding(old)).offer(Pull(new.revision, new.change_id))
+    offer = PullResponder(holding(old)).respond(
+        Pull(new.revision, new.change_id)
+    )
     assert (offer.revision, offer.record, offer.changed) == (1, None, ())
 
 
@@ -131,9 +135,9 @@
     other = dataclasses.replace(
         old, refs={**old.refs, "common": "1-" + "0" * 16}
     )
-    offer = Offers(holding(new)).offer(Pull(1, ""))
+    offer = PullResponder(holding(new)).respond(Pull(1, ""))
     with pytest.raises(RevisionRefusedError):
-        Catch(other, offer)
+        SnapshotBuilder(other, offer)
 
 
 @settings(max_examples=60)
@@ -144,7 +148,7 @@
     for revision in range(1, 8):
         snapshots.append(_following(snapshots[-1], revision, rng))
     adopter = Adopter()
-    offers = Offers(adopter)
+    offers = PullResponder(adopter)
     for newest in snapshots[1:]:
         adopter.adopt(newest)
         held = rng.choice(snapshots[: newest.revision])
@@ -153,7 +157,7 @@
 
 def _following(base, revision, rng):
     content = inventory(rng.randint(1, 6), rng.randint(1, 3), rng.randint(1, 9))
-    parts = split(content, base.cfg.rules)
+    parts = split_into_parts(content, base.cfg.rules)
     change_id = records.change_id(revision, rng.getrandbits(64))
     refs = {
         n: base.refs[n] if base.parts.get(n) == p else change_id
@@ -164,7 +168,7 @@
         change_id=change_id,
         base_change_id=base.change_id,
         operator="ada",
-        at=Desk().clock.now(),
+        at=ConfigTestbed().clock.now(),
         what="inventory",
         lines=(),
         more_lines=0,
@@ -183,14 +187,14 @@
 
 @given(st.data())
 def test_a_damaged_answer_is_refused_or_gives_the_same_configuration(data):
-    offer = Offers(holding(_NEWEST)).offer(Pull(0, ""))
+    offer = PullResponder(holding(_NEWEST)).respond(Pull(0, ""))
     content = bytearray(msgspec.json.encode(offer))
     for _ in range(data.draw(st.integers(1, 3))):
         at = data.draw(st.integers(0, len(content) - 1))
         content[at] = data.draw(st.integers(32, 126))
     try:
-        catch = Catch(Snapshot(), decode_offer(bytes(content)))
-        snapshot = catch.whole()
+        catch = SnapshotBuilder(Snapshot(), decode_reply(bytes(content)))
+        snapshot = catch.build()
     except RevisionRefusedError:
         return
     assert snapshot.revision >= 1
--- a/src/radishwind/config/checking.py
+++ b/src/radishwind/config/validation.py
@@ -55,7 +55,7 @@
     repeated: tuple[str, ...] = ()
 
 
-def faults_against(model: type, value: Any) -> list[FileFault]:
+def find_model_faults(model: type, value: Any) -> list[FileFault]:
     """Returns every way in which `value` is not of the form of `model`."""
     faults: list[FileFault] = []
     _check(inspect.type_info(model), value, "", faults, "")
--- a/src/radishwind/entry/routed_classifier.py
+++ b/src/radishwind/entry/routed_classifier.py
@@ -18,7 +18,7 @@
 from radishwind.entry.retry_age import RetryAgeEstimator
 from radishwind.http.types import Headers
 from radishwind.http.types import Request
-from radishwind.routes.in_force import RoutesInForce
+from radishwind.routes.active_routes import ActiveRoutes
 from radishwind.routes.model import Route
 
 #: `Call.expires_ms` of routed calls, which have no wall-clock deadline: the
@@ -58,7 +58,7 @@
         self,
         *,
         clock: Clock,
-        routes: RoutesInForce,
+        routes: ActiveRoutes,
         rules: ServiceRules,
         decode_fields: Callable[[Headers], CallerFields],
         normal_run_s: Callable[[str], float],
@@ -159,7 +159,7 @@
                 priority = account.priority
         return Call(
             call_id=fields.request_id,
-            service=self._routes.table.service_of(route),
+            service=self._routes.table.next_service(route),
             request=msgspec.structs.replace(request, headers=headers),
             rules=self._rules,
             idempotent=route.idempotent,
--- a/src/radishwind/entry/tests/test_key_authenticator.py
+++ b/src/radishwind/entry/tests/test_key_authenticator.py
@@ -30,10 +30,10 @@
 from radishwind.platform.answers import respond
 from radishwind.quotas import QuotaGate
 from radishwind.retries import CappedRetryPolicy
-from radishwind.routes import Part
+from radishwind.routes import ActiveRoutes
 from radishwind.routes import Route
 from radishwind.routes import RouteConfig
-from radishwind.routes import RoutesInForce
+from radishwind.routes import WeightedService
 from radishwind.routing.baselines import RandomChooser
 from radishwind.routing.placement import UnrestrictedPlacement
 
@@ -43,8 +43,8 @@
 
 def route(prefix, *, public=False):
     return Route(
-        f"r{prefix}", "h", prefix, True, (Part("s"),), 1.0, 0.5, 2, 1,
-        public=public,
+        f"r{prefix}", "h", prefix, True, (WeightedService("s"),),
+        1.0, 0.5, 2, 1, public=public,
     )  # fmt: skip
 
 
@@ -121,7 +121,7 @@
 class Node:
     def __init__(self, accounts=(A, B)):
         clock = ManualClock()
-        self.routes = RoutesInForce(clock)
+        self.routes = ActiveRoutes(clock)
         self.adopt(1, accounts)
         self.freshness, self.server = SettableFreshness(), RecordingRunner()
         self.keys = KeyAuthenticator(
--- a/src/radishwind/experiment/nodes.py
+++ b/src/radishwind/experiment/nodes.py
@@ -20,8 +20,8 @@
 from radishwind.membership.rumor_bus import NullRumorBus
 from radishwind.peers.peer_listener import PeerListener
 from radishwind.platform import PlatformDialect
-from radishwind.routes.emptied import EmptiedInForce
-from radishwind.routes.in_force import RoutesInForce
+from radishwind.routes.active_routes import ActiveRoutes
+from radishwind.routes.evacuation import EvacuationState
 from radishwind.routes.model import RouteConfig
 from radishwind.routing.chooser import LoadReport
 from radishwind.settings.placed import PlacedSettings
@@ -110,10 +110,10 @@
             ready_changed=lambda ready: None,
             switches=switches,
         )
-        routes = RoutesInForce(clock)
-        self.emptied = EmptiedInForce(clock)
-        self.emptied.listen(self.target.follow_emptied)
-        routes.listen(self.target.adopt)
+        routes = ActiveRoutes(clock)
+        self.evacuation = EvacuationState(clock)
+        self.evacuation.subscribe(self.target.follow_emptied)
+        routes.subscribe(self.target.adopt)
         routes.adopt(cfg, b"", "scenario")
         self.entry = EntrySide(
             settings=settings,
@@ -122,7 +122,7 @@
             sender=sender,
             directory=roster,
             routes=routes,
-            emptied=self.emptied,
+            evacuation=self.evacuation,
             target=self.target,
             switches=switches,
             node_count=lambda: len(roster.members()),
--- a/src/radishwind/experiment/play.py
+++ b/src/radishwind/experiment/play.py
@@ -33,11 +33,11 @@
 from radishwind.http.types import Request
 from radishwind.http.types import Response
 from radishwind.membership.directory import Member
-from radishwind.routes.emptied import EmptiedDomains
-from radishwind.routes.model import Part
+from radishwind.routes.evacuation import EvacuatedDomains
 from radishwind.routes.model import Route
 from radishwind.routes.model import RouteConfig
 from radishwind.routes.model import ServiceInfo
+from radishwind.routes.model import WeightedService
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.switches import ALL_ON
 from radishwind.sidecar.switches import Switches
@@ -87,7 +87,7 @@
         self._runs = 0
         self._felled = 0
         self._revisions = itertools.count(1)
-        self._emptied = EmptiedDomains()
+        self._emptied = EvacuatedDomains()
         self._names = itertools.count(1)
 
     async def run(self) -> Report:
@@ -169,12 +169,12 @@
 
     def _empty(self, domain: str, *, emptied: bool) -> None:
         """Tells all nodes that `domain` is emptied, or taken back."""
-        self._emptied = self._emptied.changed(
-            domain, next(self._revisions), emptied=emptied
+        self._emptied = self._emptied.with_change(
+            domain, next(self._revisions), evacuated=emptied
         )
         for instance in self._instances:
             if instance.node is not None:
-                instance.node.emptied.adopt(self._emptied, "play")
+                instance.node.evacuation.adopt(self._emptied, "play")
 
     def _start(self, instance: _Instance) -> None:
         settings = instance.settings
@@ -191,7 +191,7 @@
             cfg=self._cfg,
             switches=self._switches,
         )
-        node.emptied.adopt(self._emptied, "play")
+        node.evacuation.adopt(self._emptied, "play")
         instance.node = node
         self._network.listen(settings.callers, node.handle)
         self._network.listen(settings.peers, node.peers.handle)
@@ -338,7 +338,7 @@
             host=HOST,
             prefix=f"/{kind.name}/",
             idempotent=kind.idempotent,
-            parts=(Part(kind.service),),
+            weighted_services=(WeightedService(kind.service),),
             timeout_s=kind.route_timeout_s or kind.timeout_s,
             aim_s=kind.aim_s,
             priority=kind.priority,
--- a/src/radishwind/node/config.py
+++ b/src/radishwind/node/config.py
@@ -4,7 +4,7 @@
 import dataclasses
 import random
 
-from radishwind.config.exchange import CONTROL_NAME
+from radishwind.config.config_exchange import CONTROL_NAME
 from radishwind.config.index import ConfigIndex
 from radishwind.core import Clock
 from radishwind.http import Sender
--- a/src/radishwind/node/config_store.py
+++ b/src/radishwind/node/config_store.py
@@ -7,9 +7,9 @@
 import anyio.abc
 
 from radishwind.config.adopter import Source
+from radishwind.config.config_exchange import ConfigExchange
+from radishwind.config.config_exchange import jittered
 from radishwind.config.errors import RevisionRefusedError
-from radishwind.config.exchange import Exchange
-from radishwind.config.exchange import jittered
 from radishwind.config.records import ROOT_KEY
 from radishwind.config.watchers import is_watcher
 from radishwind.core import Clock
@@ -37,7 +37,7 @@
         clock: Clock,
         rng: random.Random,
         store: Store,
-        exchange: Exchange,
+        exchange: ConfigExchange,
         members: Callable[[], tuple[Member, ...]],
         refused: Callable[[Source, RevisionRefusedError], None],
         report: Callable[[str], None],
@@ -135,7 +135,7 @@
 
     async def _take_event(self, event: WatchEvent) -> None:
         refusals = self._adopter.refusals
-        await self._exchange.take_event(event)
+        await self._exchange.apply_event(event)
         self._report_refusal(refusals)
 
     async def _read_store(self) -> int:
--- a/src/radishwind/node/config_tasks.py
+++ b/src/radishwind/node/config_tasks.py
@@ -15,9 +15,9 @@
 
 from radishwind.config.adopter import Adopter
 from radishwind.config.adopter import Source
+from radishwind.config.config_exchange import ConfigExchange
+from radishwind.config.config_exchange import jittered
 from radishwind.config.errors import RevisionRefusedError
-from radishwind.config.exchange import Exchange
-from radishwind.config.exchange import jittered
 from radishwind.config.index import ConfigIndex
 from radishwind.config.parts import Snapshot
 from radishwind.core import Clock
@@ -119,7 +119,7 @@
         self._members_at = clock.monotonic()
         self.adopter = Adopter()
         self.index = ConfigIndex(self.adopter.snapshot.cfg)
-        self.exchange = Exchange(
+        self.exchange = ConfigExchange(
             self.adopter,
             peers,
             store,
@@ -157,7 +157,7 @@
         """Answers the pull of a peer."""
         try:
             content = await whole_body(request.body)
-            return _json(self.exchange.answer(content))
+            return _json(self.exchange.handle_pull(content))
         except RevisionRefusedError as exc:
             return problem_response(
                 ResultCode.PEER_MALFORMED, str(exc), "not-run"
@@ -166,7 +166,7 @@
     async def ask(self, address: Address) -> int | None:
         """Asks one peer; returns the revision it told, `None` for no answer."""
         try:
-            return (await self.exchange.ask(address)).revision
+            return (await self.exchange.pull_from(address)).revision
         except PeerError:
             return None
         except RevisionRefusedError as exc:
--- a/src/radishwind/node/tests/test_config_tasks.py
+++ b/src/radishwind/node/tests/test_config_tasks.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 from tests.support.configs import ConfigFleet
-from tests.support.configs import Desk
+from tests.support.configs import ConfigTestbed
 from tests.support.configs import inventory
 
 from radishwind.config.records import ROOT_KEY
@@ -37,8 +37,8 @@
 
 
 @contextlib.asynccontextmanager
-async def running(nodes, desk=None):
-    fleet = ConfigFleet(desk or Desk(), QUICK)
+async def running(nodes, testbed=None):
+    fleet = ConfigFleet(testbed or ConfigTestbed(), QUICK)
     async with anyio.create_task_group() as tasks:
         for number in range(nodes):
             fleet.start(tasks, f"svc-0000-{number}", DOMAINS[number % 3])
@@ -48,31 +48,31 @@
 
 async def test_a_change_reaches_all_though_the_store_fails_after_it():
     async with running(30) as (fleet, _):
-        desk = fleet.desk
-        await desk.apply(inventory())
+        testbed = fleet.testbed
+        await testbed.apply(inventory())
         await fleet.in_force(1)
-        await fleet.until(lambda: desk.standin.watching == 6)
+        await fleet.until(lambda: testbed.standin.watching == 6)
 
         async def accept_and_fail(request):
-            response = await desk.standin.handle(request)
+            response = await testbed.standin.handle(request)
             await fleet.until(lambda: 2 in fleet.revisions())
-            desk.standin.set_faults(StoreFaults(down="refuse"))
+            testbed.standin.set_faults(StoreFaults(down="refuse"))
             return response
 
-        desk.on_swap = accept_and_fail
-        assert (await desk.apply(inventory(slots=4))).revision == 2
+        testbed.on_swap = accept_and_fail
+        assert (await testbed.apply(inventory(slots=4))).revision == 2
         await fleet.in_force(2)
 
 
 async def test_few_nodes_read_and_watch_the_store():
     async with running(30) as (fleet, _):
-        await fleet.desk.apply(inventory())
+        await fleet.testbed.apply(inventory())
         await fleet.in_force(1)
-        await fleet.until(lambda: fleet.desk.standin.watching == 6)
-        before = dict(fleet.desk.standin.calls)
-        await fleet.desk.apply(inventory(slots=4))
+        await fleet.until(lambda: fleet.testbed.standin.watching == 6)
+        before = dict(fleet.testbed.standin.calls)
+        await fleet.testbed.apply(inventory(slots=4))
         await fleet.in_force(2)
-        after = fleet.desk.standin.calls
+        after = fleet.testbed.standin.calls
         # The operator's program reads the root, manifest and parts; the
         # watches told the nodes all that is new.
         assert after["range"] - before["range"] <= 8
@@ -81,47 +81,47 @@
 
 async def test_a_node_started_in_an_outage_gets_the_newest_from_its_peers():
     async with running(5) as (fleet, tasks):
-        await fleet.desk.apply(inventory())
+        await fleet.testbed.apply(inventory())
         await fleet.in_force(1)
-        await fleet.desk.apply(inventory(slots=4))
+        await fleet.testbed.apply(inventory(slots=4))
         await fleet.in_force(2)
-        fleet.desk.standin.set_faults(StoreFaults(down="refuse"))
+        fleet.testbed.standin.set_faults(StoreFaults(down="refuse"))
         fleet.start(tasks, "svc-0000-9", "dom-a")
         await fleet.in_force(2)
 
 
 async def test_a_store_restored_from_an_old_copy_turns_no_node_back():
-    desk = Desk()
-    async with running(6, desk) as (fleet, tasks):
-        await desk.apply(inventory())
-        old = (await desk.store.get(ROOT_KEY)).value
-        await desk.apply(inventory(slots=4))
+    testbed = ConfigTestbed()
+    async with running(6, testbed) as (fleet, tasks):
+        await testbed.apply(inventory())
+        old = (await testbed.store.get(ROOT_KEY)).value
+        await testbed.apply(inventory(slots=4))
         await fleet.in_force(2)
-        await desk.store.transact((), (Put(ROOT_KEY, old),))
+        await testbed.store.transact((), (Put(ROOT_KEY, old),))
         await fleet.until(lambda: any("lower" in r for r in fleet.reports))
         fleet.start(tasks, "svc-0000-9", "dom-a")
         await fleet.in_force(2)
-        assert await desk.apply(inventory(slots=5))
+        assert await testbed.apply(inventory(slots=5))
         await fleet.until(lambda: any("another" in r for r in fleet.reports))
         assert fleet.revisions() == {2}
         slots = {
             n.index.targets["svc-0000-0"].slots for n in fleet.nodes.values()
         }
         assert slots == {4}
-        await desk.apply(inventory(slots=6), above=2)
+        await testbed.apply(inventory(slots=6), above=2)
         await fleet.in_force(3)
 
 
 async def test_malformed_values_in_the_store_end_no_node():
-    desk = Desk()
-    async with running(3, desk) as (fleet, _):
-        await desk.apply(inventory())
+    testbed = ConfigTestbed()
+    async with running(3, testbed) as (fleet, _):
+        await testbed.apply(inventory())
         await fleet.in_force(1)
-        good = (await desk.store.get(ROOT_KEY)).value
-        await desk.store.transact((), (Put(ROOT_KEY, b'{"record": "x"'),))
+        good = (await testbed.store.get(ROOT_KEY)).value
+        await testbed.store.transact((), (Put(ROOT_KEY, b'{"record": "x"'),))
         await fleet.until(lambda: any("malformed" in r for r in fleet.reports))
-        await desk.store.transact((), (Put(ROOT_KEY, good),))
-        await desk.apply(inventory(slots=4))
+        await testbed.store.transact((), (Put(ROOT_KEY, good),))
+        await testbed.apply(inventory(slots=4))
         await fleet.in_force(2)
 
 
@@ -137,7 +137,7 @@
 async def test_a_watch_ends_once_others_rank_before():
     async with running(0) as (fleet, tasks):
         names = sorted((f"svc-0000-{n}" for n in range(6)), key=hash_rank)
-        standin = fleet.desk.standin
+        standin = fleet.testbed.standin
         for name in reversed(names):
             fleet.start(tasks, name, "dom-a")
             await fleet.until(lambda n=name: fleet.nodes[n].watching)
--- a/src/radishwind/platform/routes.py
+++ b/src/radishwind/platform/routes.py
@@ -8,10 +8,10 @@
 from radishwind.accounts import digest_key
 from radishwind.platform.errors import PlatformMalformedError
 from radishwind.routes.model import CallerLimits
-from radishwind.routes.model import Part
 from radishwind.routes.model import Route
 from radishwind.routes.model import RouteConfig
 from radishwind.routes.model import ServiceInfo
+from radishwind.routes.model import WeightedService
 
 #: The key of the store that holds the newest configuration, whole.
 KEY = "op/config"
@@ -119,7 +119,7 @@
     )
 
 
-def emptied_domain(key: str) -> str | None:
+def evacuated_domain(key: str) -> str | None:
     """Returns the failure domain that `key` says is emptied, if it does."""
     if not key.startswith(_EMPTIED_PREFIX):
         return None
@@ -138,10 +138,12 @@
 
 
 def _route(route: _Route) -> Route:
-    parts = tuple(Part(part.service, part.weight) for part in route.split)
-    if not parts and route.service is not None:
-        parts = (Part(route.service),)
-    if not parts:
+    weighted_services = tuple(
+        WeightedService(part.service, part.weight) for part in route.split
+    )
+    if not weighted_services and route.service is not None:
+        weighted_services = (WeightedService(route.service),)
+    if not weighted_services:
         raise PlatformMalformedError(
             f"configuration: expected a service or a split in route "
             f"{route.name!r}, got neither"
@@ -152,12 +154,12 @@
         host=route.host.lower(),
         prefix=route.prefix,
         idempotent=route.kind in _IDEMPOTENT_KINDS,
-        parts=parts,
+        weighted_services=weighted_services,
         timeout_s=timeout_s,
         aim_s=route.aim_ms / 1000 if route.aim_ms else timeout_s,
         priority=route.priority,
         attempts=route.attempts,
         regions=frozenset(route.allowed_regions),
         public=route.public,
-        large_answers=route.kind == _LARGE_KIND,
+        has_large_responses=route.kind == _LARGE_KIND,
     )
--- a/src/radishwind/platform/tests/test_decoding.py
+++ b/src/radishwind/platform/tests/test_decoding.py
@@ -107,7 +107,7 @@
         False,
     )
     assert (first.timeout_s, first.aim_s, first.attempts) == (0.8, 0.4, 2)
-    assert [(p.service, p.weight) for p in second.parts] == [
+    assert [(p.service, p.weight) for p in second.weighted_services] == [
         ("s1", 90),
         ("s2", 10),
     ]
@@ -286,10 +286,12 @@
 def test_answers_of_downloads_are_large():
     kept = ROUTES.replace(b'"kind":"safe"', b'"kind":"download"')
 
-    large = [route.large_answers for route in read_routes(kept).routes]
+    large = [route.has_large_responses for route in read_routes(kept).routes]
 
     assert large == [False, True]
-    assert not any(route.large_answers for route in read_routes(ROUTES).routes)
+    assert not any(
+        route.has_large_responses for route in read_routes(ROUTES).routes
+    )
 
 
 @pytest.mark.parametrize(
--- a/src/radishwind/platform/tests/test_foreign.py
+++ b/src/radishwind/platform/tests/test_foreign.py
@@ -168,7 +168,7 @@
         cfg = read_routes(data)
     except PlatformMalformedError:
         return
-    assert all(route.parts for route in cfg.routes)
+    assert all(route.weighted_services for route in cfg.routes)
 
 
 @given(st.text(max_size=300))
--- a/src/radishwind/recency/proof_renewer.py
+++ b/src/radishwind/recency/proof_renewer.py
@@ -19,7 +19,7 @@
 from radishwind.recency.proven_freshness import ProvenFreshness
 from radishwind.recency.renewal_planner import RenewalPlanner
 from radishwind.recency.source_selector import SourceSelector
-from radishwind.routes.in_force import RoutesInForce
+from radishwind.routes.active_routes import ActiveRoutes
 from radishwind.telemetry.logs import PartLogger
 
 #: Interval at which a node without accounts checks whether there are any.
@@ -44,7 +44,7 @@
         rng: random.Random,
         directory: Directory,
         socket: PeerSocket,
-        routes: RoutesInForce,
+        routes: ActiveRoutes,
         first_wait_s: float = 0.0,
     ) -> None:
         """Creates the renewer.
@@ -89,7 +89,7 @@
             query_lifetime_s=schedule.bound_s,
         )
         socket.add_handler(Channel.RECENCY, self._receive)
-        routes.listen(lambda cfg: self._wake())
+        routes.subscribe(lambda cfg: self._wake())
 
     def connect(
         self,
--- a/src/radishwind/recency/source_selector.py
+++ b/src/radishwind/recency/source_selector.py
@@ -9,7 +9,7 @@
 from radishwind.membership.directory import Member
 from radishwind.membership.directory import MemberState
 from radishwind.membership.ranking import hash_rank
-from radishwind.routes.neighbours import watchers_each
+from radishwind.routes.feed_peers import watchers_per_domain
 
 #: The nodes that read the store first; relays query them before others.
 _READER_COUNT = 2
@@ -81,7 +81,7 @@
             [*locations, (self._failure_domain, self._node_name)]
         )
         names = [name for _, name in order]
-        relays_per_domain = watchers_each(members)
+        relays_per_domain = watchers_per_domain(members)
         is_relay = False
         remote_relays, local_relays, others = [], [], []
         for index, name in order:
--- a/src/radishwind/routes/__init__.py
+++ b/src/radishwind/routes/__init__.py
@@ -4,20 +4,20 @@
 higher ones.
 """
 
-from radishwind.routes.in_force import RoutesInForce
+from radishwind.routes.active_routes import ActiveRoutes
 from radishwind.routes.model import CallerLimits
-from radishwind.routes.model import Part
 from radishwind.routes.model import Route
 from radishwind.routes.model import RouteConfig
 from radishwind.routes.model import ServiceInfo
-from radishwind.routes.table import RouteTable
+from radishwind.routes.model import WeightedService
+from radishwind.routes.route_table import RouteTable
 
 __all__ = [
+    "ActiveRoutes",
     "CallerLimits",
-    "Part",
     "Route",
     "RouteConfig",
     "RouteTable",
-    "RoutesInForce",
     "ServiceInfo",
+    "WeightedService",
 ]
--- a/src/radishwind/routes/in_force.py
+++ b/src/radishwind/routes/active_routes.py
@@ -5,11 +5,11 @@
 from radishwind.accounts.account_index import AccountIndex
 from radishwind.core.clock import Clock
 from radishwind.routes.model import RouteConfig
-from radishwind.routes.table import RouteTable
+from radishwind.routes.route_table import RouteTable
 from radishwind.telemetry.logs import PartLogger
 
 
-class RoutesInForce:
+class ActiveRoutes:
     """Holds the newest version; listeners hear of each adoption once.
 
     Attributes:
@@ -41,7 +41,7 @@
         """How long it has been in force (s)."""
         return self._clock.monotonic() - self._since
 
-    def listen(self, listener: Callable[[RouteConfig], None]) -> None:
+    def subscribe(self, listener: Callable[[RouteConfig], None]) -> None:
         """Calls `listener` after each adoption."""
         self._listeners.append(listener)
 
--- a/src/radishwind/routes/emptied.py
+++ b/src/radishwind/routes/evacuation.py
@@ -8,7 +8,7 @@
 from radishwind.telemetry.logs import PartLogger
 
 
-class EmptiedDomains(msgspec.Struct, frozen=True):
+class EvacuatedDomains(msgspec.Struct, frozen=True):
     """What the store said of them as of one revision.
 
     Attributes:
@@ -19,21 +19,21 @@
     revision: int = 0
     names: frozenset[str] = frozenset()
 
-    def changed(
-        self, name: str, revision: int, *, emptied: bool
-    ) -> "EmptiedDomains":
+    def with_change(
+        self, name: str, revision: int, *, evacuated: bool
+    ) -> "EvacuatedDomains":
         """Returns the same after one change.
 
         Args:
           name: the failure domain.
           revision: of the change.
-          emptied: whether it is emptied or taken back.
+          evacuated: whether it is emptied or taken back.
         """
-        names = self.names | {name} if emptied else self.names - {name}
-        return EmptiedDomains(revision, names)
+        names = self.names | {name} if evacuated else self.names - {name}
+        return EvacuatedDomains(revision, names)
 
 
-class EmptiedInForce:
+class EvacuationState:
     """Holds the newest of them; listeners hear of each change once.
 
     Attributes:
@@ -42,19 +42,19 @@
 
     def __init__(self, clock: Clock) -> None:
         self._log = PartLogger("routes", clock)
-        self._listeners: list[Callable[[EmptiedDomains], None]] = []
-        self.domains = EmptiedDomains()
+        self._listeners: list[Callable[[EvacuatedDomains], None]] = []
+        self.domains = EvacuatedDomains()
 
     @property
     def names(self) -> frozenset[str]:
         """The failure domains whose servers get nothing new."""
         return self.domains.names
 
-    def listen(self, listener: Callable[[EmptiedDomains], None]) -> None:
+    def subscribe(self, listener: Callable[[EvacuatedDomains], None]) -> None:
         """Calls `listener` after each change."""
         self._listeners.append(listener)
 
-    def adopt(self, told: EmptiedDomains, source: str) -> bool:
+    def adopt(self, told: EvacuatedDomains, source: str) -> bool:
         """Takes `told` if it is newer; returns whether others are named.
 
         Args:
--- a/src/radishwind/routes/neighbours.py
+++ b/src/radishwind/routes/feed_peers.py
@@ -13,28 +13,32 @@
 from radishwind.membership.ranking import ranks_among_first
 
 #: Nodes of a failure domain that watch the store: one may be cut off from it.
-WATCHERS = 2
+WATCHERS_PER_DOMAIN = 2
 
 #: Beyond so many watchers in all each failure domain has one. Each change of
 #: the routes costs a call of each watcher; where the store turns a third of the
 #: nodes away, six are all turned away once in 700 times, and a failure domain
 #: whose own can't watch hears of a version from the others.
-ENOUGH_WATCHERS = 6
+MAX_PAIRED_WATCHERS = 6
 
 #: A node that knows no other of its failure domain watches only this long after
 #: its start (s): it finds them within a second. Where each of a start of all
 #: took itself for the only one, each watched, and each change of the routes was
 #: asked for by all of them (31 watches of 27 nodes in the logs of a play).
-ALONE_S = 2.0
+LONE_NODE_GRACE_S = 2.0
 
 
-def watchers_each(members: Iterable[Member]) -> int:
+def watchers_per_domain(members: Iterable[Member]) -> int:
     """Returns how many nodes of a failure domain watch the store."""
     domains = {member.failure_domain for member in members}
-    return WATCHERS if WATCHERS * len(domains) <= ENOUGH_WATCHERS else 1
+    return (
+        WATCHERS_PER_DOMAIN
+        if WATCHERS_PER_DOMAIN * len(domains) <= MAX_PAIRED_WATCHERS
+        else 1
+    )
 
 
-class Neighbours:
+class FeedPeers:
     """The other nodes that live, by nearness, and this one's duty."""
 
     def __init__(
@@ -73,7 +77,10 @@
     def is_watcher(self) -> bool:
         """Returns whether this node is to watch the store."""
         names = [m.name for m in self._others() if self._is_near(m)]
-        if not names and self._clock.monotonic() - self._began < ALONE_S:
+        if (
+            not names
+            and self._clock.monotonic() - self._began < LONE_NODE_GRACE_S
+        ):
             return False
         return ranks_among_first(self._node_name, names, self._watchers())
 
@@ -90,7 +97,7 @@
 
     def _watchers(self) -> int:
         """Returns how many nodes of a failure domain watch the store."""
-        return watchers_each(self._directory.members())
+        return watchers_per_domain(self._directory.members())
 
     def _where(self, *, near: bool) -> Sequence[Member]:
         found = [m for m in self._others() if self._is_near(m) is near]
--- a/src/radishwind/routes/messages.py
+++ b/src/radishwind/routes/messages.py
@@ -12,7 +12,7 @@
 
 from radishwind.core.codes import ResultCode
 from radishwind.core.errors import RadishwindError
-from radishwind.routes.emptied import EmptiedDomains
+from radishwind.routes.evacuation import EvacuatedDomains
 
 #: Fast, and within a tenth of the best ratio on configurations.
 _LEVEL = 3
@@ -24,7 +24,7 @@
     code = ResultCode.PEER_MALFORMED
 
 
-class Offer(msgspec.Struct, frozen=True, tag="offer"):
+class RouteUpdate(msgspec.Struct, frozen=True, tag="offer"):
     """Brings what the operator wrote.
 
     Attributes:
@@ -33,10 +33,10 @@
     """
 
     packed: bytes = b""
-    emptied: EmptiedDomains = EmptiedDomains()
+    emptied: EvacuatedDomains = EvacuatedDomains()
 
 
-class Ask(msgspec.Struct, frozen=True, tag="ask"):
+class UpdateRequest(msgspec.Struct, frozen=True, tag="ask"):
     """Asks for what is newer.
 
     Attributes:
@@ -48,11 +48,11 @@
     have_emptied: int = 0
 
 
-class Nothing(msgspec.Struct, frozen=True, tag="nothing"):
+class NoUpdate(msgspec.Struct, frozen=True, tag="nothing"):
     """Answers that there is nothing newer, or takes an offer."""
 
 
-FeedMessage: TypeAlias = Offer | Ask | Nothing
+FeedMessage: TypeAlias = RouteUpdate | UpdateRequest | NoUpdate
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(FeedMessage)
@@ -75,7 +75,7 @@
         raise FeedMalformedError(f"expected a message: {exc}") from exc
 
 
-class EmptiedRumor(msgspec.Struct, frozen=True, array_like=True):
+class EvacuationRumor(msgspec.Struct, frozen=True, array_like=True):
     """Tells of emptied failure domains.
 
     Attributes:
@@ -88,34 +88,34 @@
     names: tuple[str, ...] | None
 
 
-def encode_rumor(domains: EmptiedDomains, most_bytes: int) -> bytes:
+def encode_rumor(domains: EvacuatedDomains, most_bytes: int) -> bytes:
     """Returns a rumor of `domains` of at most `most_bytes`, as JSON."""
     names = tuple(sorted(domains.names))
-    value = msgspec.json.encode(EmptiedRumor(domains.revision, names))
+    value = msgspec.json.encode(EvacuationRumor(domains.revision, names))
     if len(value) <= most_bytes:
         return value
-    return msgspec.json.encode(EmptiedRumor(domains.revision, None))
+    return msgspec.json.encode(EvacuationRumor(domains.revision, None))
 
 
-def decode_rumor(value: bytes) -> EmptiedRumor:
+def decode_rumor(value: bytes) -> EvacuationRumor:
     """Returns the rumor in `value`.
 
     Raises:
       FeedMalformedError: there is none.
     """
     try:
-        return msgspec.json.decode(value, type=EmptiedRumor)
+        return msgspec.json.decode(value, type=EvacuationRumor)
     except msgspec.MsgspecError as exc:
         raise FeedMalformedError(f"expected a rumor: {exc}") from exc
 
 
-def pack(raw: bytes) -> bytes:
+def compress(raw: bytes) -> bytes:
     """Returns `raw` compressed."""
     return zlib.compress(raw, _LEVEL)
 
 
-def unpack(packed: bytes, most_bytes: int) -> bytes:
-    """Returns what `pack` was given.
+def decompress(packed: bytes, most_bytes: int) -> bytes:
+    """Returns what `compress` was given.
 
     Raises:
       FeedMalformedError: it was not packed so, or is longer than `most_bytes`.
--- a/src/radishwind/routes/model.py
+++ b/src/radishwind/routes/model.py
@@ -7,7 +7,7 @@
 from radishwind.accounts.model import Account
 
 
-class Part(msgspec.Struct, frozen=True):
+class WeightedService(msgspec.Struct, frozen=True):
     """A service that gets a share of a route's requests.
 
     Attributes:
@@ -27,28 +27,28 @@
       host: the host asked for, lower case.
       prefix: begins and ends with a slash.
       idempotent: whether a request may run more than once.
-      parts: the services that its requests are shared out to.
+      weighted_services: the services that its requests are shared out to.
       timeout_s: the longest that a caller is kept waiting (s).
       aim_s: an answer within this time earns its full worth (s).
       priority: its rank; 0 is the highest.
       attempts: targets that one request may reach at most.
       regions: where its requests may run; empty for anywhere.
       public: whether a request needs no key.
-      large_answers: whether its answers are large.
+      has_large_responses: whether its answers are large.
     """
 
     name: str
     host: str
     prefix: str
     idempotent: bool
-    parts: tuple[Part, ...]
+    weighted_services: tuple[WeightedService, ...]
     timeout_s: float
     aim_s: float
     priority: int
     attempts: int
     regions: frozenset[str] = frozenset()
     public: bool = False
-    large_answers: bool = False
+    has_large_responses: bool = False
 
 
 class ServiceInfo(msgspec.Struct, frozen=True):
--- a/src/radishwind/routes/feed.py
+++ b/src/radishwind/routes/route_feed.py
@@ -27,24 +27,24 @@
 from radishwind.peers.peer_client import PeerClient
 from radishwind.peers.peer_client import PeerError
 from radishwind.recency.model import FreshnessProof
-from radishwind.routes.emptied import EmptiedDomains
-from radishwind.routes.emptied import EmptiedInForce
-from radishwind.routes.in_force import RoutesInForce
-from radishwind.routes.messages import Ask
+from radishwind.routes.active_routes import ActiveRoutes
+from radishwind.routes.evacuation import EvacuatedDomains
+from radishwind.routes.evacuation import EvacuationState
+from radishwind.routes.feed_peers import FeedPeers
+from radishwind.routes.messages import compress
 from radishwind.routes.messages import decode as decode_message
 from radishwind.routes.messages import decode_rumor
+from radishwind.routes.messages import decompress
 from radishwind.routes.messages import encode
 from radishwind.routes.messages import encode_rumor
 from radishwind.routes.messages import FeedMalformedError
-from radishwind.routes.messages import Nothing
-from radishwind.routes.messages import Offer
-from radishwind.routes.messages import pack
-from radishwind.routes.messages import unpack
+from radishwind.routes.messages import NoUpdate
+from radishwind.routes.messages import RouteUpdate
+from radishwind.routes.messages import UpdateRequest
 from radishwind.routes.model import RouteConfig
-from radishwind.routes.neighbours import Neighbours
-from radishwind.routes.store_side import DUTY_PERIOD_S
-from radishwind.routes.store_side import OperatorKeys
-from radishwind.routes.store_side import StoreSide
+from radishwind.routes.store_watcher import DUTY_CHECK_INTERVAL_S
+from radishwind.routes.store_watcher import OperatorKeys
+from radishwind.routes.store_watcher import StoreWatcher
 from radishwind.store.base import Store
 from radishwind.telemetry.logs import PartLogger
 
@@ -52,11 +52,11 @@
 CONTROL_NAME = "routes"
 
 #: The largest configuration taken from a peer (bytes): the store's largest.
-MAX_BYTES = 1 << 20
+MAX_CONFIG_BYTES = 1 << 20
 
 #: The topics of the rumors that tell a version, and emptied failure domains.
-TOPIC = "routes"
-EMPTIED_TOPIC = "emptied"
+VERSION_TOPIC = "routes"
+EVACUATION_TOPIC = "emptied"
 
 #: How long such rumors are remembered (s).
 _RUMOR_S = 600.0
@@ -71,14 +71,14 @@
 #: a node 10 to 20 Mbit/s: six share it within the time that a push may take,
 #: where all of a large failure domain at once would all be cut off.
 #: Who waits asks those who have it already.
-PUSHES_AT_ONCE = 6
+MAX_CONCURRENT_PUSHES = 6
 
 
 _MSGPACK = (("Content-Type", "application/msgpack"),)
 
 
 class RouteFeed:
-    """Keeps `RoutesInForce` and `EmptiedInForce` at the newest."""
+    """Keeps `ActiveRoutes` and `EvacuationState` at the newest."""
 
     def __init__(
         self,
@@ -88,15 +88,15 @@
         keys: OperatorKeys,
         decode: Callable[[bytes], RouteConfig],
         store: Store,
-        in_force: RoutesInForce,
-        emptied: EmptiedInForce,
+        active_routes: ActiveRoutes,
+        evacuation: EvacuationState,
         directory: Directory,
         rumor_bus: RumorBus,
         peers: PeerClient,
         clock: Clock,
         rng: random.Random,
         first_wait_s: float = 0.0,
-        take_proof: Callable[[FreshnessProof], None] | None = None,
+        on_proof: Callable[[FreshnessProof], None] | None = None,
     ) -> None:
         """Wires the feed.
 
@@ -107,8 +107,8 @@
           decode: reads a configuration; raises a `RadishwindError` if it is
             malformed.
           store: the platform's store.
-          in_force: takes configurations.
-          emptied: takes the emptied failure domains.
+          active_routes: takes configurations.
+          evacuation: takes the emptied failure domains.
           directory: the nodes there are.
           rumor_bus: tells all nodes what is new.
           peers: calls other nodes.
@@ -116,30 +116,30 @@
           rng: the random source of pauses.
           first_wait_s: the store is first asked after up to this time (s), at
             random; not where a peer brought the configuration before.
-          take_proof: takes what the first read proves, where that is wanted.
+          on_proof: takes what the first read proves, where that is wanted.
         """
         self._node_name = node_name
-        self._neighbours = Neighbours(
+        self._neighbours = FeedPeers(
             node_name=node_name,
             failure_domain=failure_domain,
             directory=directory,
             clock=clock,
             rng=rng,
         )
-        self._store_side = StoreSide(
+        self._store_side = StoreWatcher(
             keys=keys,
             store=store,
             clock=clock,
             rng=rng,
             is_watcher=lambda: self._neighbours.is_watcher(),
-            take_config=self._take,
-            take_emptied=self._take_emptied,
-            emptied=lambda: emptied.domains,
-            take_proof=take_proof,
+            on_config=self._adopt_config,
+            on_evacuation=self._adopt_evacuated,
+            evacuated=lambda: evacuation.domains,
+            on_proof=on_proof,
         )
         self._decode = decode
-        self._in_force = in_force
-        self._emptied = emptied
+        self._active_routes = active_routes
+        self._evacuation = evacuation
         self._rumor_bus = rumor_bus
         self._peers = peers
         self._rng = rng
@@ -151,9 +151,9 @@
         # The version that is packed, and packed; made for the first peer.
         self._packed = (0, b"")
         self._tasks: anyio.abc.TaskGroup | None = None
-        rumor_bus.subscribe(TOPIC, self._on_rumor)
-        rumor_bus.subscribe(EMPTIED_TOPIC, self._on_emptied_rumor)
-        in_force.listen(self._adopted)
+        rumor_bus.subscribe(VERSION_TOPIC, self._on_rumor)
+        rumor_bus.subscribe(EVACUATION_TOPIC, self._on_emptied_rumor)
+        active_routes.subscribe(self._adopted)
 
     async def run(self) -> None:
         """Runs until cancelled."""
@@ -162,7 +162,7 @@
             tasks.start_soon(
                 self._store_side.run,
                 self._first_wait_s,
-                lambda: self._in_force.cfg is not None,
+                lambda: self._active_routes.cfg is not None,
             )
             await self._follow_peers()
 
@@ -170,7 +170,7 @@
         """Asks the store what its newest configuration is, and takes it."""
         return await self._store_side.confirm()
 
-    def hear(self, version: int) -> None:
+    def note_version(self, version: int) -> None:
         """Takes that there is `version`, to be fetched if it is newer."""
         if version > self._heard_version:
             self._heard_version = version
@@ -181,48 +181,53 @@
         body = await whole_body(request.body)
         try:
             message = decode_message(body)
-            if isinstance(message, Offer):
+            if isinstance(message, RouteUpdate):
                 self._take_offer(message, f"peer {request.remote}")
         except FeedMalformedError as exc:
             self._log.warning("A message is malformed.", reason=str(exc)[:120])
             return problem_response(exc.code, str(exc), "not-run")
-        answer: Offer | Nothing = Nothing()
-        if isinstance(message, Ask):
-            answer = self.answer(message)
+        answer: RouteUpdate | NoUpdate = NoUpdate()
+        if isinstance(message, UpdateRequest):
+            answer = self.build_reply(message)
         data = encode(answer)
         return Response(200, _MSGPACK, data, len(data))
 
-    def answer(self, ask: Ask) -> Offer | Nothing:
+    def build_reply(self, ask: UpdateRequest) -> RouteUpdate | NoUpdate:
         """Returns what the peer that asks lacks."""
-        emptied = self._emptied.domains
-        if ask.have < self._in_force.version:
-            return Offer(self._pack(), emptied)
+        emptied = self._evacuation.domains
+        if ask.have < self._active_routes.version:
+            return RouteUpdate(self._pack(), emptied)
         if ask.have_emptied < emptied.revision:
-            return Offer(b"", emptied)
-        return Nothing()
+            return RouteUpdate(b"", emptied)
+        return NoUpdate()
 
-    def _take_offer(self, offer: Offer, source: str) -> None:
+    def _take_offer(self, offer: RouteUpdate, source: str) -> None:
         """Takes what a peer brought: where nothing may go before the routes.
 
         Raises:
           FeedMalformedError: it cannot be unpacked.
         """
-        raw = unpack(offer.packed, MAX_BYTES) if offer.packed else b""
-        self._take_emptied(offer.emptied, source)
+        raw = (
+            decompress(offer.packed, MAX_CONFIG_BYTES) if offer.packed else b""
+        )
+        self._adopt_evacuated(offer.emptied, source)
         if raw:
-            self._take(raw, source)
+            self._adopt_config(raw, source)
 
     def _pack(self) -> bytes:
         """Returns the configuration in force, packed; empty for none."""
-        version = self._in_force.version
+        version = self._active_routes.version
         if version and self._packed[0] != version:
-            self._packed = (version, pack(self._in_force.raw))
+            self._packed = (version, compress(self._active_routes.raw))
         return self._packed[1]
 
-    def _take(self, raw: bytes, source: str) -> int:
+    def _adopt_config(self, raw: bytes, source: str) -> int:
         """Takes a configuration; returns its version, 0 if malformed."""
-        if self._in_force.cfg is not None and raw == self._in_force.raw:
-            return self._in_force.version
+        if (
+            self._active_routes.cfg is not None
+            and raw == self._active_routes.raw
+        ):
+            return self._active_routes.version
         try:
             cfg = self._decode(raw)
         except RadishwindError as exc:
@@ -232,38 +237,40 @@
                 reason=str(exc)[:200],
             )
             return 0
-        self._in_force.adopt(cfg, raw, source)
+        self._active_routes.adopt(cfg, raw, source)
         return cfg.version
 
-    def _take_emptied(self, told: EmptiedDomains, source: str) -> None:
+    def _adopt_evacuated(self, told: EvacuatedDomains, source: str) -> None:
         """Takes emptied failure domains and tells on what is new.
 
         Who told what is older than the own knowledge, and otherwise, hears it:
         a failure domain that was taken back while nobody watched would stay
         empty for those who heard of it before.
         """
-        mine = self._emptied.domains
-        if self._emptied.adopt(told, source):
+        mine = self._evacuation.domains
+        if self._evacuation.adopt(told, source):
             self._tell_emptied()
-            self._push_soon(Offer(b"", told))
+            self._push_soon(RouteUpdate(b"", told))
         elif told.revision < mine.revision and told.names != mine.names:
             self._tell_emptied()
         self._heard_emptied = max(self._heard_emptied, told.revision)
 
     def _tell_emptied(self) -> None:
-        told = self._emptied.domains
+        told = self._evacuation.domains
         value = encode_rumor(told, MAX_RUMOR_VALUE_CHARS)
         self._rumor_bus.publish(
-            EMPTIED_TOPIC, "domains", told.revision, value, _RUMOR_S
+            EVACUATION_TOPIC, "domains", told.revision, value, _RUMOR_S
         )
 
     def _adopted(self, cfg: RouteConfig) -> None:
         self._heard_version = max(self._heard_version, cfg.version)
         value = msgspec.json.encode([cfg.version, self._node_name])
-        self._rumor_bus.publish(TOPIC, "version", cfg.version, value, _RUMOR_S)
-        self._push_soon(Offer(self._pack(), self._emptied.domains))
+        self._rumor_bus.publish(
+            VERSION_TOPIC, "version", cfg.version, value, _RUMOR_S
+        )
+        self._push_soon(RouteUpdate(self._pack(), self._evacuation.domains))
 
-    def _push_soon(self, offer: Offer) -> None:
+    def _push_soon(self, offer: RouteUpdate) -> None:
         if self._tasks is not None and self._neighbours.is_watcher():
             self._tasks.start_soon(self._push, encode(offer))
 
@@ -273,7 +280,7 @@
         Each watcher of the failure domain has its part; where one of them is
         cut off, those of its part hear the rumor and ask.
         """
-        limit = anyio.Semaphore(PUSHES_AT_ONCE)
+        limit = anyio.Semaphore(MAX_CONCURRENT_PUSHES)
         async with anyio.create_task_group() as tasks:
             for member in self._neighbours.part():
                 await limit.acquire()
@@ -298,7 +305,7 @@
         except msgspec.MsgspecError as exc:
             self._log.warning("A rumor is malformed.", reason=str(exc)[:120])
             return
-        self.hear(version)
+        self.note_version(version)
 
     def _on_emptied_rumor(self, key: str, value: bytes) -> None:
         try:
@@ -307,8 +314,8 @@
             self._log.warning("A rumor is malformed.", reason=str(exc)[:120])
             return
         if rumor.names is not None:
-            told = EmptiedDomains(rumor.revision, frozenset(rumor.names))
-            self._take_emptied(told, "rumor")
+            told = EvacuatedDomains(rumor.revision, frozenset(rumor.names))
+            self._adopt_evacuated(told, "rumor")
             return
         if rumor.revision > self._heard_emptied:
             self._heard_emptied = rumor.revision
@@ -327,18 +334,18 @@
     async def _hear(self) -> None:
         """Waits for news; without any routes also for the first peers."""
         self._heard = anyio.Event()
-        if self._in_force.cfg is not None:
+        if self._active_routes.cfg is not None:
             await self._heard.wait()
             return
-        with anyio.move_on_after(DUTY_PERIOD_S):
+        with anyio.move_on_after(DUTY_CHECK_INTERVAL_S):
             await self._heard.wait()
 
     def _is_behind(self) -> bool:
-        if self._in_force.cfg is None:
+        if self._active_routes.cfg is None:
             return bool(self._neighbours.near() or self._neighbours.far())
-        if self._emptied.domains.revision < self._heard_emptied:
+        if self._evacuation.domains.revision < self._heard_emptied:
             return True
-        return self._in_force.version < self._heard_version
+        return self._active_routes.version < self._heard_version
 
     async def _pull(self) -> bool:
         """Asks peers, near ones first, then the store; `False` if in vain."""
@@ -348,23 +355,25 @@
         ):
             if await self._pull_from(member):
                 return True
-        if self._in_force.cfg is None:
+        if self._active_routes.cfg is None:
             return False
         await self._store_side.read()
         return not self._is_behind()
 
     async def _pull_from(self, member: Member) -> bool:
         ask = encode(
-            Ask(self._in_force.version, self._emptied.domains.revision)
+            UpdateRequest(
+                self._active_routes.version, self._evacuation.domains.revision
+            )
         )
         try:
             data = await self._peers.call(
                 member.address, CONTROL_NAME, ask, _PEER_TIMEOUT_S
             )
             message = decode_message(data)
-            if isinstance(message, Offer):
+            if isinstance(message, RouteUpdate):
                 self._take_offer(message, f"peer {member.name}")
         except (PeerError, FeedMalformedError) as exc:
             self._log.info("A peer gave no routes.", reason=str(exc)[:120])
             return False
-        return self._in_force.cfg is not None and not self._is_behind()
+        return self._active_routes.cfg is not None and not self._is_behind()
--- a/src/radishwind/routes/table.py
+++ b/src/radishwind/routes/route_table.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Iterable
 
-from radishwind.routes.model import Part
 from radishwind.routes.model import Route
+from radishwind.routes.model import WeightedService
 
 
 class RouteTable:
@@ -27,25 +27,27 @@
                 return route
         return None
 
-    def service_of(self, route: Route) -> str:
+    def next_service(self, route: Route) -> str:
         """Returns the service that the next request of `route` goes to.
 
         Smooth weighted round robin: in any row of requests each part has its
         share to within one request, which a draw at random would not hold.
         """
-        if len(route.parts) == 1:
-            return route.parts[0].service
-        credits = self._shares.setdefault(route.name, [0.0] * len(route.parts))
-        total = sum(part.weight for part in route.parts)
+        if len(route.weighted_services) == 1:
+            return route.weighted_services[0].service
+        credits = self._shares.setdefault(
+            route.name, [0.0] * len(route.weighted_services)
+        )
+        total = sum(part.weight for part in route.weighted_services)
         if total <= 0:
-            return route.parts[0].service
-        for i, part in enumerate(route.parts):
+            return route.weighted_services[0].service
+        for i, part in enumerate(route.weighted_services):
             credits[i] += part.weight
         chosen = max(range(len(credits)), key=credits.__getitem__)
         credits[chosen] -= total
-        return route.parts[chosen].service
+        return route.weighted_services[chosen].service
 
 
-def services_of(parts: Iterable[Part]) -> frozenset[str]:
+def service_names(parts: Iterable[WeightedService]) -> frozenset[str]:
     """Returns the names of the services of `parts`."""
     return frozenset(part.service for part in parts)
--- a/src/radishwind/routes/store_side.py
+++ b/src/radishwind/routes/store_watcher.py
@@ -13,7 +13,7 @@
 
 from radishwind.core.clock import Clock
 from radishwind.recency.model import FreshnessProof
-from radishwind.routes.emptied import EmptiedDomains
+from radishwind.routes.evacuation import EvacuatedDomains
 from radishwind.store.base import Store
 from radishwind.store.base import StoreCompactedError
 from radishwind.store.base import StoreEntry
@@ -23,14 +23,14 @@
 from radishwind.telemetry.logs import PartLogger
 
 #: What the store is named as a source.
-SOURCE = "store"
+STORE_SOURCE = "store"
 
 #: Pauses after failed calls of the store (s).
 _FIRST_PAUSE_S = 0.1
 _LONGEST_PAUSE_S = 1.0
 
 #: How often a node looks whether it is to watch (s).
-DUTY_PERIOD_S = 0.5
+DUTY_CHECK_INTERVAL_S = 0.5
 
 
 class OperatorKeys(msgspec.Struct, frozen=True):
@@ -39,16 +39,16 @@
     Attributes:
       prefix: of all of them.
       config: the key of the configuration, below `prefix`.
-      emptied_domain: returns the failure domain that a key says is emptied;
+      evacuated_domain: returns the failure domain that a key says is emptied;
         `None` for another key.
     """
 
     prefix: str
     config: str
-    emptied_domain: Callable[[str], str | None]
+    evacuated_domain: Callable[[str], str | None]
 
 
-class StoreSide:
+class StoreWatcher:
     """Follows the store while this node is to, and tells what it found."""
 
     def __init__(
@@ -59,10 +59,10 @@
         clock: Clock,
         rng: random.Random,
         is_watcher: Callable[[], bool],
-        take_config: Callable[[bytes, str], int],
-        take_emptied: Callable[[EmptiedDomains, str], None],
-        emptied: Callable[[], EmptiedDomains],
-        take_proof: Callable[[FreshnessProof], None] | None = None,
+        on_config: Callable[[bytes, str], int],
+        on_evacuation: Callable[[EvacuatedDomains, str], None],
+        evacuated: Callable[[], EvacuatedDomains],
+        on_proof: Callable[[FreshnessProof], None] | None = None,
     ) -> None:
         """Wires the store's side of the feed.
 
@@ -72,21 +72,21 @@
           clock: the clock.
           rng: the random source of pauses.
           is_watcher: returns whether this node is to watch.
-          take_config: takes a configuration as written, and its source;
+          on_config: takes a configuration as written, and its source;
             returns its version, 0 where it can't be read.
-          take_emptied: takes the emptied failure domains and their source.
-          emptied: returns those in force.
-          take_proof: takes what the first read proves; `None` where nobody
+          on_evacuation: takes the emptied failure domains and their source.
+          evacuated: returns those in force.
+          on_proof: takes what the first read proves; `None` where nobody
             wants proof, so that it may bring old state.
         """
-        self._take_proof = take_proof
+        self._take_proof = on_proof
         self._keys = keys
         self._store = store
         self._rng = rng
         self._is_watcher = is_watcher
-        self._take_config = take_config
-        self._take_emptied = take_emptied
-        self._emptied = emptied
+        self._on_config = on_config
+        self._on_evacuation = on_evacuation
+        self._evacuated = evacuated
         self._log = PartLogger("routes", clock)
         self._backoff = Backoff(rng, _FIRST_PAUSE_S, _LONGEST_PAUSE_S)
         self._clock = clock
@@ -115,7 +115,7 @@
                 break
         while True:
             if not self._is_watcher():
-                await anyio.sleep(DUTY_PERIOD_S)
+                await anyio.sleep(DUTY_CHECK_INTERVAL_S)
                 continue
             if not self._revision and not await self.read():
                 await anyio.sleep(self._backoff.record_failure())
@@ -185,9 +185,9 @@
         # An old answer counts as no newer than what it shows, so that it never
         # stands against what others heard since.
         names = self._emptied_names(entries)
-        told = EmptiedDomains(newest if allow_stale else as_of, names)
-        self._take_emptied(told, SOURCE)
-        version = self._take_config(config[0].value, SOURCE)
+        told = EvacuatedDomains(newest if allow_stale else as_of, names)
+        self._on_evacuation(told, STORE_SOURCE)
+        version = self._on_config(config[0].value, STORE_SOURCE)
         if not allow_stale:
             self._note_certain(config[0].store_revision, version)
         return version
@@ -198,7 +198,7 @@
             self._certain = (revision, version)
 
     def _emptied_names(self, entries: Sequence[StoreEntry]) -> frozenset[str]:
-        names = (self._keys.emptied_domain(entry.key) for entry in entries)
+        names = (self._keys.evacuated_domain(entry.key) for entry in entries)
         return frozenset(name for name in names if name is not None)
 
     async def _watch(self) -> None:
@@ -225,16 +225,16 @@
     def _take(self, event: WatchEvent) -> None:
         if event.key == self._keys.config:
             if event.entry is not None:
-                version = self._take_config(event.entry.value, SOURCE)
+                version = self._on_config(event.entry.value, STORE_SOURCE)
                 self._note_certain(event.revision, version)
             return
-        name = self._keys.emptied_domain(event.key)
+        name = self._keys.evacuated_domain(event.key)
         if name is None:
             return
-        told = self._emptied().changed(
-            name, event.revision, emptied=event.entry is not None
+        told = self._evacuated().with_change(
+            name, event.revision, evacuated=event.entry is not None
         )
-        self._take_emptied(told, SOURCE)
+        self._on_evacuation(told, STORE_SOURCE)
 
     def _note(self, *, lost: bool, reason: str = "") -> None:
         """Logs when the store is lost and regained."""
--- a/src/radishwind/routes/tests/test_confirm.py
+++ b/src/radishwind/routes/tests/test_confirm.py
@@ -7,9 +7,9 @@
 
 from radishwind.core import ManualClock
 from radishwind.recency import FreshnessProof
-from radishwind.routes.emptied import EmptiedDomains
-from radishwind.routes.store_side import OperatorKeys
-from radishwind.routes.store_side import StoreSide
+from radishwind.routes.evacuation import EvacuatedDomains
+from radishwind.routes.store_watcher import OperatorKeys
+from radishwind.routes.store_watcher import StoreWatcher
 from radishwind.store.base import StoreAnswerLostError
 from radishwind.store.base import StoreCompactedError
 from radishwind.store.base import StoreEntry
@@ -56,15 +56,15 @@
         self.clock = ManualClock()
         self.store = Store(self.clock)
         self.taken = []
-        self.side = StoreSide(
+        self.side = StoreWatcher(
             keys=OperatorKeys("op/", "op/c", lambda key: None),
             store=self.store,
             clock=self.clock,
             rng=random.Random(1),
             is_watcher=lambda: True,
-            take_config=self._take,
-            take_emptied=lambda told, source: None,
-            emptied=EmptiedDomains,
+            on_config=self._take,
+            on_evacuation=lambda told, source: None,
+            evacuated=EvacuatedDomains,
         )
 
     def _take(self, raw, source):
--- a/src/radishwind/routes/tests/test_emptied.py
+++ b/src/radishwind/routes/tests/test_evacuation.py
@@ -12,17 +12,17 @@
 from radishwind.membership.directory import Member
 from radishwind.membership.directory import MemberState
 from radishwind.peers.peer_client import PeerError
-from radishwind.platform.routes import emptied_domain
+from radishwind.platform.routes import evacuated_domain
+from radishwind.routes import ActiveRoutes
 from radishwind.routes import messages
-from radishwind.routes import Part
 from radishwind.routes import Route
 from radishwind.routes import RouteConfig
-from radishwind.routes import RoutesInForce
-from radishwind.routes.emptied import EmptiedDomains
-from radishwind.routes.emptied import EmptiedInForce
-from radishwind.routes.feed import EMPTIED_TOPIC
-from radishwind.routes.feed import RouteFeed
-from radishwind.routes.store_side import OperatorKeys
+from radishwind.routes import WeightedService
+from radishwind.routes.evacuation import EvacuatedDomains
+from radishwind.routes.evacuation import EvacuationState
+from radishwind.routes.route_feed import EVACUATION_TOPIC
+from radishwind.routes.route_feed import RouteFeed
+from radishwind.routes.store_watcher import OperatorKeys
 from radishwind.store.base import StoreCompactedError
 from radishwind.store.base import StoreEntry
 from radishwind.store.base import StoreUnavailableError
@@ -31,8 +31,8 @@
 pytestmark = pytest.mark.anyio
 
 CONFIG = "op/config"
-ROUTE = Route("r", "h", "/", True, (Part("s"),), 1.0, 0.5, 1, 2)
-KEYS = OperatorKeys("op/", CONFIG, emptied_domain)
+ROUTE = Route("r", "h", "/", True, (WeightedService("s"),), 1.0, 0.5, 1, 2)
+KEYS = OperatorKeys("op/", CONFIG, evacuated_domain)
 
 
 @pytest.fixture
@@ -41,7 +41,7 @@
 
 
 def of(revision, *names):
-    return EmptiedDomains(revision, frozenset(names))
+    return EvacuatedDomains(revision, frozenset(names))
 
 
 class KeptStore:
@@ -137,10 +137,10 @@
 
     async def call(self, address, name, data, timeout_s):
         message = messages.decode(data)
-        if isinstance(message, messages.Ask):
+        if isinstance(message, messages.UpdateRequest):
             raise PeerError("nothing to give")
         self.offers.append(message)
-        return messages.encode(messages.Nothing())
+        return messages.encode(messages.NoUpdate())
 
 
 class Names:
@@ -159,8 +159,8 @@
 
     def __init__(self, store, rumor_bus=None, name="own", watches=True):
         clock = ManualClock()
-        self.routes = RoutesInForce(clock)
-        self.emptied = EmptiedInForce(clock)
+        self.routes = ActiveRoutes(clock)
+        self.evacuation = EvacuationState(clock)
         self.rumor_bus = rumor_bus or Board()
         self.peers = Peers()
         self.feed = RouteFeed(
@@ -169,8 +169,8 @@
             keys=KEYS,
             decode=lambda raw: RouteConfig(int(raw), (ROUTE,), {}),
             store=store,
-            in_force=self.routes,
-            emptied=self.emptied,
+            active_routes=self.routes,
+            evacuation=self.evacuation,
             directory=Names("own", *(f"p-{number}" for number in range(8))),
             rumor_bus=self.rumor_bus,
             peers=self.peers,
@@ -181,7 +181,7 @@
 
     async def until(self, expected):
         with anyio.fail_after(5):
-            while self.emptied.names != frozenset(expected):  # noqa: ASYNC110
+            while self.evacuation.names != frozenset(expected):  # noqa: ASYNC110
                 await anyio.sleep(0.001)
 
 
@@ -209,7 +209,7 @@
     await run(node, steps)
     assert store.reads == 1
     versions = [
-        v for topic, v, _ in node.rumor_bus.told if topic == EMPTIED_TOPIC
+        v for topic, v, _ in node.rumor_bus.told if topic == EVACUATION_TOPIC
     ]
     assert versions == sorted(set(versions))
 
@@ -219,7 +219,7 @@
     store.put("op/evacuate/b")
     node = Node(store, watches=False)
     known = []
-    node.routes.listen(lambda cfg: known.append(node.emptied.names))
+    node.routes.subscribe(lambda cfg: known.append(node.evacuation.names))
 
     async def steps():
         await node.until("b")
@@ -256,7 +256,7 @@
         store.away = True
         store.put("op/evacuate/c")
         await anyio.sleep(0.1)
-        assert node.emptied.names == frozenset("b")
+        assert node.evacuation.names == frozenset("b")
         store.away = False
         await node.until("bc")
 
@@ -272,17 +272,17 @@
     async def steps():
         await node.until(())
         rumor = msgspec.json.encode([store.revision, ["b"]])
-        node.rumor_bus.publish(EMPTIED_TOPIC, "domains", 1, rumor, 1.0)
+        node.rumor_bus.publish(EVACUATION_TOPIC, "domains", 1, rumor, 1.0)
         await node.until("b")
 
     await run(node, steps)
 
 
 def adopted(*told):
-    in_force = EmptiedInForce(ManualClock())
+    active_routes = EvacuationState(ManualClock())
     for one in told:
-        in_force.adopt(one, "test")
-    return in_force.names
+        active_routes.adopt(one, "test")
+    return active_routes.names
 
 
 def test_an_older_revision_changes_nothing():
@@ -292,11 +292,11 @@
 
 
 def test_listeners_hear_of_a_change_once():
-    in_force = EmptiedInForce(ManualClock())
+    active_routes = EvacuationState(ManualClock())
     heard = []
-    in_force.listen(heard.append)
+    active_routes.subscribe(heard.append)
     for told in (of(1), of(2, "b"), of(3, "b"), of(4, "b", "c"), of(5)):
-        in_force.adopt(told, "test")
+        active_routes.adopt(told, "test")
 
     assert [sorted(one.names) for one in heard] == [["b"], ["b", "c"], []]
 
@@ -304,12 +304,12 @@
 def test_who_tells_what_is_older_hears_what_is_so_now():
     """One taken back while nobody watched would stay empty for some."""
     node = Node(KeptStore())
-    node.emptied.adopt(of(50), "test")
+    node.evacuation.adopt(of(50), "test")
 
     node.feed._on_emptied_rumor("domains", msgspec.json.encode([20, ["b"]]))
 
-    assert node.emptied.names == frozenset()
-    told = [told for told in node.rumor_bus.told if told[0] == EMPTIED_TOPIC]
+    assert node.evacuation.names == frozenset()
+    told = [told for told in node.rumor_bus.told if told[0] == EVACUATION_TOPIC]
     assert [(v, msgspec.json.decode(raw)) for _, v, raw in told] == [
         (50, [50, []])
     ]
@@ -319,7 +319,7 @@
     node = Node(KeptStore())
     names = [f"failure-domain-{number}" for number in range(60)]
 
-    node.feed._take_emptied(of(20, *names), "test")
+    node.feed._adopt_evacuated(of(20, *names), "test")
 
     raw = node.rumor_bus.told[-1][2]
     assert msgspec.json.decode(raw) == [20, None]
@@ -335,7 +335,7 @@
 
     node.feed._on_emptied_rumor("domains", raw)
 
-    assert node.emptied.domains == EmptiedDomains()
+    assert node.evacuation.domains == EvacuatedDomains()
 
 
 async def answered(node, message):
@@ -347,23 +347,26 @@
 async def test_a_peer_that_asks_gets_what_it_lacks():
     node = Node(KeptStore())
     node.routes.adopt(RouteConfig(7, (ROUTE,), {}), b"7", "test")
-    node.emptied.adopt(of(20, "b"), "test")
+    node.evacuation.adopt(of(20, "b"), "test")
 
-    lacks_both = await answered(node, messages.Ask(0))
-    lacks_one = await answered(node, messages.Ask(7))
+    lacks_both = await answered(node, messages.UpdateRequest(0))
+    lacks_one = await answered(node, messages.UpdateRequest(7))
 
-    assert messages.unpack(lacks_both.packed, 100) == b"7"
+    assert messages.decompress(lacks_both.packed, 100) == b"7"
     assert lacks_both.emptied == lacks_one.emptied == of(20, "b")
     assert lacks_one.packed == b""
-    assert await answered(node, messages.Ask(7, 20)) == messages.Nothing()
+    assert (
+        await answered(node, messages.UpdateRequest(7, 20))
+        == messages.NoUpdate()
+    )
 
 
 async def test_what_a_peer_brings_is_taken():
     node = Node(KeptStore())
 
-    await answered(node, messages.Offer(b"", of(20, "b")))
+    await answered(node, messages.RouteUpdate(b"", of(20, "b")))
 
-    assert node.emptied.domains == of(20, "b")
+    assert node.evacuation.domains == of(20, "b")
 
 
 async def test_a_watcher_pushes_a_change_to_those_beside_it():
@@ -378,7 +381,9 @@
         await anyio.sleep(0.05)
 
     await run(node, steps)
-    assert node.peers.offers[-1] == messages.Offer(b"", of(store.revision, "b"))
+    assert node.peers.offers[-1] == messages.RouteUpdate(
+        b"", of(store.revision, "b")
+    )
 
 
 @pytest.mark.parametrize(
@@ -393,4 +398,4 @@
     ],
 )
 def test_only_keys_of_one_failure_domain_say_that_it_is_emptied(key, name):
-    assert emptied_domain(key) == name
+    assert evacuated_domain(key) == name
--- a/src/radishwind/routes/tests/test_feed.py
+++ b/src/radishwind/routes/tests/test_route_feed.py
@@ -11,24 +11,24 @@
 from radishwind.membership.directory import Member
 from radishwind.membership.directory import MemberState
 from radishwind.membership.ranking import hash_rank
+from radishwind.routes import ActiveRoutes
 from radishwind.routes import messages
-from radishwind.routes import Part
 from radishwind.routes import Route
 from radishwind.routes import RouteConfig
-from radishwind.routes import RoutesInForce
-from radishwind.routes.emptied import EmptiedInForce
-from radishwind.routes.feed import PUSHES_AT_ONCE
-from radishwind.routes.feed import RouteFeed
-from radishwind.routes.neighbours import ALONE_S
-from radishwind.routes.neighbours import WATCHERS
-from radishwind.routes.store_side import OperatorKeys
+from radishwind.routes import WeightedService
+from radishwind.routes.evacuation import EvacuationState
+from radishwind.routes.feed_peers import LONE_NODE_GRACE_S
+from radishwind.routes.feed_peers import WATCHERS_PER_DOMAIN
+from radishwind.routes.route_feed import MAX_CONCURRENT_PUSHES
+from radishwind.routes.route_feed import RouteFeed
+from radishwind.routes.store_watcher import OperatorKeys
 from radishwind.store.base import StoreCompactedError
 from radishwind.store.base import StoreEntry
 from radishwind.store.base import WatchEvent
 
 pytestmark = pytest.mark.anyio
 
-ROUTE = Route("r", "h", "/", True, (Part("s"),), 1.0, 0.5, 1, 2)
+ROUTE = Route("r", "h", "/", True, (WeightedService("s"),), 1.0, 0.5, 1, 2)
 
 
 @pytest.fixture
@@ -75,9 +75,9 @@
     async def call(self, address, name, data, timeout_s):
         message = messages.decode(data)
         self.asked.append(message)
-        if isinstance(message, messages.Ask) and message.have >= 7:
-            return messages.encode(messages.Nothing())
-        return messages.encode(messages.Offer(messages.pack(b"7")))
+        if isinstance(message, messages.UpdateRequest) and message.have >= 7:
+            return messages.encode(messages.NoUpdate())
+        return messages.encode(messages.RouteUpdate(messages.compress(b"7")))
 
 
 class Directory:
@@ -93,15 +93,15 @@
 
 
 def feed(store, directory, first_wait_s, name="own"):
-    in_force = RoutesInForce(ManualClock())
+    active_routes = ActiveRoutes(ManualClock())
     made = RouteFeed(
         node_name=name,
         failure_domain="a",
         keys=KEYS,
         decode=decode,
         store=store,
-        in_force=in_force,
-        emptied=EmptiedInForce(ManualClock()),
+        active_routes=active_routes,
+        evacuation=EvacuationState(ManualClock()),
         directory=directory,
         rumor_bus=Board(),
         peers=Peers(),
@@ -109,14 +109,14 @@
         rng=random.Random(1),
         first_wait_s=first_wait_s,
     )
-    return made, in_force
+    return made, active_routes
 
 
-async def run_until_known(made, in_force):
+async def run_until_known(made, active_routes):
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(made.run)
         with anyio.fail_after(5):
-            while in_force.cfg is None:  # noqa: ASYNC110
+            while active_routes.cfg is None:  # noqa: ASYNC110
                 await anyio.sleep(0.001)
         tasks.cancel_scope.cancel()
 
@@ -145,41 +145,41 @@
 
 
 async def test_a_peer_gets_a_newer_version_packed_and_no_other():
-    made, in_force = feed(Store(), Directory("own"), 0.0)
-    in_force.adopt(decode(b"7"), b"7", "test")
+    made, active_routes = feed(Store(), Directory("own"), 0.0)
+    active_routes.adopt(decode(b"7"), b"7", "test")
 
-    status, body = await answered(made, messages.Ask(6))
+    status, body = await answered(made, messages.UpdateRequest(6))
     assert status == 200
-    assert messages.unpack(messages.decode(body).packed, 100) == b"7"
-    assert await answered(made, messages.Ask(7)) == (
+    assert messages.decompress(messages.decode(body).packed, 100) == b"7"
+    assert await answered(made, messages.UpdateRequest(7)) == (
         200,
-        messages.encode(messages.Nothing()),
+        messages.encode(messages.NoUpdate()),
     )
 
 
 async def test_a_version_that_a_peer_brings_is_taken():
-    made, in_force = feed(Store(), Directory("own"), 0.0)
+    made, active_routes = feed(Store(), Directory("own"), 0.0)
 
-    await answered(made, messages.Offer(messages.pack(b"9")))
+    await answered(made, messages.RouteUpdate(messages.compress(b"9")))
 
-    assert in_force.version == 9
+    assert active_routes.version == 9
 
 
 @pytest.mark.parametrize(
-    "body", [b"", b"7", b"\xc1", messages.encode(messages.Offer(b"raw"))]
+    "body", [b"", b"7", b"\xc1", messages.encode(messages.RouteUpdate(b"raw"))]
 )
 async def test_what_cannot_be_read_changes_nothing(body):
-    made, in_force = feed(Store(), Directory("own"), 0.0)
+    made, active_routes = feed(Store(), Directory("own"), 0.0)
 
     response = await made.handle(Request("POST", "/", (), body, len(body)))
 
     assert response.status >= 400
-    assert in_force.version == 0
+    assert active_routes.version == 0
 
 
 def test_a_pack_longer_than_allowed_is_refused():
     with pytest.raises(messages.FeedMalformedError):
-        messages.unpack(messages.pack(b"x" * 101), 100)
+        messages.decompress(messages.compress(b"x" * 101), 100)
 
 
 @pytest.mark.parametrize("domains", [1, 2, 3, 5])
@@ -188,18 +188,18 @@
     members = Directory(*names, domains="abcde"[:domains])
     pushed = {}
     for name in names:
-        made, in_force = feed(Store(), members, 60.0, name)
-        pushed[name] = await pushed_to(made, in_force)
+        made, active_routes = feed(Store(), members, 60.0, name)
+        pushed[name] = await pushed_to(made, active_routes)
 
     watchers = [name for name, told in pushed.items() if told]
-    assert len(watchers) == (WATCHERS if domains <= 3 else 1)
+    assert len(watchers) == (WATCHERS_PER_DOMAIN if domains <= 3 else 1)
     told = [name for watcher in watchers for name in pushed[watcher]]
     assert set(told) | set(watchers) == set(names)
     assert len(told) == len(set(told))
 
 
-async def pushed_to(made, in_force):
-    in_force.adopt(decode(b"7"), b"7", "test")
+async def pushed_to(made, active_routes):
+    active_routes.adopt(decode(b"7"), b"7", "test")
     if not made._neighbours.is_watcher():
         return []
     told = []
@@ -234,9 +234,9 @@
 
 async def test_a_key_that_is_older_than_the_history_is_read_once():
     store = OldStore()
-    made, in_force = feed(store, Directory("own", "p-1"), 0.0)
+    made, active_routes = feed(store, Directory("own", "p-1"), 0.0)
 
-    await run_until_known(made, in_force)
+    await run_until_known(made, active_routes)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(made.run)
         await anyio.sleep(0.3)
@@ -263,14 +263,14 @@
 
 async def test_a_node_that_knows_nobody_yet_does_not_watch():
     store = TellingStore()
-    made, in_force = feed(store, Directory("own"), 0.0)
+    made, active_routes = feed(store, Directory("own"), 0.0)
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(made.run)
         await anyio.sleep(0.05)
         tasks.cancel_scope.cancel()
 
-    assert in_force.version == 7
+    assert active_routes.version == 7
     assert store.watches == 0
 
 
@@ -278,7 +278,7 @@
     made, _ = feed(Store(), Directory("own"), 0.0)
     assert not made._neighbours.is_watcher()
 
-    made._neighbours._clock.advance(ALONE_S)
+    made._neighbours._clock.advance(LONE_NODE_GRACE_S)
 
     assert made._neighbours.is_watcher()
 
@@ -286,14 +286,14 @@
 async def test_a_watch_ends_where_others_are_to_watch():
     store = TellingStore()
     names = [f"t-{number}" for number in range(12)]
-    made, in_force = feed(store, Directory(*names), 0.0, "t-0")
+    made, active_routes = feed(store, Directory(*names), 0.0, "t-0")
     duty = iter((True, False))
     made._neighbours.is_watcher = lambda: next(duty, False)
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(made._store_side.run, 0.0, lambda: False)
         with anyio.fail_after(5):
-            while in_force.version < 8:  # noqa: ASYNC110
+            while active_routes.version < 8:  # noqa: ASYNC110
                 await anyio.sleep(0.001)
         await anyio.sleep(0.05)
         tasks.cancel_scope.cancel()
@@ -314,17 +314,17 @@
         await anyio.sleep(0.001)
         self.now -= 1
         self.pushed += 1
-        return messages.encode(messages.Nothing())
+        return messages.encode(messages.NoUpdate())
 
 
 async def test_a_watcher_of_a_large_failure_domain_pushes_to_few_at_once():
     names = [f"t-{number}" for number in range(40)]
     first = min(names, key=hash_rank)
-    made, in_force = feed(Store(), Directory(*names), 60.0, first)
+    made, active_routes = feed(Store(), Directory(*names), 60.0, first)
     made._peers = SlowPeers()
-    in_force.adopt(decode(b"7"), b"7", "test")
+    active_routes.adopt(decode(b"7"), b"7", "test")
 
     await made._push(b"")
 
-    assert made._peers.most == PUSHES_AT_ONCE
+    assert made._peers.most == MAX_CONCURRENT_PUSHES
     assert made._peers.pushed >= 10
--- a/src/radishwind/routes/tests/test_unsigned.py
+++ b/src/radishwind/routes/tests/test_unsigned_requests.py
@@ -8,13 +8,13 @@
 from radishwind.membership.directory import Member
 from radishwind.peers.peer_client import PeerError
 from radishwind.routes import messages
-from radishwind.routes.emptied import EmptiedDomains
-from radishwind.routes.unsigned import UnsignedAsks
+from radishwind.routes.evacuation import EvacuatedDomains
+from radishwind.routes.unsigned_requests import UnsignedRequestHandler
 
 pytestmark = pytest.mark.anyio
 
 KNOWN = Member("b-1", "s", "b", Address("10.0.0.2", 7600))
-OFFER = messages.Offer(b"packed", EmptiedDomains(4))
+OFFER = messages.RouteUpdate(b"packed", EvacuatedDomains(4))
 
 
 @pytest.fixture
@@ -25,8 +25,8 @@
 class Feed:
     """Has version 7."""
 
-    def answer(self, ask):
-        return OFFER if ask.have < 7 else messages.Nothing()
+    def build_reply(self, ask):
+        return OFFER if ask.have < 7 else messages.NoUpdate()
 
 
 class Directory:
@@ -53,7 +53,7 @@
 
 @pytest.fixture
 def asks(peers):
-    return UnsignedAsks(
+    return UnsignedRequestHandler(
         feed=Feed(), directory=Directory(), peers=peers, clock=ManualClock()
     )
 
@@ -65,21 +65,21 @@
 
 
 async def test_known_node_is_brought_what_it_lacks(asks, peers):
-    answer = await answered(asks, messages.Ask(0), "10.0.0.2")
+    answer = await answered(asks, messages.UpdateRequest(0), "10.0.0.2")
 
-    assert answer == messages.Nothing()
+    assert answer == messages.NoUpdate()
     assert peers.brought == [(KNOWN.address, "routes", OFFER)]
 
 
 async def test_stranger_is_brought_nothing(asks, peers):
-    answer = await answered(asks, messages.Ask(0), "10.6.6.6")
+    answer = await answered(asks, messages.UpdateRequest(0), "10.6.6.6")
 
-    assert answer == messages.Nothing()
+    assert answer == messages.NoUpdate()
     assert peers.brought == []
 
 
 async def test_who_lacks_nothing_is_brought_nothing(asks, peers):
-    await answered(asks, messages.Ask(7), "10.0.0.2")
+    await answered(asks, messages.UpdateRequest(7), "10.0.0.2")
 
     assert peers.brought == []
 
@@ -87,14 +87,14 @@
 async def test_offer_is_not_taken(asks, peers):
     answer = await answered(asks, OFFER, "10.0.0.2")
 
-    assert answer == messages.Nothing()
+    assert answer == messages.NoUpdate()
     assert peers.brought == []
 
 
 async def test_node_that_is_away_can_ask_again(asks, peers):
     peers.fails = True
-    await answered(asks, messages.Ask(0), "10.0.0.2")
-    await answered(asks, messages.Ask(0), "10.0.0.2")
+    await answered(asks, messages.UpdateRequest(0), "10.0.0.2")
+    await answered(asks, messages.UpdateRequest(0), "10.0.0.2")
 
     assert len(peers.brought) == 2
 
--- a/src/radishwind/routes/unsigned.py
+++ b/src/radishwind/routes/unsigned_requests.py
@@ -14,14 +14,14 @@
 from radishwind.outcomes import problem_response
 from radishwind.peers.peer_client import PeerClient
 from radishwind.peers.peer_client import PeerError
-from radishwind.routes.feed import CONTROL_NAME
-from radishwind.routes.feed import RouteFeed
-from radishwind.routes.messages import Ask
 from radishwind.routes.messages import decode
 from radishwind.routes.messages import encode
 from radishwind.routes.messages import FeedMalformedError
-from radishwind.routes.messages import Nothing
-from radishwind.routes.messages import Offer
+from radishwind.routes.messages import NoUpdate
+from radishwind.routes.messages import RouteUpdate
+from radishwind.routes.messages import UpdateRequest
+from radishwind.routes.route_feed import CONTROL_NAME
+from radishwind.routes.route_feed import RouteFeed
 from radishwind.telemetry.logs import PartLogger
 
 #: How long a node may take to take a configuration (s).
@@ -30,7 +30,7 @@
 _MSGPACK = (("Content-Type", "application/msgpack"),)
 
 
-class UnsignedAsks:
+class UnsignedRequestHandler:
     """Brings the configuration to the known node at the asker's host."""
 
     def __init__(
@@ -63,9 +63,9 @@
         except FeedMalformedError as exc:
             return problem_response(exc.code, str(exc), "not-run")
         member = self._known_at(request.remote)
-        if isinstance(message, Ask) and member is not None:
-            await self._bring(member, self._feed.answer(message))
-        data = encode(Nothing())
+        if isinstance(message, UpdateRequest) and member is not None:
+            await self._bring(member, self._feed.build_reply(message))
+        data = encode(NoUpdate())
         return Response(200, _MSGPACK, data, len(data))
 
     def _known_at(self, host: str) -> Member | None:
@@ -74,8 +74,10 @@
                 return member
         return None
 
-    async def _bring(self, member: Member, offer: Offer | Nothing) -> None:
-        if isinstance(offer, Nothing) or member.name in self._on_their_way:
+    async def _bring(
+        self, member: Member, offer: RouteUpdate | NoUpdate
+    ) -> None:
+        if isinstance(offer, NoUpdate) or member.name in self._on_their_way:
             return
         self._on_their_way.add(member.name)
         try:
--- a/src/radishwind/sidecar/account_policy.py
+++ b/src/radishwind/sidecar/account_policy.py
@@ -7,7 +7,7 @@
 from radishwind.peers.peer_listener import AttemptPolicy
 from radishwind.platform import host_of
 from radishwind.platform import named_accounts
-from radishwind.routes.in_force import RoutesInForce
+from radishwind.routes.active_routes import ActiveRoutes
 
 
 class AccountPolicy(AttemptPolicy):
@@ -18,7 +18,7 @@
     """
 
     def __init__(
-        self, keyring: Keyring, routes: RoutesInForce, directory: Directory
+        self, keyring: Keyring, routes: ActiveRoutes, directory: Directory
     ) -> None:
         """Makes a policy.
 
@@ -46,7 +46,9 @@
         route = self._routes.table.match(host, request.path)
         if route is None or not route.public:
             return False
-        if all(part.service != info.service for part in route.parts):
+        if all(
+            part.service != info.service for part in route.weighted_services
+        ):
             return False
         return any(
             member.address.host == request.remote
--- a/src/radishwind/sidecar/app.py
+++ b/src/radishwind/sidecar/app.py
@@ -21,8 +21,8 @@
 from radishwind.peers.attempts import is_forwarded_attempt
 from radishwind.platform import PlatformDialect
 from radishwind.platform import PlatformStore
-from radishwind.routes.emptied import EmptiedInForce
-from radishwind.routes.in_force import RoutesInForce
+from radishwind.routes.active_routes import ActiveRoutes
+from radishwind.routes.evacuation import EvacuationState
 from radishwind.routes.model import RouteConfig
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.control import Readiness
@@ -127,8 +127,8 @@
             listed=self._peers.listed,
             round_trip=self._links.took_trip,
         )
-        self._routes = RoutesInForce(self._clock)
-        self._emptied = EmptiedInForce(self._clock)
+        self._routes = ActiveRoutes(self._clock)
+        self._evacuation = EvacuationState(self._clock)
         self._quotas = QuotaSharing(
             settings=settings,
             clock=self._clock,
@@ -163,9 +163,9 @@
             link_kbps=self._links.meter.free_kbps,
         )
         self._ready_changed(False)
-        self._routes.listen(self._adopted)
-        self._routes.listen(self._links.adopt)
-        self._emptied.listen(self._target.follow_emptied)
+        self._routes.subscribe(self._adopted)
+        self._routes.subscribe(self._links.adopt)
+        self._evacuation.subscribe(self._target.follow_emptied)
 
     def _build_entry(self) -> None:
         settings = self._settings
@@ -177,7 +177,7 @@
             signer=self._peers.signer,
             directory=self._membership.directory,
             routes=self._routes,
-            emptied=self._emptied,
+            evacuation=self._evacuation,
             target=self._target,
             switches=self._switches,
             node_count=self._membership.node_count,
@@ -239,7 +239,7 @@
             client=self._peers.client,
             membership=self._membership,
             routes=self._routes,
-            emptied=self._emptied,
+            evacuation=self._evacuation,
             target=self._target,
             recency=self._recency,
         )
@@ -251,7 +251,7 @@
                 target=self._target,
                 membership=self._membership,
                 routes=self._routes,
-                emptied=self._emptied,
+                evacuation=self._evacuation,
                 store=self._store,
                 peers=self._peers,
                 quotas=self._quotas,
--- a/src/radishwind/sidecar/control_side.py
+++ b/src/radishwind/sidecar/control_side.py
@@ -10,16 +10,16 @@
 from radishwind.peers.peer_client import PeerClient
 from radishwind.peers.peer_listener import PeerListener
 from radishwind.platform import read_routes
-from radishwind.platform.routes import emptied_domain
+from radishwind.platform.routes import evacuated_domain
 from radishwind.platform.routes import KEY as ROUTES_KEY
 from radishwind.platform.routes import PREFIX
-from radishwind.routes.emptied import EmptiedInForce
-from radishwind.routes.feed import CONTROL_NAME as ROUTES_CONTROL
-from radishwind.routes.feed import MAX_BYTES as ROUTES_MAX_BYTES
-from radishwind.routes.feed import RouteFeed
-from radishwind.routes.in_force import RoutesInForce
-from radishwind.routes.store_side import OperatorKeys
-from radishwind.routes.unsigned import UnsignedAsks
+from radishwind.routes.active_routes import ActiveRoutes
+from radishwind.routes.evacuation import EvacuationState
+from radishwind.routes.route_feed import CONTROL_NAME as ROUTES_CONTROL
+from radishwind.routes.route_feed import MAX_CONFIG_BYTES as ROUTES_MAX_BYTES
+from radishwind.routes.route_feed import RouteFeed
+from radishwind.routes.store_watcher import OperatorKeys
+from radishwind.routes.unsigned_requests import UnsignedRequestHandler
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.control import HeartbeatListener
 from radishwind.sidecar.habits import Findings
@@ -50,8 +50,8 @@
         store: Store,
         client: PeerClient,
         membership: MembershipTasks,
-        routes: RoutesInForce,
-        emptied: EmptiedInForce,
+        routes: ActiveRoutes,
+        evacuation: EvacuationState,
         target: SidecarTarget,
         recency: RecencySide,
     ) -> None:
@@ -65,7 +65,7 @@
           client: calls other nodes.
           membership: which nodes there are.
           routes: the routes in force.
-          emptied: the failure domains that get nothing new.
+          evacuation: the failure domains that get nothing new.
           target: the own target.
           recency: the proof that what is known of keys is recent.
         """
@@ -96,11 +96,11 @@
         self._feed = RouteFeed(
             node_name=settings.node,
             failure_domain=settings.failure_domain,
-            keys=OperatorKeys(PREFIX, ROUTES_KEY, emptied_domain),
+            keys=OperatorKeys(PREFIX, ROUTES_KEY, evacuated_domain),
             decode=read_routes,
             store=store,
-            in_force=routes,
-            emptied=emptied,
+            active_routes=routes,
+            evacuation=evacuation,
             directory=membership.directory,
             rumor_bus=membership.rumor_bus,
             peers=client,
@@ -109,11 +109,11 @@
             first_wait_s=(
                 FIRST_START_SPREAD_S if settings.first_start else 0.0
             ),
-            take_proof=recency.keeper.accept_first_read
+            on_proof=recency.keeper.accept_first_read
             if recency.keeper
             else None,
         )
-        self._unsigned_asks = UnsignedAsks(
+        self._unsigned_asks = UnsignedRequestHandler(
             feed=self._feed,
             directory=membership.directory,
             peers=client,
--- a/src/radishwind/sidecar/entry_side.py
+++ b/src/radishwind/sidecar/entry_side.py
@@ -35,8 +35,8 @@
 from radishwind.quotas import QuotaGate
 from radishwind.retries.fleet import FleetRetryBudget
 from radishwind.retries.fleet import FleetRetryPolicy
-from radishwind.routes.emptied import EmptiedInForce
-from radishwind.routes.in_force import RoutesInForce
+from radishwind.routes.active_routes import ActiveRoutes
+from radishwind.routes.evacuation import EvacuationState
 from radishwind.routing.fresh_load_chooser import FreshLoadChooser
 from radishwind.routing.placement import RestrictedPlacement
 from radishwind.settings.placed import PlacedSettings
@@ -68,8 +68,8 @@
         rng: random.Random,
         sender: Sender,
         directory: Directory,
-        routes: RoutesInForce,
-        emptied: EmptiedInForce,
+        routes: ActiveRoutes,
+        evacuation: EvacuationState,
         target: SidecarTarget,
         switches: Switches,
         node_count: Callable[[], int],
@@ -91,7 +91,7 @@
           sender: sends to other nodes.
           directory: the nodes there are.
           routes: the routes in force.
-          emptied: the failure domains that get nothing new.
+          evacuation: the failure domains that get nothing new.
           target: the own target.
           switches: what is in use.
           node_count: returns how many nodes share the budget of repeats.
@@ -160,7 +160,7 @@
             clock=clock,
             classifier=self.classifier,
             placement=RestrictedPlacement(
-                directory, lambda: emptied.names, settings.region_of
+                directory, lambda: evacuation.names, settings.region_of
             ),
             chooser=self.chooser,
             retries=FleetRetryPolicy(
--- a/src/radishwind/sidecar/link_side.py
+++ b/src/radishwind/sidecar/link_side.py
@@ -59,7 +59,7 @@
         """Follows a new configuration."""
         self._aims = {route.name: route.aim_s for route in cfg.routes}
         self.sizes.expect_large(
-            frozenset(r.name for r in cfg.routes if r.large_answers)
+            frozenset(r.name for r in cfg.routes if r.has_large_responses)
         )
 
     def took_trip(self, address: Address, trip_s: float) -> None:
--- a/src/radishwind/sidecar/metrics.py
+++ b/src/radishwind/sidecar/metrics.py
@@ -13,8 +13,8 @@
 from radishwind.http.types import Response
 from radishwind.node.membership_tasks import MembershipTasks
 from radishwind.recency import ProofRenewer
-from radishwind.routes.emptied import EmptiedInForce
-from radishwind.routes.in_force import RoutesInForce
+from radishwind.routes.active_routes import ActiveRoutes
+from radishwind.routes.evacuation import EvacuationState
 from radishwind.sidecar.link_side import LinkSide
 from radishwind.sidecar.peer_side import PeerSide
 from radishwind.sidecar.quotas import QuotaSharing
@@ -37,8 +37,8 @@
     attempts: AttemptCounts
     target: SidecarTarget
     membership: MembershipTasks
-    routes: RoutesInForce
-    emptied: EmptiedInForce
+    routes: ActiveRoutes
+    evacuation: EvacuationState
     store: BudgetedStore
     peers: PeerSide
     quotas: QuotaSharing
@@ -140,7 +140,7 @@
     metrics.gauge(
         "radishwind_domains_emptied",
         "Failure domains that get nothing new, by name.",
-        lambda: {f'domain="{n}"': 1 for n in sorted(counted.emptied.names)},
+        lambda: {f'domain="{n}"': 1 for n in sorted(counted.evacuation.names)},
     )
     metrics.counter(
         "radishwind_datagrams_total",
--- a/src/radishwind/sidecar/peer_side.py
+++ b/src/radishwind/sidecar/peer_side.py
@@ -29,7 +29,7 @@
 from radishwind.peers.peer_traffic import PeerTraffic
 from radishwind.platform import read_routes
 from radishwind.platform.routes import KEY as ROUTES_KEY
-from radishwind.routes.in_force import RoutesInForce
+from radishwind.routes.active_routes import ActiveRoutes
 from radishwind.routes.model import RouteConfig
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.account_policy import AccountPolicy
@@ -88,7 +88,7 @@
         rng: random.Random,
         store: Store,
         membership: MembershipTasks,
-        routes: RoutesInForce,
+        routes: ActiveRoutes,
         target: TargetPipeline,
         record_request_from: Callable[[str], None],
         link_admission: LinkAdmission,
@@ -138,7 +138,7 @@
             link_admission=link_admission,
         )
         membership.listen_on(self.listener)
-        routes.listen(self._adopted)
+        routes.subscribe(self._adopted)
 
     def listed(self, entry: StoreEntry) -> None:
         """Takes an entry that was listed with the contacts."""
--- a/src/radishwind/sidecar/quotas.py
+++ b/src/radishwind/sidecar/quotas.py
@@ -18,7 +18,7 @@
 from radishwind.quotas import LenderMap
 from radishwind.quotas import QuotaBounds
 from radishwind.quotas import QuotaLimit
-from radishwind.routes.in_force import RoutesInForce
+from radishwind.routes.active_routes import ActiveRoutes
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.quota_channel import QuotaChannel
 
@@ -44,7 +44,7 @@
         settings: PlacedSettings,
         clock: Clock,
         rng: random.Random,
-        routes: RoutesInForce,
+        routes: ActiveRoutes,
         membership: MembershipTasks,
         socket: PeerSocket,
     ) -> None:
@@ -92,7 +92,7 @@
             lambda: self._limits.any,
         )
         membership.gossip.table.add_member_listener(self._changed)
-        routes.listen(lambda cfg: self._woken.set())
+        routes.subscribe(lambda cfg: self._woken.set())
 
     async def run(self) -> None:
         """Asks and lends until cancelled."""
@@ -154,7 +154,7 @@
 class _Limits:
     """The limits of the accounts in force, worked out once."""
 
-    def __init__(self, routes: RoutesInForce, bounds: QuotaBounds) -> None:
+    def __init__(self, routes: ActiveRoutes, bounds: QuotaBounds) -> None:
         self._routes = routes
         self._bounds = bounds
         self._book: AccountIndex | None = None
--- a/src/radishwind/sidecar/recency.py
+++ b/src/radishwind/sidecar/recency.py
@@ -11,8 +11,8 @@
 from radishwind.peers.peer_socket import PeerSocket
 from radishwind.recency import ProofRenewer
 from radishwind.recency import ProofSchedule
-from radishwind.routes.feed import RouteFeed
-from radishwind.routes.in_force import RoutesInForce
+from radishwind.routes.active_routes import ActiveRoutes
+from radishwind.routes.route_feed import RouteFeed
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.options import start_spread_s
 
@@ -32,7 +32,7 @@
         clock: Clock,
         rng: random.Random,
         directory: Directory,
-        routes: RoutesInForce,
+        routes: ActiveRoutes,
         socket: PeerSocket,
     ) -> None:
         """Wires the proof.
@@ -66,5 +66,5 @@
         """Starts the task, which asks the store by `feed`."""
         if self.keeper is None:
             return
-        self.keeper.connect(feed.confirm, feed.hear)
+        self.keeper.connect(feed.confirm, feed.note_version)
         tasks.start_soon(self.keeper.run)
--- a/src/radishwind/sidecar/target_side.py
+++ b/src/radishwind/sidecar/target_side.py
@@ -17,7 +17,7 @@
 from radishwind.membership.rumor_bus import RumorBus
 from radishwind.probing.health import HealthEstimator
 from radishwind.quarantine.quarantine import Quarantine
-from radishwind.routes.emptied import EmptiedDomains
+from radishwind.routes.evacuation import EvacuatedDomains
 from radishwind.routes.model import RouteConfig
 from radishwind.routes.model import ServiceInfo
 from radishwind.settings.placed import PlacedSettings
@@ -173,7 +173,7 @@
         self._follow_service()
         self._resize()
 
-    def follow_emptied(self, domains: EmptiedDomains) -> None:
+    def follow_emptied(self, domains: EvacuatedDomains) -> None:
         """Follows which failure domains are emptied.
 
         What waits goes elsewhere at once, while it still has time. A server may
--- a/src/radishwind/sidecar/tests/test_forged.py
+++ b/src/radishwind/sidecar/tests/test_forged.py
@@ -36,11 +36,11 @@
 from radishwind.peers.peer_socket import Channel
 from radishwind.peers.signing import AUTH_FIELD
 from radishwind.routes import messages as routes
-from radishwind.routes import Part
 from radishwind.routes import Route
 from radishwind.routes import RouteConfig
-from radishwind.routes.emptied import EmptiedDomains
-from radishwind.routes.feed import CONTROL_NAME as ROUTES
+from radishwind.routes import WeightedService
+from radishwind.routes.evacuation import EvacuatedDomains
+from radishwind.routes.route_feed import CONTROL_NAME as ROUTES
 from radishwind.routing.chooser import LoadReport
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.app import SidecarNode
@@ -53,9 +53,20 @@
 HERE = Address("10.0.0.1", 7600)
 PEER = Address("10.0.0.2", 7600)
 ACCOUNT = "ward-7"
-KEYED = Route("keyed", "h", "/keyed/", True, (Part("s"),), 1.0, 0.5, 1, 2)
+KEYED = Route(
+    "keyed", "h", "/keyed/", True, (WeightedService("s"),), 1.0, 0.5, 1, 2
+)
 PUBLIC = Route(
-    "public", "h", "/public/", True, (Part("s"),), 1.0, 0.5, 1, 2, public=True
+    "public",
+    "h",
+    "/public/",
+    True,
+    (WeightedService("s"),),
+    1.0,
+    0.5,
+    1,
+    2,
+    public=True,
 )
 RAW = b'{"version":9,"routes":[],"tenants":[{"name":"x"}]}'
 
@@ -230,36 +241,38 @@
     push = Push("z-9", 0, (MemberRecord("z-9", "s", "b", "10.6.6.6:1", 99),))
 
 
-class Offer:
+class ForgedRoutes:
     """A version that no operator made."""
 
     async def send(self, sender):
-        offer = routes.Offer(routes.pack(RAW))
+        offer = routes.RouteUpdate(routes.compress(RAW))
         await sender.control(ROUTES, routes.encode(offer))
 
     def has_effect(self, here):
         return here.node._routes.version == 9
 
 
-class EmptiedOffer:
+class ForgedEvacuation:
     async def send(self, sender):
-        told = EmptiedDomains(9, frozenset({"a"}))
-        await sender.control(ROUTES, routes.encode(routes.Offer(b"", told)))
+        told = EvacuatedDomains(9, frozenset({"a"}))
+        await sender.control(
+            ROUTES, routes.encode(routes.RouteUpdate(b"", told))
+        )
 
     def has_effect(self, here):
-        return here.node._emptied.names == {"a"}
+        return here.node._evacuation.names == {"a"}
 
 
-class EmptiedRumor:
+class ForgedEvacuationRumor:
     async def send(self, sender):
-        value = routes.encode_rumor(EmptiedDomains(9, frozenset({"a"})), 400)
+        value = routes.encode_rumor(EvacuatedDomains(9, frozenset({"a"})), 400)
         rumor = Rumor("emptied", "domains", 9, value.decode(), 60_000)
         push = Push("b-1", 0, (), (rumor,))
         data = encode_envelope(Envelope(0, False, push))
         sender.here.datagram(sender.datagram(Channel.GOSSIP, data))
 
     def has_effect(self, here):
-        return here.node._emptied.names == {"a"}
+        return here.node._evacuation.names == {"a"}
 
 
 class Leaving:
@@ -299,9 +312,9 @@
     Fact(),
     FactByHttp(),
     Joined(),
-    Offer(),
-    EmptiedOffer(),
-    EmptiedRumor(),
+    ForgedRoutes(),
+    ForgedEvacuation(),
+    ForgedEvacuationRumor(),
     Leaving(),
     LeavingRumor(),
     Recency(),
@@ -337,7 +350,10 @@
     await message.send(Sender(here, secret))
 
     assert not message.has_effect(here)
-    if not isinstance(message, Offer | EmptiedOffer) or secret is not None:
+    if (
+        not isinstance(message, ForgedRoutes | ForgedEvacuation)
+        or secret is not None
+    ):
         assert here.refused == 1
 
 
@@ -440,8 +456,8 @@
 
 
 async def test_configuration_is_given_to_nobody_who_does_not_sign(here):
-    ask = routes.encode(routes.Ask(0))
+    ask = routes.encode(routes.UpdateRequest(0))
 
     answer = await here.request(CONTROL_PREFIX + ROUTES, ask, ())
 
-    assert routes.decode(answer.body) == routes.Nothing()
+    assert routes.decode(answer.body) == routes.NoUpdate()
--- a/src/radishwind/sidecar/tests/test_link_side.py
+++ b/src/radishwind/sidecar/tests/test_link_side.py
@@ -6,9 +6,9 @@
 from radishwind.core import ManualClock
 from radishwind.http.types import Address
 from radishwind.membership.directory import Member
-from radishwind.routes.model import Part
 from radishwind.routes.model import Route
 from radishwind.routes.model import RouteConfig
+from radishwind.routes.model import WeightedService
 from radishwind.routing.cost_weights import CROSS_DOMAIN_S
 from radishwind.routing.path_costs import FixedPathCosts
 from radishwind.routing.route_sizes import DEFAULT_LARGE_BYTES
@@ -19,10 +19,12 @@
 
 
 def route(name, **fields):
-    return Route(name, "h", "/", True, (Part("s"),), 2.0, 0.8, 0, 1, **fields)
+    return Route(
+        name, "h", "/", True, (WeightedService("s"),), 2.0, 0.8, 0, 1, **fields
+    )
 
 
-CONFIG = RouteConfig(1, (route("l", large_answers=True), route("s")), {})
+CONFIG = RouteConfig(1, (route("l", has_large_responses=True), route("s")), {})
 
 
 @pytest.fixture
--- a/src/radishwind/sidecar/tests/test_quotas.py
+++ b/src/radishwind/sidecar/tests/test_quotas.py
@@ -20,7 +20,7 @@
 from radishwind.quotas.messages import encode
 from radishwind.quotas.messages import LeaseRequest
 from radishwind.quotas.messages import LeaseRequestItem
-from radishwind.routes.in_force import RoutesInForce
+from radishwind.routes.active_routes import ActiveRoutes
 from radishwind.routes.model import RouteConfig
 from radishwind.sidecar.quotas import QuotaSharing
 
@@ -59,7 +59,7 @@
         for fact in facts:
             self.gossip.table.merge_member(fact)
         self.socket = PeerSocket()
-        self.routes = RoutesInForce(clock)
+        self.routes = ActiveRoutes(clock)
         self.unreachable = []
         self.alone = False
         settings = types.SimpleNamespace(node=name, **vars(BOUNDS))
--- a/src/radishwind/sidecar/tests/test_target_side.py
+++ b/src/radishwind/sidecar/tests/test_target_side.py
@@ -13,7 +13,7 @@
 from radishwind.membership.rumor_bus import NullRumorBus
 from radishwind.outcomes.model import Done
 from radishwind.platform import PlatformDialect
-from radishwind.routes.emptied import EmptiedDomains
+from radishwind.routes.evacuation import EvacuatedDomains
 from radishwind.routes.model import RouteConfig
 from radishwind.routes.model import ServiceInfo
 from radishwind.settings.placed import PlacedSettings
@@ -97,7 +97,7 @@
         )
 
     def empty(self, *names, revision=1):
-        told = EmptiedDomains(revision, frozenset(names))
+        told = EvacuatedDomains(revision, frozenset(names))
         self.target.follow_emptied(told)
 
     async def run(self, rank=0):
--- a/src/radishwind/sidecar/tests/test_unchecked.py
+++ b/src/radishwind/sidecar/tests/test_unchecked.py
@@ -8,10 +8,10 @@
 from radishwind.core import ManualClock
 from radishwind.peers.keyring import Keyring
 from radishwind.platform.errors import PlatformMalformedError
-from radishwind.routes import Part
+from radishwind.routes import ActiveRoutes
 from radishwind.routes import Route
 from radishwind.routes import RouteConfig
-from radishwind.routes import RoutesInForce
+from radishwind.routes import WeightedService
 from radishwind.sidecar import unchecked
 from radishwind.sidecar.unchecked import UncheckedRoutes
 from radishwind.store.base import StoreEntry
@@ -19,7 +19,7 @@
 
 pytestmark = pytest.mark.anyio
 
-ROUTE = Route("r", "h", "/", True, (Part("s"),), 1.0, 0.5, 1, 2)
+ROUTE = Route("r", "h", "/", True, (WeightedService("s"),), 1.0, 0.5, 1, 2)
 ACCOUNTS = (Account("ward-7", (b"d",)),)
 WITHIN_S = 10.0
 
@@ -46,7 +46,7 @@
     def __init__(self):
         clock = ManualClock()
         self.keyring = Keyring(clock)
-        self.routes = RoutesInForce(clock)
+        self.routes = ActiveRoutes(clock)
         self.value = b"7"
         self.away = False
         self.behind = False
--- a/src/radishwind/sidecar/unchecked.py
+++ b/src/radishwind/sidecar/unchecked.py
@@ -12,9 +12,9 @@
 from radishwind.core.clock import Clock
 from radishwind.core.errors import RadishwindError
 from radishwind.peers.keyring import Keyring
-from radishwind.routes.in_force import RoutesInForce
+from radishwind.routes.active_routes import ActiveRoutes
 from radishwind.routes.model import RouteConfig
-from radishwind.routes.store_side import SOURCE
+from radishwind.routes.store_watcher import STORE_SOURCE
 from radishwind.store.base import Store
 from radishwind.store.base import StoreError
 from radishwind.telemetry.logs import PartLogger
@@ -30,7 +30,7 @@
         self,
         *,
         keyring: Keyring,
-        routes: RoutesInForce,
+        routes: ActiveRoutes,
         store: Store,
         key: str,
         decode: Callable[[bytes], RouteConfig],
@@ -58,7 +58,7 @@
         self._forged = forged
         self._unchecked = False
         self._due = anyio.Event()
-        routes.listen(self._adopted)
+        routes.subscribe(self._adopted)
         keyring.subscribe(self._wake)
 
     async def run(self) -> None:
@@ -72,7 +72,7 @@
             self._due = anyio.Event()
 
     def _adopted(self, cfg: RouteConfig) -> None:
-        if self._routes.source == SOURCE:
+        if self._routes.source == STORE_SOURCE:
             self._settle()
         elif not self._keyring.has_secret:
             self._unchecked = True
--- a/tests/proofs/test_configuration.py
+++ b/tests/proofs/test_configuration.py
@@ -15,16 +15,16 @@
 from radishwind.config.errors import ChangeConflictError
 from radishwind.config.errors import ChangeUnsettledError
 from radishwind.config.parts import Snapshot
-from radishwind.config.spread import Catch
-from radishwind.config.spread import decode_offer
-from radishwind.config.spread import decode_pull
-from radishwind.config.spread import Offers
-from radishwind.config.spread import Pull
+from radishwind.config.pull import decode_pull
+from radishwind.config.pull import decode_reply
+from radishwind.config.pull import Pull
+from radishwind.config.pull import PullResponder
+from radishwind.config.pull import SnapshotBuilder
 from radishwind.http import ExchangeBrokenError
 from radishwind.standins.store import StoreFaults
 from radishwind.standins.store_state import StoreState
 from radishwind.store import StoreError
-from tests.support.configs import Desk
+from tests.support.configs import ConfigTestbed
 from tests.support.configs import inventory
 from tests.support.configs import STORE
 
@@ -47,9 +47,12 @@
 
     def __init__(self, adopter: type[Adopter]) -> None:
         self.rng = random.Random(7)
-        self.desk, other = Desk(settle_s=0.0), Desk(seed=2)
-        other.sender.handlers[STORE] = self.desk._handle
-        self.operators = {"ada": self.desk, "ben": other}
+        self.testbed, other = (
+            ConfigTestbed(decision_wait_s=0.0),
+            ConfigTestbed(seed=2),
+        )
+        other.sender.handlers[STORE] = self.testbed._handle
+        self.operators = {"ada": self.testbed, "ben": other}
         self._adopter = adopter
         self.nodes = [adopter() for _ in range(NODES)]
         self.frozen: set[int] = set()
@@ -64,12 +67,12 @@
         return any(text in failure for failure in self.failures)
 
     async def run(self) -> None:
-        await self.desk.apply(inventory())
+        await self.testbed.apply(inventory())
         for number in range(ROUNDS):
             self.note("both operators", "change revision " + self._newest())
             await self._race(number)
             if self.fails("store is down"):
-                self.desk.standin.set_faults(StoreFaults(down="refuse"))
+                self.testbed.standin.set_faults(StoreFaults(down="refuse"))
             if self.fails("nodes freeze"):
                 third = range(NODES // 3)
                 self.frozen = set(third) if number % 2 else set()
@@ -80,7 +83,7 @@
                 start = number * 4 % NODES
                 for index in range(start, start + 4):
                     self.nodes[index] = self._adopter()
-            self.desk.standin.set_faults(StoreFaults())
+            self.testbed.standin.set_faults(StoreFaults())
         self.frozen.clear()
         for _ in range(4):
             for number in range(NODES):
@@ -95,26 +98,26 @@
 
     async def _race(self, number: int) -> None:
         if self.fails("write is lost"):
-            self.desk.on_swap = self._lose_answer
+            self.testbed.on_swap = self._lose_answer
         in_turn = sorted(self.operators, reverse=bool(number % 2))
         async with anyio.create_task_group() as tasks:
             for operator in in_turn:
                 tasks.start_soon(self._change, operator, number)
-        root, _ = await self.desk.repository.newest()
+        root, _ = await self.testbed.repository.read_newest()
         newest = (root.record.revision, root.record.change_id)
         if newest not in self.accepted:
             self.accepted.append(newest)
 
     async def _lose_answer(self, request):
-        await self.desk.standin.handle(request)
+        await self.testbed.standin.handle(request)
         self.note("store", "swaps or refuses, and its answer is lost")
         raise ExchangeBrokenError("answer lost")
 
     async def _change(self, operator: str, number: int) -> None:
         slots = 10 + 2 * number + (operator == "ben")
-        desk = self.operators[operator]
+        testbed = self.operators[operator]
         try:
-            record = await desk.apply(inventory(slots=slots), operator)
+            record = await testbed.apply(inventory(slots=slots), operator)
         except ChangeConflictError:
             told = "refused: the other came first"
         except ChangeUnsettledError:
@@ -142,19 +145,19 @@
         """Returns what the store or a peer holds beyond `held`."""
         if self.rng.random() < 0.3:
             try:
-                root, _ = await self.desk.repository.newest()
+                root, _ = await self.testbed.repository.read_newest()
                 if root.record.revision <= held.revision:
                     return None
-                return await self.desk.repository.load(root, held)
+                return await self.testbed.repository.load(root, held)
             except StoreError:
                 return None
-        offers = Offers(self.rng.choice(self.nodes))
+        offers = PullResponder(self.rng.choice(self.nodes))
         pull = Pull(held.revision, held.change_id)
         pull = decode_pull(msgspec.json.encode(pull))
-        offer = decode_offer(msgspec.json.encode(offers.offer(pull)))
+        offer = decode_reply(msgspec.json.encode(offers.respond(pull)))
         if offer.record is None or offer.revision <= held.revision:
             return None
-        return Catch(held, offer).whole()
+        return SnapshotBuilder(held, offer).build()
 
     def _deliver_late(self) -> None:
         self.rng.shuffle(self.late)
--- a/tests/support/configs.py
+++ b/tests/support/configs.py
@@ -8,8 +8,8 @@
 import anyio.abc
 import anyio.lowlevel
 
-from radishwind.config.accept import Acceptor
-from radishwind.config.accept import Change
+from radishwind.config.change_acceptor import Change
+from radishwind.config.change_acceptor import ChangeAcceptor
 from radishwind.config.model import Configuration
 from radishwind.config.model import FailureDomain
 from radishwind.config.model import Inventory
@@ -68,10 +68,10 @@
     )
 
 
-class Desk:
+class ConfigTestbed:
     """A store's stand-in, and an operator's program beside it."""
 
-    def __init__(self, seed: int = 1, settle_s: float = 0.0) -> None:
+    def __init__(self, seed: int = 1, decision_wait_s: float = 0.0) -> None:
         self.clock = ManualClock()
         self.standin = StoreStandin(self.clock)
         self.sender = DirectSender()
@@ -79,8 +79,8 @@
         self.on_swap: Handler = self.standin.handle
         self.store = EtcdStore(self.sender, STORE, timeout_s=0.2)
         self.repository = ConfigRepository(self.store)
-        self.acceptor = Acceptor(
-            self.store, self.clock, random.Random(seed), settle_s
+        self.acceptor = ChangeAcceptor(
+            self.store, self.clock, random.Random(seed), decision_wait_s
         )
 
     async def _handle(self, request: Request) -> Response:
@@ -103,7 +103,7 @@
         )
 
     async def loaded(self) -> Snapshot:
-        root, _ = await self.repository.newest()
+        root, _ = await self.repository.read_newest()
         assert root is not None
         return await self.repository.load(root, Snapshot())
 
@@ -136,8 +136,8 @@
 class ConfigFleet:
     """The configuration tasks of many nodes in this process."""
 
-    def __init__(self, desk: Desk, periods: ConfigPeriods) -> None:
-        self.desk = desk
+    def __init__(self, testbed: ConfigTestbed, periods: ConfigPeriods) -> None:
+        self.testbed = testbed
         self.nodes: dict[str, ConfigTasks] = {}
         self.reports: list[str] = []
         self._periods = periods
@@ -153,7 +153,7 @@
         self._directory.known = (*known, member)
         node = self._node(name, domain, address, number)
         self.nodes[name] = node
-        self.desk.sender.handlers[address] = node.handle_control
+        self.testbed.sender.handlers[address] = node.handle_control
         scope = self._scopes[name] = anyio.CancelScope()
 
         async def run() -> None:
@@ -172,7 +172,7 @@
     def totals(self) -> tuple[int, int]:
         """Returns the questions asked and bytes received by all nodes."""
         exchanges = [node.exchange for node in self.nodes.values()]
-        asked = sum(e.asked for e in exchanges)
+        asked = sum(e.pulls_sent for e in exchanges)
         return asked, sum(e.bytes_received for e in exchanges)
 
     async def until(self, condition: Callable[[], bool]) -> None:
@@ -197,9 +197,9 @@
             ),
             clock=SystemClock(),
             rng=random.Random(seed),
-            store=EtcdStore(self.desk.sender, STORE, timeout_s=0.2),
+            store=EtcdStore(self.testbed.sender, STORE, timeout_s=0.2),
             directory=self._directory,
-            peers=HttpPeerClient(self.desk.sender),
+            peers=HttpPeerClient(self.testbed.sender),
             rumor_bus=NullRumorBus(),
             adopted=lambda index: None,
             report=self.reports.append,
--- a/tests/support/recency_net.py
+++ b/tests/support/recency_net.py
@@ -15,11 +15,11 @@
 from radishwind.membership.directory import Member
 from radishwind.recency import ProofRenewer
 from radishwind.recency import ProofSchedule
+from radishwind.routes import ActiveRoutes
 from radishwind.routes import RouteConfig
-from radishwind.routes import RoutesInForce
-from radishwind.routes.emptied import EmptiedDomains
-from radishwind.routes.store_side import OperatorKeys
-from radishwind.routes.store_side import StoreSide
+from radishwind.routes.evacuation import EvacuatedDomains
+from radishwind.routes.store_watcher import OperatorKeys
+from radishwind.routes.store_watcher import StoreWatcher
 from radishwind.store.base import StoreAnswerLostError
 from radishwind.store.base import StoreEntry
 from radishwind.store.base import StoreUnavailableError
@@ -112,7 +112,7 @@
         self.network, self.name = network, name
         self.address = Address(name, 1)
         self.paused_until = 0.0
-        self.routes = RoutesInForce(ManualClock())
+        self.routes = ActiveRoutes(ManualClock())
         self.directory = MutableDirectory(())
         self.routes.adopt(read_config(version, network.accounts), b"", "test")
         self.newer_versions = []
@@ -129,15 +129,15 @@
             routes=self.routes,
             first_wait_s=0.15,
         )
-        self.side = StoreSide(
+        self.side = StoreWatcher(
             keys=KEYS,
             store=network.store.for_node(name),
             clock=network.clock,
             rng=rng,
             is_watcher=lambda: False,
-            take_config=self._adopt,
-            take_emptied=lambda told, source: None,
-            emptied=EmptiedDomains,
+            on_config=self._adopt,
+            on_evacuation=lambda told, source: None,
+            evacuated=EvacuatedDomains,
         )
         self.renewer.connect(self.side.confirm, self._on_newer_version)
 
