--- a/src/radishwind/leases/__init__.py
+++ b/src/radishwind/leases/__init__.py
@@ -1,4 +1,4 @@
-"""Leases of the store: held by one, renewed in time, fenced by an epoch."""
+"""Leases on keys of the store, renewed in time and fenced by an epoch."""
 
 from radishwind.leases.lease_holder import LeaseHolder
 from radishwind.leases.lease_holder import LeaseLostError
--- a/src/radishwind/leases/shared_lease.py
+++ b/src/radishwind/leases/shared_lease.py
@@ -1,8 +1,9 @@
-"""One lease of the store shared by the many keys written in a while.
+"""Store leases that are shared by all keys written within a time bucket.
 
-A grant per key would double the store's writes; a lease that is renewed would
-keep every key for ever. So a new lease is granted per bucket of time, lives
-for the keys' time to live and the bucket's length, and is never renewed.
+A lease per key would double the writes to the store, and a lease that is
+renewed would never let a key expire. Therefore a new lease is granted for each
+time bucket and never renewed. It lasts for the keys' time to live plus the
+length of the bucket.
 """
 
 import dataclasses
@@ -16,19 +17,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Bucket:
-    """A lease, and until when (monotonic s) keys are put on it."""
+    """A lease, and the time until which keys are attached to it.
+
+    Attributes:
+      lease_id: ID of the lease in the store.
+      until: end of the bucket (monotonic s).
+    """
 
     lease_id: int
     until: float
 
 
 class SharedLease:
-    """Grants a lease per time to live and bucket of time.
+    """Grants one lease for each time to live and time bucket.
 
     Args:
       store: the store.
-      clock: its monotonic time ends the buckets.
-      bucket_s: how long keys are put on the same lease (s).
+      clock: its monotonic time delimits the buckets.
+      bucket_s: length of a bucket (s).
     """
 
     def __init__(self, store: Store, clock: Clock, bucket_s: float) -> None:
@@ -36,20 +42,20 @@
         self._clock = clock
         self._bucket_s = bucket_s
         self._buckets: dict[int, _Bucket] = {}
-        self._granting = anyio.Lock()
+        self._grant_lock = anyio.Lock()
 
     def has_valid_lease(self, ttl_s: int) -> bool:
-        """Returns whether `lease_id` needs no call of the store now."""
+        """Returns whether `get_lease_id` needs no call to the store now."""
         bucket = self._buckets.get(ttl_s)
         return bucket is not None and self._clock.monotonic() < bucket.until
 
     async def get_lease_id(self, ttl_s: int) -> int:
-        """Returns a lease that lasts at least `ttl_s` (s) from now.
+        """Returns the ID of a lease that lasts at least `ttl_s` (s) from now.
 
         Raises:
-          StoreError: a new one was needed and the store failed.
+          StoreError: a new lease was needed and the store failed.
         """
-        async with self._granting:
+        async with self._grant_lock:
             if not self.has_valid_lease(ttl_s):
                 until = self._clock.monotonic() + self._bucket_s
                 lease_id = await self._store.grant(
@@ -59,5 +65,5 @@
             return self._buckets[ttl_s].lease_id
 
     def clear(self) -> None:
-        """Drops the leases known; for when the store may have lost them."""
+        """Drops all known leases, since the store may have lost them."""
         self._buckets.clear()
