--- a/src/radishwind/peers/fleet_security.py
+++ b/src/radishwind/peers/fleet_security.py
@@ -1,9 +1,9 @@
-"""Signs and checks messages between nodes by the secret of the fleet.
+"""Signs and verifies messages between nodes with the fleet secret.
 
-A message names the start of the process that sent it and a number that rises
-with each of its messages, so that a message counts once at each receiver. A
-request also names the process that it is meant for: an attempt that was meant
-for an earlier one at the same address doesn't run. No clock is involved.
+A message carries the start ID of the sending process and an increasing sequence
+number, so that each receiver accepts it at most once. A request also carries
+the start ID of the process that it is addressed to: an attempt addressed to an
+earlier process at the same address is not run. No clock is needed.
 """
 
 import base64
@@ -28,52 +28,55 @@
 from radishwind.peers.signing import RequestVerifier
 from radishwind.telemetry.logs import PartLogger
 
-#: Tells with a refusal which process refused.
+#: Header field of a refusal with the start ID of the process that refused.
 START_FIELD = "Radishwind-Node-Start"
 
 START_ID_BYTES = 4
-_NUMBER_BYTES = 5
-_HEAD_BYTES = START_ID_BYTES + _NUMBER_BYTES
+_SEQUENCE_BYTES = 5
+_HEAD_BYTES = START_ID_BYTES + _SEQUENCE_BYTES
 
-#: Bytes of the receiver's start that a request names.
-_MEANT_BYTES = 3
+#: Length of the prefix of the receiver's start ID in a request (bytes).
+_RECEIVER_ID_BYTES = 3
 
-#: A request's tag (bytes).
+#: Length of the authentication tag of a request (bytes).
 REQUEST_TAG_BYTES = 12
 
-#: A datagram's tag (bytes). Nobody can check a guess but by sending it, and
-#: 2**63 datagrams in the mean are more than a link carries.
+#: Length of the authentication tag of a datagram (bytes). A guessed tag can be
+#: tested only by sending it, and a link cannot carry the 2**63 datagrams that
+#: are needed on average.
 DATAGRAM_TAG_BYTES = 8
 
-#: Numbers below the highest one received that are still told apart. Requests
-#: to all nodes share their numbers and may wait half a second for a
-#: connection; of datagrams one sending to many has one number, and they are
-#: out of order by what a link's way differs.
+#: Sizes of the replay windows, in sequence numbers. Requests to all nodes share
+#: one sequence, and a request may wait half a second for its connection. A
+#: datagram that is sent to many peers has one number, and datagrams are
+#: reordered only by differing delays in the network.
 _REQUEST_WINDOW = 2_048
 _DATAGRAM_WINDOW = 256
 
-#: Set in the first byte of a signed datagram, beside its channel.
+#: Flag of signed datagrams in the first byte, which also holds the channel.
 SIGNED = 0x80
 
-#: Start IDs of other nodes remembered.
-_MAX_STARTS = 4_096
+#: Maximum number of other nodes whose start IDs are stored.
+_MAX_PEERS = 4_096
 
-_REQUEST = b"radishwind-req"
-_DATAGRAM = b"radishwind-dgram"
+_REQUEST_PERSON = b"radishwind-req"
+_DATAGRAM_PERSON = b"radishwind-dgram"
 
 _UNKNOWN_START = bytes(START_ID_BYTES)
 _FIELD_CHARS = 32
 
-#: Addresses are padded to this length (bytes), so that none continues what
-#: stands before it.
+#: Addresses are padded to this length (bytes) before hashing, so that the bytes
+#: of an address cannot be taken for those of the preceding field.
 _ADDRESS_BYTES = 64
 
 
 class StartIds:
-    """Which process is at the address of each other node, as last told.
+    """Start IDs: which process was last seen at the address of each node.
+
+    A start ID is chosen at random when a process starts.
 
     Attributes:
-      own: of this process.
+      own: start ID of this process.
     """
 
     def __init__(self, own: bytes) -> None:
@@ -81,26 +84,26 @@
         self._known: dict[Address, bytes] = {}
 
     def get(self, address: Address) -> bytes:
-        """Returns the start of the process at `address`; zeros if unknown."""
+        """Returns the start ID known for `address`; zeros if unknown."""
         return self._known.get(address, _UNKNOWN_START)
 
-    def update(self, address: Address, start: bytes) -> bool:
-        """Takes the start of the process there; returns whether it is new."""
-        if self._known.get(address) == start:
+    def update(self, address: Address, start_id: bytes) -> bool:
+        """Records the start ID at `address`; returns whether it changed."""
+        if self._known.get(address) == start_id:
             return False
-        if len(self._known) >= _MAX_STARTS and address not in self._known:
+        if len(self._known) >= _MAX_PEERS and address not in self._known:
             del self._known[next(iter(self._known))]
-        self._known[address] = start
+        self._known[address] = start_id
         return True
 
 
 class FleetSigner(RequestSigner):
-    """Signs requests for the process that is believed to be there."""
+    """Signs requests for the process last seen at the receiver's address."""
 
     def __init__(self, keyring: Keyring, start_ids: StartIds) -> None:
         self._keyring = keyring
         self._start_ids = start_ids
-        self._number = 0
+        self._sequence = 0
 
     def sign(
         self, to: Address, method: str, path: str, covered: bytes
@@ -108,40 +111,40 @@
         secret = self._keyring.signing_secret
         if secret is None:
             return None
-        self._number += 1
+        self._sequence += 1
         head = (
             self._start_ids.own
-            + self._number.to_bytes(_NUMBER_BYTES, "big")
-            + self._start_ids.get(to)[:_MEANT_BYTES]
+            + self._sequence.to_bytes(_SEQUENCE_BYTES, "big")
+            + self._start_ids.get(to)[:_RECEIVER_ID_BYTES]
         )
         tag = _request_tag(secret, to, method, path, head, covered)
         return base64.urlsafe_b64encode(head + tag).decode()
 
-    def should_sign_again(self, to: Address, answer: Response) -> bool:
-        told = header(answer.headers, START_FIELD.lower())
-        if told is None or self._keyring.signing_secret is None:
+    def should_sign_again(self, to: Address, response: Response) -> bool:
+        start_id_hex = header(response.headers, START_FIELD.lower())
+        if start_id_hex is None or self._keyring.signing_secret is None:
             return False
         try:
-            start = bytes.fromhex(told)
+            start_id = bytes.fromhex(start_id_hex)
         except ValueError:
             return False
-        return len(start) == START_ID_BYTES and self._start_ids.update(
-            to, start
+        return len(start_id) == START_ID_BYTES and self._start_ids.update(
+            to, start_id
         )
 
 
 class FleetVerifier(RequestVerifier):
-    """Checks requests to this process, once each."""
+    """Verifies requests to this process and accepts each one at most once."""
 
     def __init__(
         self, keyring: Keyring, start_ids: StartIds, own: Address
     ) -> None:
-        """Makes a verifier.
+        """Creates a verifier.
 
         Args:
-          keyring: the secrets that count.
-          start_ids: knows the start of this process.
-          own: where other nodes reach this one.
+          keyring: the accepted secrets.
+          start_ids: holds the start ID of this process.
+          own: address at which other nodes reach this one.
         """
         self._keyring = keyring
         self._start_ids = start_ids
@@ -163,19 +166,19 @@
         if field is None:
             raise PeerRefusedError("expected a signature, got none")
         try:
-            head = self._checked(field, secrets, method, path, covered)
+            head = self._verified_head(field, secrets, method, path, covered)
         except PeerRefusedError:
             if not self._keyring.requires_signatures:
                 return
-            # Or signed by a secret that came after the one known here.
+            # The signature may be made with a secret newer than the known ones.
             self._keyring.suspect_outdated()
             raise
         if (
             at_most_once
-            and head[_HEAD_BYTES:] != self._start_ids.own[:_MEANT_BYTES]
+            and head[_HEAD_BYTES:] != self._start_ids.own[:_RECEIVER_ID_BYTES]
         ):
             raise PeerStaleError("expected an attempt for this process")
-        if not self._replays.add(head[:START_ID_BYTES], _number(head)):
+        if not self._replays.add(head[:START_ID_BYTES], _sequence(head)):
             raise PeerReplayedError("expected a new request, got a known one")
 
     def refusal_headers(self) -> Headers:
@@ -183,7 +186,7 @@
             return ()
         return ((START_FIELD, self._start_ids.own.hex()),)
 
-    def _checked(
+    def _verified_head(
         self,
         field: str,
         secrets: tuple[bytes, ...],
@@ -191,43 +194,45 @@
         path: str,
         covered: bytes,
     ) -> bytes:
-        """Returns what precedes the tag in `field`.
+        """Verifies `field`; returns the bytes that precede its tag.
 
         Raises:
-          PeerRefusedError: the tag is not by one of `secrets`.
+          PeerRefusedError: the tag was made with none of `secrets`.
         """
-        signed = _unpacked(field)
+        signed = _decode_field(field)
         head, tag = signed[:-REQUEST_TAG_BYTES], signed[-REQUEST_TAG_BYTES:]
         for secret in secrets:
-            good = _request_tag(secret, self._own, method, path, head, covered)
-            if hmac.compare_digest(tag, good):
+            expected = _request_tag(
+                secret, self._own, method, path, head, covered
+            )
+            if hmac.compare_digest(tag, expected):
                 return head
         raise PeerRefusedError("expected a signature by the fleet's secret")
 
 
 class FleetDatagramAuthenticator(DatagramAuthenticator):
-    """Signs datagrams, and lets through those that are signed.
+    """Signs and verifies datagrams with the fleet secret.
 
     Attributes:
-      refused: datagrams refused, by reason.
+      refused_by_reason: number of refused datagrams by reason.
     """
 
     def __init__(
         self, keyring: Keyring, start_ids: StartIds, own: Address, clock: Clock
     ) -> None:
-        """Makes a guard.
+        """Creates an authenticator.
 
         Args:
-          keyring: the secrets that count.
-          start_ids: takes the starts of those who send.
-          own: where other nodes reach this one.
-          clock: holds back lines that come again.
+          keyring: the secret to sign with and the accepted secrets.
+          start_ids: records the start IDs of the senders.
+          own: address at which other nodes reach this one.
+          clock: limits the rate of log lines.
         """
         self._keyring = keyring
         self._start_ids = start_ids
-        self._own = _packed(own)
+        self._own = _encode_address(own)
         self._log = PartLogger("peers", clock)
-        self._number = 0
+        self._sequence = 0
         self._replays = ReplayGuard(_DATAGRAM_WINDOW)
         self.refused_by_reason = {"unsigned": 0, "forged": 0, "replayed": 0}
 
@@ -239,18 +244,18 @@
             for peer in peers:
                 yield datagram, peer
             return
-        self._number += 1
+        self._sequence += 1
         head = (
             bytes((datagram[0] | SIGNED,))
             + self._start_ids.own
-            + self._number.to_bytes(_NUMBER_BYTES, "big")
+            + self._sequence.to_bytes(_SEQUENCE_BYTES, "big")
         )
         data = datagram[1:]
-        shared = _datagram_hash(secret, head, data)
+        prefix_hash = _datagram_hash(secret, head, data)
         for peer in peers:
-            hashed = shared.copy()
-            hashed.update(_packed(peer))
-            yield head + hashed.digest() + data, peer
+            hasher = prefix_hash.copy()
+            hasher.update(_encode_address(peer))
+            yield head + hasher.digest() + data, peer
 
     def verify(self, datagram: bytes, sender: Address) -> bytes | None:
         if not datagram or not datagram[0] & SIGNED:
@@ -265,27 +270,27 @@
         if not secrets:
             return plain
         tag = datagram[1 + _HEAD_BYTES : data_at]
-        if not self._is_good(secrets, head, data, tag):
+        if not self._is_signed(secrets, head, data, tag):
             if not self._keyring.requires_signatures:
                 return plain
-            # As with a request.
+            # The signature may be made with a newer secret, see above.
             self._keyring.suspect_outdated()
             self._refuse("forged", sender)
             return None
-        start = head[1 : 1 + START_ID_BYTES]
-        if not self._replays.add(start, _number(head[1:])):
+        start_id = head[1 : 1 + START_ID_BYTES]
+        if not self._replays.add(start_id, _sequence(head[1:])):
             self._refuse("replayed", sender)
             return None
-        self._start_ids.update(sender, start)
+        self._start_ids.update(sender, start_id)
         return plain
 
-    def _is_good(
+    def _is_signed(
         self, secrets: tuple[bytes, ...], head: bytes, data: bytes, tag: bytes
     ) -> bool:
         for secret in secrets:
-            hashed = _datagram_hash(secret, head, data)
-            hashed.update(self._own)
-            if hmac.compare_digest(tag, hashed.digest()):
+            hasher = _datagram_hash(secret, head, data)
+            hasher.update(self._own)
+            if hmac.compare_digest(tag, hasher.digest()):
                 return True
         return False
 
@@ -298,26 +303,28 @@
         )
 
 
-def _number(head: bytes) -> int:
+def _sequence(head: bytes) -> int:
     return int.from_bytes(head[START_ID_BYTES:_HEAD_BYTES], "big")
 
 
-@functools.lru_cache(maxsize=_MAX_STARTS)
-def _packed(address: Address) -> bytes:
+@functools.lru_cache(maxsize=_MAX_PEERS)
+def _encode_address(address: Address) -> bytes:
     text = f"{address.host}:{address.port}".encode()
     return text.ljust(_ADDRESS_BYTES, b"\0")
 
 
 @functools.lru_cache(maxsize=8)
-def _keyed(secret: bytes, tag_bytes: int, person: bytes) -> hashlib.blake2b:
-    """Returns a hash to copy: taking the key in costs as much as a message."""
+def _keyed_hash(
+    secret: bytes, tag_bytes: int, person: bytes
+) -> hashlib.blake2b:
+    """Returns a keyed hash to copy; keying it costs as much as a message."""
     return hashlib.blake2b(key=secret, digest_size=tag_bytes, person=person)
 
 
 def _datagram_hash(secret: bytes, head: bytes, data: bytes) -> hashlib.blake2b:
-    hashed = _keyed(secret, DATAGRAM_TAG_BYTES, _DATAGRAM).copy()
-    hashed.update(head + data)
-    return hashed
+    hasher = _keyed_hash(secret, DATAGRAM_TAG_BYTES, _DATAGRAM_PERSON).copy()
+    hasher.update(head + data)
+    return hasher
 
 
 def _request_tag(
@@ -329,19 +336,19 @@
     covered: bytes,
 ) -> bytes:
     line = f"{method}\n{path}\n".encode("utf-8", "surrogateescape")
-    hashed = _keyed(secret, REQUEST_TAG_BYTES, _REQUEST).copy()
-    hashed.update(b"".join((line, _packed(to), head, covered)))
-    return hashed.digest()
+    hasher = _keyed_hash(secret, REQUEST_TAG_BYTES, _REQUEST_PERSON).copy()
+    hasher.update(b"".join((line, _encode_address(to), head, covered)))
+    return hasher.digest()
 
 
-def _unpacked(field: str) -> bytes:
-    """Returns the bytes in `AUTH_FIELD`.
+def _decode_field(field: str) -> bytes:
+    """Decodes the value of `AUTH_FIELD`.
 
     Raises:
-      PeerRefusedError: they cannot be read.
+      PeerRefusedError: it is malformed.
     """
     if len(field) != _FIELD_CHARS or not field.isascii():
-        raise PeerRefusedError("expected a signature that can be read")
+        raise PeerRefusedError("expected a signature of valid length")
     try:
         return base64.urlsafe_b64decode(field)
     except ValueError as exc:
--- a/src/radishwind/peers/keyring.py
+++ b/src/radishwind/peers/keyring.py
@@ -1,7 +1,8 @@
-"""The secret of the fleet as one node knows it, and what follows from it.
+"""Fleet secrets known to this node; decides what it signs and requires.
 
-A node signs as soon as it holds the secret and there are client accounts. It
-refuses what isn't signed only once the others had time to learn the secret.
+A node signs messages as soon as it knows the secret and there are client
+accounts. It refuses unsigned messages only after the other nodes have had time
+to read the secret.
 """
 
 from collections.abc import Callable
@@ -9,23 +10,26 @@
 from radishwind.core.clock import Clock
 from radishwind.telemetry.logs import PartLogger
 
-#: Where accounts come into force while nodes run, unsigned messages are taken
-#: for so long (s): the others adopt the same version and read the secret.
+#: If accounts come into force while nodes run, unsigned messages are accepted
+#: for this time (s), in which the other nodes adopt the same configuration
+#: version and read the secret.
 UNSIGNED_GRACE_S = 10.0
 
-#: A secret that was replaced is accepted for so long (s).
+#: A replaced secret is still accepted for this time (s).
 OLD_SECRET_VALID_S = 30.0
 
 
 class Keyring:
-    """The secrets that count.
+    """The current secret and, during a rotation, the previous one.
 
     Attributes:
       has_accounts: whether there are client accounts; if so, messages are
         signed.
-      revision: of the store's record of the newest secret; 0 for none.
-      may_be_outdated: whether others may know a newer secret.
-      is_signing_paused: whether nothing is signed, whatever else.
+      revision: store revision of the record of the newest secret; 0 if none is
+        known.
+      may_be_outdated: whether other nodes may know a newer secret.
+      is_signing_paused: whether nothing is signed, regardless of secret and
+        accounts.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -43,15 +47,16 @@
         self.is_signing_paused = False
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Calls `listener` when the secret is missing, outdated or updated."""
+        """Registers a listener for a missing, outdated or updated secret."""
         self._listeners.append(listener)
 
     def set_has_accounts(self, has_accounts: bool, *, with_grace: bool) -> None:
-        """Takes whether there are accounts.
+        """Sets whether there are client accounts.
 
         Args:
-          has_accounts: whether there are.
-          with_grace: whether other nodes may not know of them yet.
+          has_accounts: whether there are any.
+          with_grace: whether other nodes may not know of them yet, so that
+            unsigned messages are accepted for `UNSIGNED_GRACE_S`.
         """
         self._accounts_known = True
         if has_accounts == self.has_accounts:
@@ -69,7 +74,7 @@
             self._call_listeners()
 
     def update_secret(self, secret: bytes, revision: int) -> None:
-        """Takes the secret of the record at `revision`, if that is newer."""
+        """Sets the secret of the record at `revision`, if that is newer."""
         if revision <= self.revision:
             return
         self.revision = revision
@@ -86,7 +91,7 @@
         self._call_listeners()
 
     def suspect_outdated(self) -> None:
-        """Takes that somebody may know a newer secret."""
+        """Records that another node may know a newer secret."""
         self.may_be_outdated = True
         self._call_listeners()
 
@@ -101,15 +106,15 @@
 
     @property
     def lacks_secret(self) -> bool:
-        """Whether messages are to be signed and no secret is known."""
+        """Whether messages should be signed but no secret is known."""
         return self.has_accounts and self._newest is None
 
     @property
     def signing_secret(self) -> bytes | None:
-        """The secret to sign with; `None` where nothing is signed.
+        """The secret to sign with; `None` if nothing is signed.
 
-        Who finds a secret signs before it knows whether there are accounts: the
-        others know.
+        A node that knows a secret signs even before it knows whether there are
+        accounts, since the other nodes may already require signatures.
         """
         if self.is_signing_paused:
             return None
@@ -121,7 +126,7 @@
 
     @property
     def accepted_secrets(self) -> tuple[bytes, ...]:
-        """The secrets that a signature may be by, the newest first."""
+        """The secrets accepted in signatures, newest first."""
         if not self.has_accounts or self._newest is None:
             return ()
         if self._older is None:
@@ -133,14 +138,14 @@
 
     @property
     def requires_signatures(self) -> bool:
-        """Whether what isn't signed is refused."""
+        """Whether unsigned messages are refused."""
         if not self.has_accounts or self._newest is None:
             return False
         return not self.in_grace_period
 
     @property
     def in_grace_period(self) -> bool:
-        """Whether what isn't signed is taken for a while yet."""
+        """Whether unsigned messages are accepted for a limited time."""
         if not self._grace_until:
             return False
         if self._clock.monotonic() < self._grace_until:
--- a/src/radishwind/peers/replay_window.py
+++ b/src/radishwind/peers/replay_window.py
@@ -1,31 +1,35 @@
-"""Tells messages that were received before, by the number each one carries.
+"""Detects replayed messages by their sequence numbers.
 
 The sliding window follows RFC 4303, section 3.4.3 (IP Encapsulating Security
-Payload): it needs no clock, and a constant memory for each sender.
+Payload). It needs no clock and constant memory per sender.
 """
 
-#: Senders remembered; each start of a node is another one.
+#: Maximum number of senders; each process of a node is a sender of its own.
 MAX_SENDERS = 4_096
 
 
 class ReplayWindow:
-    """The numbers received from one sender."""
+    """Sequence numbers received from one sender."""
 
     __slots__ = ("_highest", "_seen", "_size")
 
     def __init__(self, size: int) -> None:
-        """Makes a window.
+        """Creates an empty window.
 
         Args:
-          size: numbers below the highest one that are told apart.
+          size: number of sequence numbers, up to the highest one received, that
+            are tracked individually.
         """
         self._size = size
         self._highest = -1
-        # Bit i stands for the number `_highest - i`.
+        # Bit i represents the sequence number `_highest - i`.
         self._seen = 0
 
     def add(self, number: int) -> bool:
-        """Returns whether `number` is new; one below the window is not."""
+        """Adds `number`; returns whether it is new.
+
+        A number below the window counts as not new.
+        """
         ahead = number - self._highest
         if ahead > 0:
             self._highest = number
@@ -42,21 +46,21 @@
 
 
 class ReplayGuard:
-    """The windows of all senders, bounded in number."""
+    """Replay windows of all senders, bounded in number."""
 
     def __init__(self, size: int, limit: int = MAX_SENDERS) -> None:
-        """Makes a guard that knows no sender yet.
+        """Creates a guard without senders.
 
         Args:
-          size: of each window.
-          limit: senders remembered; beyond it the oldest is forgotten.
+          size: size of each window.
+          limit: maximum number of senders; the oldest one is dropped first.
         """
         self._size = size
         self._limit = limit
         self._windows: dict[bytes, ReplayWindow] = {}
 
     def add(self, sender: bytes, number: int) -> bool:
-        """Returns whether `number` of `sender` is new."""
+        """Adds `number` of `sender`; returns whether it is new."""
         window = self._windows.get(sender)
         if window is None:
             if len(self._windows) >= self._limit:
--- a/src/radishwind/peers/security.py
+++ b/src/radishwind/peers/security.py
@@ -1,8 +1,8 @@
-"""Authenticates what arrives on the peer listener by keys of the settings.
+"""Authenticates requests between nodes with keys from the settings.
 
-Every request carries a field with its wall-clock time, a nonce and a keyed
-BLAKE2 over method, path, receiver, time, nonce and what is covered: the body
-of a control message, the attempt field of a forwarded attempt.
+Each request carries a header field with its wall-clock time, a nonce and a
+keyed BLAKE2 hash of method, path, receiver, time, nonce and covered bytes: the
+body of a control message, or the attempt field of a forwarded attempt.
 """
 
 import hashlib
@@ -18,30 +18,31 @@
 from radishwind.peers.signing import RequestSigner
 from radishwind.peers.signing import RequestVerifier
 
-#: A request may have been sent this long ago (s) ...
+#: Maximum age of an accepted request (s).
 WINDOW_PAST_S = 30.0
-#: ... or, as clocks differ, this far in the future (s).
+#: A request may be dated this far in the future (s), since clocks differ.
 WINDOW_FUTURE_S = 5.0
 
-#: Nonces remembered in each of two generations.
+#: Maximum number of nonces in each of the two generations of the cache.
 MAX_NONCES = 65_536
 _MAC_BYTES = 16
 _VERSION = "1"
 _PERSON = b"radishwind-peers"
 _MAX_FIELD_CHARS = 160
-_PARTS = 4
+_PART_COUNT = 4
 
 
 class PeerSigner(RequestSigner):
-    """Signs requests to peers with the first key."""
+    """Signs requests to peers with the first configured key."""
 
     def __init__(self, key: bytes, clock: Clock, nonce_prefix: str) -> None:
-        """Makes a signer.
+        """Creates a signer.
 
         Args:
-          key: the first of the keys.
-          clock: the wall clock.
-          nonce_prefix: unique to this process, from a safe random source.
+          key: the first of the configured keys.
+          clock: the clock; its wall-clock time dates the requests.
+          nonce_prefix: unique to this process, from a cryptographically secure
+            random source.
         """
         self._key = key
         self._clock = clock
@@ -49,14 +50,14 @@
         self._counts = itertools.count()
 
     def sign(self, to: Address, method: str, path: str, covered: bytes) -> str:
-        stamp = str(self._clock.wall_ms())
+        timestamp = str(self._clock.wall_ms())
         nonce = f"{self._nonce_prefix}{next(self._counts):x}"
-        mac = _mac(self._key, to, method, path, stamp, nonce, covered)
-        return f"{_VERSION} {stamp} {nonce} {mac}"
+        mac = _mac(self._key, to, method, path, timestamp, nonce, covered)
+        return f"{_VERSION} {timestamp} {nonce} {mac}"
 
 
 class PeerVerifier(RequestVerifier):
-    """Checks the requests of peers against every key, once each."""
+    """Verifies requests of peers with all keys; accepts each at most once."""
 
     def __init__(
         self, keys: tuple[bytes, ...], clock: Clock, own: Address
@@ -64,9 +65,9 @@
         self._keys = keys
         self._clock = clock
         self._own = own
-        # What was sent to an earlier process of this address could have run
-        # there, and this one remembers none of its nonces.
-        self._fence_ms = clock.wall_ms()
+        # Requests sent to an earlier process at this address may have run
+        # there, and this process does not know their nonces.
+        self._started_ms = clock.wall_ms()
         self._nonces = NonceCache(MAX_NONCES)
 
     def verify(
@@ -78,84 +79,93 @@
         *,
         at_most_once: bool = False,
     ) -> None:
-        """Returns if the request is authentic, in time and new.
+        """Returns if the request is authentic, within the window and new.
 
         Raises:
           PeerRefusedError: it is not authentic.
-          PeerStaleError: it was sent outside the window.
+          PeerStaleError: it was sent outside the time window, or before this
+            process started.
           PeerReplayedError: it was received before.
         """
-        stamp, nonce, mac = _split(field)
-        good = [
-            _mac(key, self._own, method, path, stamp, nonce, covered)
+        timestamp, nonce, mac = _split(field)
+        expected = [
+            _mac(key, self._own, method, path, timestamp, nonce, covered)
             for key in self._keys
         ]
-        if not any(hmac.compare_digest(mac, one) for one in good):
+        if not any(hmac.compare_digest(mac, one) for one in expected):
             raise PeerRefusedError("expected a signature by a known key")
-        self._check_time(int(stamp))
-        if not self._nonces.add(nonce, int(stamp)):
+        self._check_time(int(timestamp))
+        if not self._nonces.add(nonce, int(timestamp)):
             raise PeerReplayedError("expected a new request, got a known one")
 
-    def _check_time(self, stamp_ms: int) -> None:
+    def _check_time(self, sent_ms: int) -> None:
         now_ms = self._clock.wall_ms()
         oldest_ms = max(
             now_ms - int(WINDOW_PAST_S * 1000),
-            self._fence_ms,
-            self._nonces.forgotten_ms + 1,
+            self._started_ms,
+            self._nonces.dropped_until_ms + 1,
         )
         newest_ms = now_ms + int(WINDOW_FUTURE_S * 1000)
-        if not oldest_ms <= stamp_ms <= newest_ms:
+        if not oldest_ms <= sent_ms <= newest_ms:
             raise PeerStaleError(
                 f"expected a time from {oldest_ms - now_ms} to "
-                f"{newest_ms - now_ms} ms around now, got {stamp_ms - now_ms}"
+                f"{newest_ms - now_ms} ms around now, got {sent_ms - now_ms}"
             )
-        self._nonces.age(now_ms)
+        self._nonces.rotate_if_due(now_ms)
 
 
 class NonceCache:
-    """Remembers nonces in two generations, bounded in number.
+    """Nonces received, in two generations, bounded in number.
 
-    A generation lasts longer than the window. Where one fills up early the
-    older is dropped and `forgotten_ms` raised, so that what can't be told from
-    a replay any more is refused as stale.
+    A generation lasts longer than the time window. If one fills up early, the
+    older one is dropped and `dropped_until_ms` raised: requests up to that time
+    can no longer be distinguished from replays and are refused as stale.
+
+    Attributes:
+      dropped_until_ms: latest time of a request whose nonce was dropped early
+        (ms since the epoch, UTC); 0 if there is none.
     """
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
         self._current: dict[str, int] = {}
         self._previous: dict[str, int] = {}
-        self._began_ms = 0
-        self.forgotten_ms = 0
+        self._generation_start_ms = 0
+        self.dropped_until_ms = 0
 
-    def add(self, nonce: str, stamp_ms: int) -> bool:
-        """Remembers `nonce`; returns whether it was new."""
+    def add(self, nonce: str, sent_ms: int) -> bool:
+        """Adds `nonce`; returns whether it is new."""
         if nonce in self._current or nonce in self._previous:
             return False
         if len(self._current) >= self._limit:
-            self._turn()
-        self._current[nonce] = stamp_ms
+            self._rotate()
+        self._current[nonce] = sent_ms
         return True
 
-    def age(self, now_ms: int) -> None:
-        """Starts a new generation when the current one is old enough."""
-        span_ms = int((WINDOW_PAST_S + WINDOW_FUTURE_S) * 1000)
-        if now_ms - self._began_ms <= span_ms:
+    def rotate_if_due(self, now_ms: int) -> None:
+        """Starts a new generation if the current one outlasted the window."""
+        generation_ms = int((WINDOW_PAST_S + WINDOW_FUTURE_S) * 1000)
+        if now_ms - self._generation_start_ms <= generation_ms:
             return
-        self._began_ms = now_ms
+        self._generation_start_ms = now_ms
         self._previous, self._current = self._current, {}
 
-    def _turn(self) -> None:
-        dropped = max(self._previous.values(), default=0)
-        self.forgotten_ms = max(self.forgotten_ms, dropped)
+    def _rotate(self) -> None:
+        newest_dropped_ms = max(self._previous.values(), default=0)
+        self.dropped_until_ms = max(self.dropped_until_ms, newest_dropped_ms)
         self._previous, self._current = self._current, {}
 
 
 def _split(field: str | None) -> tuple[str, str, str]:
-    """Returns time, nonce and signature of the value of `AUTH_FIELD`."""
+    """Splits the value of `AUTH_FIELD` into time, nonce and MAC.
+
+    Raises:
+      PeerRefusedError: it is malformed.
+    """
     if field is None:
         raise PeerRefusedError(f"expected the field {AUTH_FIELD}, got none")
     parts = field.split(" ") if len(field) <= _MAX_FIELD_CHARS else []
-    if len(parts) != _PARTS or parts[0] != _VERSION or not field.isascii():
+    if len(parts) != _PART_COUNT or parts[0] != _VERSION or not field.isascii():
         raise PeerRefusedError(f"expected {AUTH_FIELD} of version {_VERSION}")
     if not parts[1].isdigit() or len(parts[1]) > 16:
         raise PeerRefusedError(f"expected a time in ms in {AUTH_FIELD}")
@@ -167,11 +177,11 @@
     to: Address,
     method: str,
     path: str,
-    stamp: str,
+    timestamp: str,
     nonce: str,
     covered: bytes,
 ) -> str:
-    head = f"{method}\n{path}\n{to.host}:{to.port}\n{stamp}\n{nonce}\n"
+    head = f"{method}\n{path}\n{to.host}:{to.port}\n{timestamp}\n{nonce}\n"
     digest = hashlib.blake2b(
         head.encode("utf-8", "surrogateescape"),
         key=key,
--- a/src/radishwind/peers/signing.py
+++ b/src/radishwind/peers/signing.py
@@ -1,4 +1,4 @@
-"""What signs the messages to other nodes, and what checks theirs."""
+"""Interfaces that sign and verify requests between nodes."""
 
 import abc
 
@@ -12,7 +12,7 @@
 
 
 class PeerRefusedError(RadishwindError):
-    """A request of a peer is refused; nothing of it was done."""
+    """A request of a peer is refused; it had no effect."""
 
     code = ResultCode.PEER_UNAUTHENTICATED
 
@@ -24,7 +24,7 @@
 
 
 class PeerStaleError(PeerRefusedError):
-    """The time of the request is outside the window."""
+    """The request is too old, or for an earlier process at this address."""
 
     code = ResultCode.PEER_STALE
 
@@ -36,27 +36,27 @@
     def sign(
         self, to: Address, method: str, path: str, covered: bytes
     ) -> str | None:
-        """Returns the value of `AUTH_FIELD`; `None` where nothing is signed.
+        """Returns the value of `AUTH_FIELD`; `None` if nothing is signed.
 
         Args:
-          to: the peer listener of the other node.
-          method: of the request.
-          path: of the request, with its query.
-          covered: what else must not be altered.
+          to: address of the peer listener of the other node.
+          method: method of the request.
+          path: path of the request, with its query.
+          covered: further bytes that the signature covers.
         """
 
-    def should_sign_again(self, to: Address, answer: Response) -> bool:
-        """Returns whether a request that `to` refused may be sent once more.
+    def should_sign_again(self, to: Address, response: Response) -> bool:
+        """Returns whether to sign a refused request again and resend it.
 
         Args:
-          to: the peer listener that answered.
-          answer: the refusal, or any other answer.
+          to: address of the peer listener that responded.
+          response: the refusal, or any other response.
         """
         return False
 
 
 class RequestVerifier(abc.ABC):
-    """Checks the requests of other nodes."""
+    """Verifies the requests of other nodes."""
 
     @abc.abstractmethod
     def verify(
@@ -68,20 +68,20 @@
         *,
         at_most_once: bool = False,
     ) -> None:
-        """Returns if the request may be taken for one of a node.
+        """Returns if the request may be accepted as one of another node.
 
         Args:
-          field: the value of `AUTH_FIELD`; `None` where there is none.
-          method: of the request.
-          path: of the request, with its query.
-          covered: what else must not have been altered.
+          field: value of `AUTH_FIELD`; `None` if the request has none.
+          method: method of the request.
+          path: path of the request, with its query.
+          covered: further bytes that the signature covers.
           at_most_once: whether a request that was sent to an earlier process
             at this address must be refused, since it may have run there.
 
         Raises:
-          PeerRefusedError: it may not.
+          PeerRefusedError: it must be refused.
         """
 
     def refusal_headers(self) -> Headers:
-        """Returns the header fields that a refusal carries."""
+        """Returns the header fields to add to a refusal."""
         return ()
--- a/src/radishwind/peers/tests/test_security.py
+++ b/src/radishwind/peers/tests/test_security.py
@@ -370,7 +370,7 @@
     for number in range(35):
         assert memory.add(str(number), 1_000 + number)
 
-    assert memory.forgotten_ms == 1_019
+    assert memory.dropped_until_ms == 1_019
     assert not memory.add("34", 1_034)
 
 
--- a/src/radishwind/sidecar/tests/test_forged.py
+++ b/src/radishwind/sidecar/tests/test_forged.py
@@ -361,8 +361,8 @@
 async def test_replayed_message_is_refused(here, message):
     sender = Sender(here, SECRET)
     await message.send(sender)
-    sender.signer._number = 0
-    sender.authenticator._number = 0
+    sender.signer._sequence = 0
+    sender.authenticator._sequence = 0
 
     await message.send(sender)
 
@@ -414,7 +414,7 @@
 async def test_replayed_forward_is_not_run_and_not_said_to_be_so(here):
     sender = Sender(here, SECRET)
     await sender.forward()
-    sender.signer._number = 0
+    sender.signer._sequence = 0
 
     assert await sender.forward() == ResultCode.PEER_REPLAYED
     assert header(sender.answer.headers, START_FIELD.lower()) is None
