--- a/src/radishwind/peers/__init__.py
+++ b/src/radishwind/peers/__init__.py
@@ -1,4 +1,7 @@
-"""What nodes say to each other: forwarded attempts and control messages."""
+"""Communication between nodes: forwarded attempts, control messages, datagrams.
+
+Requests and datagrams are signed and verified here.
+"""
 
 from radishwind.peers.forward_runner import ForwardRunner
 from radishwind.peers.peer_client import HttpPeerClient
--- a/src/radishwind/peers/attempts.py
+++ b/src/radishwind/peers/attempts.py
@@ -1,7 +1,8 @@
-"""How an attempt and its answer look on the wire between two nodes.
+"""Encoding of forwarded attempts and their responses between two nodes.
 
-A forwarded attempt is the caller's request plus fields that only nodes send;
-the answer echoes the attempt's id and says which of the three outcomes it is.
+A forwarded attempt is the caller's request with additional header fields that
+only nodes may send. The response echoes the attempt id and states which of the
+three outcomes it is.
 """
 
 import math
@@ -38,31 +39,32 @@
 
 
 class PeerMalformedError(RadishwindError):
-    """What a peer sent cannot be read."""
+    """A message of a peer is malformed."""
 
     code = ResultCode.PEER_MALFORMED
 
 
 class AttemptInfo(msgspec.Struct, frozen=True, array_like=True):
-    """What the entry node tells the target's node of an attempt.
+    """Metadata of an attempt, sent by the entry node to the target's node.
 
     Attributes:
-      attempt_id: unique over nodes and restarts.
-      target: the name of the target meant.
-      service: the service of the call.
+      attempt_id: unique across nodes and restarts.
+      target: name of the target that it is addressed to.
+      service: service of the call.
       idempotent: whether the call may run more than once.
-      remaining_ms: time left to its deadline when it was sent (ms).
+      remaining_ms: time left until its deadline when it was sent (ms).
       expires_ms: its deadline as wall-clock time (ms since the epoch, UTC).
-      caller: who asks.
-      depth: how many calls it is nested in.
-      suspect: whether an attempt before broke off.
-      aim_ms: time left until it is worth less (ms); `None` for never.
-      priority: its rank; 0 is the highest.
-      normal_run_ms: its run time at the usual pace (ms); 0 where not known.
-      group_rank: drawn with those that it belongs to; 0 for none.
-      route: the route that took it; empty where services have none.
-      account: the client account that asks; empty for none.
-      is_retry: whether an attempt before came to a server, or may still.
+      caller: who sent the call; used for fair queueing between callers.
+      depth: nesting depth; 0 for a request of an external caller.
+      suspect: whether an earlier attempt broke off, so that it must run alone.
+      aim_ms: time left until its soft deadline (ms); `None` if it has none.
+      priority: priority among queued requests; 0 is the highest.
+      normal_run_ms: run time at a server of normal speed (ms); 0 if unknown.
+      group_rank: random rank shared by the calls of one fan-out; 0 for a call
+        that is not part of a fan-out.
+      route: route that the call matched; empty for services without routes.
+      account: client account that the call belongs to; empty for none.
+      is_retry: whether an earlier attempt reached a server, or may have.
     """
 
     attempt_id: str
@@ -84,15 +86,16 @@
 
 
 class AnswerInfo(msgspec.Struct, frozen=True, array_like=True):
-    """What the target's node tells the entry node with an answer.
+    """Metadata of a response, sent by the target's node to the entry node.
 
     Attributes:
-      attempt_id: the attempt it answers.
+      attempt_id: the attempt that it responds to.
       outcome: `done`, `not-run` or `unknown`.
       code: the result code; 0 for `done`.
       detail: a sentence for the caller; empty for `done`.
-      retry_after_s: when to come back (s).
-      load: the target's load; `None` to a peer that isn't authentic.
+      retry_after_s: time after which a retry is useful (s), if known.
+      load: load report of the target; `None` if the peer that sent the
+        attempt is not authenticated.
     """
 
     attempt_id: str
@@ -114,16 +117,21 @@
 
 
 def split_node_fields(headers: Headers) -> tuple[dict[str, str], Headers]:
-    """Returns the fields of nodes, by name in lower case, and the others."""
-    told: dict[str, str] = {}
+    """Splits header fields into those that only nodes send and all others.
+
+    Returns:
+      The values of the node fields by lower-case name, the first value where a
+      field is repeated; and the other header fields.
+    """
+    node_fields: dict[str, str] = {}
     others = []
     for item in headers:
         name = item[0].lower()
         if name.startswith(NODE_FIELD_PREFIX):
-            told.setdefault(name, item[1])
+            node_fields.setdefault(name, item[1])
         else:
             others.append(item)
-    return told, tuple(others)
+    return node_fields, tuple(others)
 
 
 def build_attempt_request(
@@ -133,14 +141,14 @@
     remaining_s: float,
     signer: RequestSigner | None,
 ) -> Request:
-    """Returns the request of an attempt, signed where there is a key.
+    """Returns the request that forwards an attempt to a target's node.
 
     Args:
-      call: the caller's request, classified.
-      member: the target's node.
-      attempt_id: unique over nodes and restarts.
-      remaining_s: time left to the deadline (s).
-      signer: signs it; `None` where there is no key.
+      call: the classified request of the caller.
+      member: the node of the target.
+      attempt_id: unique across nodes and restarts.
+      remaining_s: time left until the deadline (s).
+      signer: signs the request; `None` if no key is configured.
     """
     request = call.request
     field = _encoder.encode(
@@ -195,7 +203,7 @@
 def build_attempt_response(
     attempt_id: str, outcome: Outcome, load: LoadReport | None
 ) -> Response:
-    """Returns the answer to an attempt, with what only nodes read of it."""
+    """Returns the response to an attempt, with metadata for the entry node."""
     response = outcome_response(outcome)
     field = _encoder.encode(_answer_info(attempt_id, outcome, load)).decode()
     return Response(
@@ -225,10 +233,10 @@
 
 
 def parse_attempt_result(response: Response, attempt_id: str) -> AttemptResult:
-    """Reads the outcome that the target's node tells.
+    """Returns the outcome that the target's node reports.
 
-    Anything that is not plainly the answer to this attempt is `Unknown`, and
-    so is an outcome of another name.
+    The outcome is `Unknown` if the response cannot be matched to this attempt,
+    or if it states an outcome that this version does not know.
     """
     info = _decode_answer(response, attempt_id)
     if info is None:
@@ -236,7 +244,7 @@
         return AttemptResult(
             Unknown(
                 ResultCode.ANSWER_MISMATCH,
-                "The answer was not to this attempt.",
+                "The response does not belong to this attempt.",
             )
         )
     if info.outcome == _DONE:
@@ -260,16 +268,16 @@
 
 
 def reports_not_run(response: Response, attempt_id: str) -> bool:
-    """Returns whether this attempt plainly has not run."""
+    """Returns whether the response states that this attempt did not run."""
     info = _decode_answer(response, attempt_id)
     return info is not None and info.outcome == _NOT_RUN
 
 
 def decode_attempt(field: str) -> AttemptInfo:
-    """Returns what `ATTEMPT_FIELD` tells.
+    """Decodes the value of `ATTEMPT_FIELD`.
 
     Raises:
-      PeerMalformedError: it cannot be read.
+      PeerMalformedError: it cannot be decoded.
     """
     try:
         return _attempt_decoder.decode(field)
@@ -278,6 +286,7 @@
 
 
 def _decode_answer(response: Response, attempt_id: str) -> AnswerInfo | None:
+    """Decodes `ANSWER_FIELD`; `None` if malformed or for another attempt."""
     field = header(response.headers, ANSWER_FIELD.lower())
     if field is None:
         return None
--- a/src/radishwind/peers/forward_runner.py
+++ b/src/radishwind/peers/forward_runner.py
@@ -1,4 +1,4 @@
-"""Forwards attempts to the node beside the chosen target."""
+"""Runs attempts, forwarding them to the node of the chosen target."""
 
 from collections.abc import Callable
 from typing import TypeAlias
@@ -26,18 +26,18 @@
 from radishwind.routing.route_sizes import RouteSizes
 from radishwind.target.pipeline import TargetPipeline
 
-#: What the caller is told of a fault, at most.
+#: Maximum length of the description of a failure for the caller.
 _MAX_DETAIL_CHARS = 200
 
-#: When to come back after a refused connection (s).
-_RETRY_S = 1.0
+#: Time after which to retry after a failed connection (s).
+_RETRY_AFTER_S = 1.0
 
-#: Takes the name of a target whose node takes no connection.
+#: Called with the name of a target whose node cannot be connected to.
 UnreachableCallback: TypeAlias = Callable[[str], None]
 
 
 class ForwardRunner(AttemptRunner):
-    """Runs attempts here if the target is ours, else at the target's node."""
+    """Runs attempts at the local target, or forwards them to its node."""
 
     def __init__(
         self,
@@ -64,37 +64,39 @@
         self, call: Call, member: Member, attempt_id: str
     ) -> AttemptResult:
         if member.name == self._node_name:
-            return self._sized(call, await self._target.run(call))
-        answer = await self._forward(call, member, attempt_id)
-        if self._may_sign_anew(call, member, attempt_id, answer):
-            answer = await self._forward(call, member, attempt_id)
-        if isinstance(answer, Response):
-            self._traffic.record_answer(member, call, answer)
-            return self._sized(call, parse_attempt_result(answer, attempt_id))
-        return AttemptResult(answer)
-
-    def _sized(self, call: Call, result: AttemptResult) -> AttemptResult:
-        """Returns `result`, after what it tells of the sizes of its route."""
+            return self._learn_sizes(call, await self._target.run(call))
+        response = await self._forward(call, member, attempt_id)
+        if self._should_resend(call, member, attempt_id, response):
+            response = await self._forward(call, member, attempt_id)
+        if isinstance(response, Response):
+            self._traffic.record_answer(member, call, response)
+            return self._learn_sizes(
+                call, parse_attempt_result(response, attempt_id)
+            )
+        return AttemptResult(response)
+
+    def _learn_sizes(self, call: Call, result: AttemptResult) -> AttemptResult:
+        """Updates the body sizes of the route; returns `result` unchanged."""
         self._sizes.learn_from(call, result.outcome)
         return result
 
-    def _may_sign_anew(
+    def _should_resend(
         self,
         call: Call,
         member: Member,
         attempt_id: str,
-        answer: Response | NotRun | Unknown,
+        response: Response | NotRun | Unknown,
     ) -> bool:
-        """Returns whether the node there only asks for another signature.
+        """Returns whether to sign the attempt again and resend it.
 
-        What may have run isn't sent again, and a body that is streamed can't
+        An attempt that may have run is not resent, and a streamed body cannot
         be.
         """
-        if self._signer is None or not isinstance(answer, Response):
+        if self._signer is None or not isinstance(response, Response):
             return False
-        if not reports_not_run(answer, attempt_id):
+        if not reports_not_run(response, attempt_id):
             return False
-        if not self._signer.should_sign_again(member.address, answer):
+        if not self._signer.should_sign_again(member.address, response):
             return False
         return isinstance(call.request.body, bytes)
 
@@ -115,12 +117,15 @@
     async def _exchange(
         self, request: Request, member: Member, remaining_s: float
     ) -> Response | NotRun | Unknown:
-        """Returns the answer of the node of `member`, or what no answer means.
+        """Sends an attempt and waits for the response.
 
         Args:
-          request: the attempt, ready to send.
-          member: the target's node.
-          remaining_s: time left to the deadline (s).
+          request: the attempt as it is sent.
+          member: the node of the target.
+          remaining_s: time left until the deadline (s).
+
+        Returns:
+          The response, or the outcome if there is none.
         """
         try:
             with TimeLimit(remaining_s):
@@ -132,18 +137,18 @@
                 self._on_unreachable(member.name)
             return NotRun(
                 ResultCode.CONNECT_FAILED,
-                "The target's node takes no connection.",
-                _RETRY_S,
+                "The connection to the target's node failed.",
+                _RETRY_AFTER_S,
             )
         except ExchangeBrokenError as exc:
             return Unknown(
                 ResultCode.EXCHANGE_BROKEN,
-                f"The answer of the target's node broke off: {exc.args[0]}"[
+                f"The exchange with the target's node failed: {exc.args[0]}"[
                     :_MAX_DETAIL_CHARS
                 ],
             )
         except TimeoutError:
             return Unknown(
                 ResultCode.EXCHANGE_TIMEOUT,
-                "The target did not answer in time.",
+                "The target did not respond in time.",
             )
--- a/src/radishwind/peers/peer_client.py
+++ b/src/radishwind/peers/peer_client.py
@@ -1,4 +1,4 @@
-"""Control messages to other nodes."""
+"""Client for control messages to other nodes."""
 
 import abc
 
@@ -17,21 +17,21 @@
 from radishwind.peers.signing import AUTH_FIELD
 from radishwind.peers.signing import RequestSigner
 
-#: Paths below this one on the peer listener are control messages.
+#: Prefix of the paths of control messages on the peer listener.
 CONTROL_PREFIX = "/radishwind/v1/"
 
-#: How long a new connection to a peer may take (s).
+#: Time limit for a new connection to a peer (s).
 CONNECT_TIMEOUT_S = 0.5
 
 
 class PeerError(RadishwindError):
-    """A control message got no good answer; it may have arrived."""
+    """A control message failed; the peer may have received it."""
 
     code = ResultCode.PEER_MALFORMED
 
 
 class PeerUnreachableError(PeerError):
-    """No connection was made: nothing of the message arrived."""
+    """The connection failed, so the peer received nothing of the message."""
 
 
 class PeerClient(abc.ABC):
@@ -41,24 +41,26 @@
     async def call(
         self, address: Address, name: str, payload: bytes, timeout_s: float
     ) -> bytes:
-        """Sends `payload` to the control path `name` of the node there.
+        """Sends `payload` to the control path `name` of the node at `address`.
 
         Args:
-          address: the peer listener of the other node.
-          name: the name given to `add_control_handler`.
+          address: address of the peer listener of the other node.
+          name: the name under which the other node registered its handler, see
+            `PeerListener.add_control_handler`.
           payload: the message, JSON.
-          timeout_s: how long the whole exchange may take (s).
+          timeout_s: time limit for the whole exchange (s).
 
         Returns:
-          The body of the answer.
+          The body of the response.
 
         Raises:
-          PeerError: no answer, or not one of success.
+          PeerUnreachableError: no connection was established.
+          PeerError: there was no response, or its status was not 200.
         """
 
 
 class HttpPeerClient(PeerClient):
-    """Sends control messages by a `Sender`, signed where there is a key."""
+    """Sends control messages over HTTP, signed if a signer is given."""
 
     def __init__(
         self,
@@ -77,7 +79,7 @@
             with anyio.fail_after(timeout_s):
                 response = await self._sender.send(
                     address,
-                    self._signed(address, name, payload),
+                    self._signed_request(address, name, payload),
                     CONNECT_TIMEOUT_S,
                 )
                 body = await whole_body(response.body)
@@ -93,7 +95,9 @@
             )
         return body
 
-    def _signed(self, address: Address, name: str, payload: bytes) -> Request:
+    def _signed_request(
+        self, address: Address, name: str, payload: bytes
+    ) -> Request:
         path = CONTROL_PREFIX + name
         headers: Headers = (("Content-Type", "application/json"),)
         if self._signer is not None:
--- a/src/radishwind/peers/peer_listener.py
+++ b/src/radishwind/peers/peer_listener.py
@@ -1,4 +1,4 @@
-"""Serves the peer listener: forwarded attempts and control messages."""
+"""Server side of the peer listener: forwarded attempts and control messages."""
 
 import abc
 from collections.abc import Awaitable
@@ -41,8 +41,8 @@
 #: Default limit of the size of a control message (bytes).
 MAX_CONTROL_BYTES = 64 * 1024
 
-#: When an entry node may come back after a refused attempt (s).
-_RETRY_S = 1.0
+#: Time after which an entry node may retry a refused attempt (s).
+_RETRY_AFTER_S = 1.0
 
 _ATTEMPT = ATTEMPT_FIELD.lower()
 _AUTH = AUTH_FIELD.lower()
@@ -51,23 +51,23 @@
 
 
 class AttemptPolicy(abc.ABC):
-    """What a forwarded attempt may claim, beyond being signed."""
+    """Checks on forwarded attempts in addition to their signature."""
 
     @abc.abstractmethod
     def matches_account(self, info: AttemptInfo, request: Request) -> bool:
-        """Returns whether the request says no other account than `info`."""
+        """Returns whether the request names the same account as `info`."""
 
     @abc.abstractmethod
     def accepts_unsigned(self, info: AttemptInfo, request: Request) -> bool:
-        """Returns whether the attempt is harmless enough without signature."""
+        """Returns whether the attempt may run without a signature."""
 
 
 class _Control(NamedTuple):
-    """Who answers at a control path.
+    """Registered handlers of a control path.
 
     Attributes:
-      handler: takes authentic requests.
-      max_bytes: longer messages are refused unread (bytes).
+      handler: handles authenticated requests.
+      max_bytes: size limit (bytes); larger messages are refused unread.
       unsigned_handler: handles unsigned requests where signatures are
         required; `None` where they are refused.
     """
@@ -78,7 +78,7 @@
 
 
 class PeerListener:
-    """Serves the peer listener: forwarded attempts and control messages."""
+    """Serves forwarded attempts and control messages of other nodes."""
 
     def __init__(
         self,
@@ -92,22 +92,22 @@
         record_request_from: Callable[[str], None] | None = None,
         link_admission: LinkAdmission | None = None,
     ) -> None:
-        """Wires the listener.
+        """Creates the listener.
 
         Args:
-          node_name: of this node.
+          node_name: name of this node.
           clock: the clock.
           rules_for: returns the rules of a service.
           target: runs the attempts.
-          verifier: checks who sends; `None` where there is no key.
-          policy: checks what an attempt claims; by default nothing.
-          record_request_from: takes the host of each node that sends an
+          verifier: verifies signatures; `None` if no key is configured.
+          policy: further checks on attempts; by default there are none.
+          record_request_from: called with the host of each node that sends an
             attempt.
-          link_admission: bounds what the link is to carry; by default
-            nothing does.
+          link_admission: refuses attempts if the link is full; by default none
+            is refused for that.
         """
         self._link_admission = link_admission
-        self._record_request_from = record_request_from or _forget_host
+        self._record_request_from = record_request_from or _ignore_host
         self._node_name = node_name
         self._clock = clock
         self._rules_for = rules_for
@@ -116,7 +116,7 @@
         self._policy = policy
         self._log = PartLogger("peers", clock)
         self._control: dict[str, _Control] = {}
-        #: Requests refused, by result code.
+        #: Number of refused requests by result code.
         self.refused_by_code: dict[int, int] = {}
 
     def add_control_handler(
@@ -128,13 +128,13 @@
     ) -> None:
         """Routes the control path `/radishwind/v1/NAME` to `handler`.
 
-        The handler gets authentic requests only, with the whole body.
+        The handler gets only authenticated requests, with the whole body.
 
         Args:
-          name: the last part of the path.
-          handler: answers the messages.
-          max_bytes: longer messages are refused unread (bytes).
-          unsigned_handler: answers unsigned messages where signatures are
+          name: last segment of the path.
+          handler: handles the messages.
+          max_bytes: size limit (bytes); larger messages are refused unread.
+          unsigned_handler: handles unsigned messages if signatures are
             required; by default they are refused.
         """
         self._control[CONTROL_PREFIX + name] = _Control(
@@ -142,10 +142,10 @@
         )
 
     async def handle(self, request: Request) -> Response:
-        """Answers one request of a peer."""
-        told, others = split_node_fields(request.headers)
-        field = told.get(_ATTEMPT)
-        auth = told.get(_AUTH)
+        """Handles a request of a peer."""
+        node_fields, headers = split_node_fields(request.headers)
+        field = node_fields.get(_ATTEMPT)
+        auth = node_fields.get(_AUTH)
         if field is None:
             return await self._handle_control(request, auth)
         try:
@@ -158,7 +158,8 @@
         except PeerRefusedError as exc:
             return self._refuse_attempt(info, exc, request)
         if info.target != self._node_name:
-            # The address has passed to another target since the peer heard.
+            # The address was reassigned to this target, and the peer does not
+            # know it yet.
             outcome: Outcome = NotRun(
                 ResultCode.NO_TARGET,
                 f"expected target {self._node_name}, got {info.target}",
@@ -167,28 +168,28 @@
                 info.attempt_id, outcome, self._target.load_report()
             )
         self._record_request_from(request.remote)
-        call = self._call(info, request, others)
+        call = self._build_call(info, request, headers)
         if self._link_admission is None:
             result = await self._target.run(call)
         else:
-            result = await self._run_within(self._link_admission, call)
+            result = await self._run_if_admitted(self._link_admission, call)
         return build_attempt_response(
             info.attempt_id, result.outcome, result.load
         )
 
-    async def _run_within(
-        self, room: LinkAdmission, call: Call
+    async def _run_if_admitted(
+        self, link_admission: LinkAdmission, call: Call
     ) -> AttemptResult:
-        """Runs an attempt if the link has room for its answer."""
+        """Runs an attempt if the link can carry its response."""
         load = self._target.load_report()
-        size = room.admit(call.route, load)
+        size = link_admission.admit(call.route, load)
         if isinstance(size, NotRun):
             return AttemptResult(size, load)
         try:
             result = await self._target.run(call)
         finally:
-            room.release(size)
-        room.sizes.learn_from(call, result.outcome)
+            link_admission.release(size)
+        link_admission.sizes.learn_from(call, result.outcome)
         return result
 
     async def _handle_control(
@@ -215,29 +216,35 @@
             self._verify(request, auth, body)
         except PeerRefusedError as exc:
             if auth is not None or control.unsigned_handler is None:
-                self._note_refused(exc.code, path, request)
+                self._log_refusal(exc.code, path, request)
                 return self._refuse(exc.code, exc.args[0])
             handler = control.unsigned_handler
         return await handler(msgspec.structs.replace(request, body=body))
 
     def _verify_attempt(
-        self, info: AttemptInfo, request: Request, auth: str | None, told: bytes
+        self,
+        info: AttemptInfo,
+        request: Request,
+        auth: str | None,
+        covered: bytes,
     ) -> None:
         """Returns if the attempt may run.
 
         Raises:
-          PeerRefusedError: it may not.
+          PeerRefusedError: it must be refused.
         """
         policy = self._policy
         try:
-            self._verify(request, auth, told, at_most_once=True)
+            self._verify(request, auth, covered, at_most_once=True)
         except PeerRefusedError:
             if auth is not None or policy is None:
                 raise
             if not policy.accepts_unsigned(info, request):
                 raise
         if policy is not None and not policy.matches_account(info, request):
-            raise PeerRefusedError("expected the account of the attempt")
+            raise PeerRefusedError(
+                "expected the request to name the account of the attempt"
+            )
 
     def _verify(
         self,
@@ -259,15 +266,15 @@
 
     def _refuse(self, code: ResultCode, detail: str) -> Response:
         self.refused_by_code[code] = self.refused_by_code.get(code, 0) + 1
-        return self._telling_how_to_sign(
+        return self._with_refusal_headers(
             problem_response(code, detail, "not-run")
         )
 
-    def _note_refused(
+    def _log_refusal(
         self, code: ResultCode, what: str, request: Request
     ) -> None:
         if code == ResultCode.PEER_STALE:
-            # Nodes restart, and others hear of it a moment later.
+            # Expected after a restart, until the other nodes notice it.
             return
         self._log.warning(
             "Refuses a message that no node is known to have sent.",
@@ -276,7 +283,7 @@
             sender=request.remote,
         )
 
-    def _telling_how_to_sign(self, response: Response) -> Response:
+    def _with_refusal_headers(self, response: Response) -> Response:
         if self._verifier is None:
             return response
         fields = self._verifier.refusal_headers()
@@ -291,16 +298,16 @@
         self.refused_by_code[exc.code] = (
             self.refused_by_code.get(exc.code, 0) + 1
         )
-        self._note_refused(exc.code, "attempt", request)
-        outcome: Outcome = NotRun(exc.code, exc.args[0], _RETRY_S)
+        self._log_refusal(exc.code, "attempt", request)
+        outcome: Outcome = NotRun(exc.code, exc.args[0], _RETRY_AFTER_S)
         if isinstance(exc, PeerReplayedError):
-            # The first one may have run, so that none may be sent anew.
+            # The first one may have run, so the attempt must not be resent.
             outcome = Unknown(exc.code, exc.args[0])
             return build_attempt_response(info.attempt_id, outcome, None)
         refusal = build_attempt_response(info.attempt_id, outcome, None)
-        return self._telling_how_to_sign(refusal)
+        return self._with_refusal_headers(refusal)
 
-    def _call(
+    def _build_call(
         self, info: AttemptInfo, request: Request, headers: Headers
     ) -> Call:
         return Call(
@@ -335,5 +342,5 @@
         return self._clock.monotonic() + info.aim_ms / 1000
 
 
-def _forget_host(host: str) -> None:
-    """Takes the host of a sender where nobody wants to know."""
+def _ignore_host(host: str) -> None:
+    """Ignores the host of a sender; default of `record_request_from`."""
--- a/src/radishwind/peers/peer_socket.py
+++ b/src/radishwind/peers/peer_socket.py
@@ -1,7 +1,8 @@
-"""Datagrams between nodes: one socket, shared by what travels on it.
+"""UDP socket for datagrams between nodes, shared by several channels.
 
-The first byte of a datagram names its channel. What cannot be sent or read is
-counted, not waited for: whoever needs an answer asks again, or by HTTP.
+The first byte of a datagram is its channel. Datagrams that cannot be sent or
+decoded are dropped without a retry; malformed ones are counted. Callers that
+need a reply repeat their request or use HTTP.
 """
 
 import abc
@@ -14,17 +15,18 @@
 
 from radishwind.http.types import Address
 
-#: The longest datagram sent (bytes): within the 1,500 of an Ethernet frame, so
-#: that none is cut into fragments, of which each lost one loses the whole.
+#: Maximum size of a datagram that is sent (bytes). It fits into an Ethernet
+#: frame of 1,500 bytes and is not fragmented: the loss of one fragment would
+#: lose the whole datagram.
 MAX_DATAGRAM_BYTES = 1_400
 
-#: Takes what follows the channel's byte, and who sent it; returns whether it
-#: could be read.
+#: Called with the payload after the channel byte and with the sender; returns
+#: whether the payload could be decoded.
 DatagramHandler: TypeAlias = Callable[[bytes, Address], bool]
 
 
 class Channel(enum.IntEnum):
-    """What a datagram carries."""
+    """Channel of a datagram: the protocol that its payload belongs to."""
 
     LOADS = 1
     GOSSIP = 2
@@ -32,31 +34,32 @@
     QUOTAS = 4
 
 
-#: Takes the channel, the receiver and the size (bytes) of each one sent.
+#: Called with channel, receiver and size (bytes) of each datagram sent.
 DatagramSentCallback: TypeAlias = Callable[[Channel, Address, int], None]
 
 
 class DatagramAuthenticator(abc.ABC):
-    """Signs what leaves, and lets through what other nodes signed."""
+    """Signs outgoing datagrams and verifies incoming ones."""
 
     @abc.abstractmethod
     def sign(
         self, datagram: bytes, peers: Iterable[Address]
     ) -> Iterator[tuple[bytes, Address]]:
-        """Yields what to send to each of `peers` in place of `datagram`."""
+        """Yields the signed datagram for each of `peers`, with its address."""
 
     @abc.abstractmethod
     def verify(self, datagram: bytes, sender: Address) -> bytes | None:
-        """Returns the datagram as it was before; `None` where it is refused."""
+        """Returns the datagram without signature; `None` if it is refused."""
 
 
 class PeerSocket(asyncio.DatagramProtocol):
-    """One UDP socket.
+    """UDP socket that dispatches datagrams to handlers by channel.
 
     Attributes:
-      sent_count: datagrams sent.
-      received_count: datagrams read.
-      malformed_count: datagrams that could not be read.
+      sent_count: number of datagrams sent.
+      received_count: number of datagrams received and decoded.
+      malformed_count: number of datagrams that could not be decoded, and of
+        socket errors.
     """
 
     def __init__(
@@ -64,11 +67,12 @@
         authenticator: DatagramAuthenticator | None = None,
         on_sent: DatagramSentCallback | None = None,
     ) -> None:
-        """Makes a socket that is not bound yet.
+        """Creates an unbound socket.
 
         Args:
-          authenticator: signs and checks; by default all that comes is taken.
-          on_sent: told of each datagram sent.
+          authenticator: signs and verifies datagrams; by default none is signed
+            and all are accepted.
+          on_sent: called for each datagram sent.
         """
         self._authenticator = authenticator
         self._on_sent = on_sent
@@ -79,7 +83,7 @@
         self.malformed_count = 0
 
     def add_handler(self, channel: Channel, handler: DatagramHandler) -> None:
-        """Hands the datagrams of `channel` to `handler`."""
+        """Registers the handler of the datagrams of `channel`."""
         self._handlers[channel] = handler
 
     async def start(self, listen: Address) -> None:
@@ -94,7 +98,7 @@
     ) -> bool:
         """Sends `data` to each of `peers`; returns whether it was sent.
 
-        It isn't before the start, after the end, and where it is too long.
+        Nothing is sent before `start`, after `close`, or if `data` is too long.
         """
         if self._transport is None or self._transport.is_closing():
             return False
@@ -123,10 +127,10 @@
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         sender = Address(*addr[:2])
         if self._authenticator is not None:
-            checked = self._authenticator.verify(data, sender)
-            if checked is None:
+            verified = self._authenticator.verify(data, sender)
+            if verified is None:
                 return
-            data = checked
+            data = verified
         handler = self._handlers.get(data[0]) if data else None
         if handler is None or not handler(data[1:], sender):
             self.malformed_count += 1
@@ -134,5 +138,5 @@
         self.received_count += 1
 
     def error_received(self, exc: Exception) -> None:
-        # A peer without a listener; membership finds out that it is gone.
+        # No listener at the peer; the failure detector will find that out.
         self.malformed_count += 1
--- a/src/radishwind/peers/peer_traffic.py
+++ b/src/radishwind/peers/peer_traffic.py
@@ -1,8 +1,9 @@
-"""Counts what passes between nodes, by failure domain, cause and route.
+"""Counts the traffic between nodes, by failure domain, cause and route.
 
-A forward is counted with its answer by the node that sends it, any other
-message by the node that sends it, so that sums over all nodes count nothing
-twice. Heads count as the fields they hold, bodies as long as they are told.
+Each message is counted by the node that sends it. Responses are counted by the
+node that sent the request, together with it. The sums over all nodes therefore
+count nothing twice. A head counts as the length of its header fields, a body as
+its declared length.
 """
 
 from collections.abc import Iterable
@@ -15,30 +16,30 @@
 from radishwind.membership.directory import Member
 from radishwind.peers.peer_socket import Channel
 
-#: Series kept at most; what comes beyond is counted together.
+#: Maximum number of series; further ones are counted together as `OTHER`.
 MAX_SERIES = 256
 
-#: What is counted beyond those.
+#: Label of unknown failure domains and of the series beyond `MAX_SERIES`.
 OTHER = "other"
 
-#: Bytes that frame a field line: a colon, a space and the line's end.
+#: Bytes that frame a header field: colon, space and line end.
 _FIELD_FRAME_BYTES = 4
 
 
 class PeerTraffic:
-    """Messages and bytes between this node and others."""
+    """Counts messages and bytes between this node and others."""
 
     def __init__(self) -> None:
         self._domains: dict[str, str] = {}
-        # Messages and bytes, by the labels of their series.
+        # Number of messages and bytes by domain, cause and route.
         self._counts: dict[tuple[str, str, str], list[int]] = {}
 
     def set_members(self, members: Iterable[Member]) -> None:
-        """Takes which nodes there are, to know where a host stands."""
+        """Sets the known members, whose hosts map to failure domains."""
         self._domains = {m.address.host: m.failure_domain for m in members}
 
     def domain_of(self, host: str) -> str | None:
-        """Returns the failure domain of a node, if it is known."""
+        """Returns the failure domain of the node at `host`, if known."""
         return self._domains.get(host)
 
     def record_forward(
@@ -47,9 +48,9 @@
         """Counts the request of a forwarded attempt.
 
         Args:
-          member: the node it goes to.
-          call: whose attempt it is.
-          request: as it is sent.
+          member: the node that it is sent to.
+          call: the call that the attempt belongs to.
+          request: the request as sent.
         """
         domain, cause = member.failure_domain, _cause(call)
         head_bytes = _head_bytes(request.headers)
@@ -61,12 +62,12 @@
     def record_answer(
         self, member: Member, call: Call, response: Response
     ) -> None:
-        """Counts the answer to a forwarded attempt.
+        """Counts the response to a forwarded attempt.
 
         Args:
-          member: the node it comes from.
-          call: whose attempt it answers.
-          response: as it came.
+          member: the node that it was received from.
+          call: the call that the attempt belongs to.
+          response: the response as received.
         """
         domain = member.failure_domain
         head_bytes = _head_bytes(response.headers)
@@ -77,21 +78,21 @@
     def record_datagram(
         self, channel: Channel, peer: Address, size: int
     ) -> None:
-        """Counts a datagram of `size` bytes that is sent to `peer`."""
+        """Counts a datagram of `size` bytes sent to `peer`."""
         domain = self._domains.get(peer.host, OTHER)
         self._add(domain, f"datagram-{channel.name.lower()}", "", size)
 
     def record_control(self, peer: Address, name: str, size: int) -> None:
-        """Counts a control message and its answer, `size` bytes together."""
+        """Counts a control message and its response, `size` bytes in total."""
         domain = self._domains.get(peer.host, OTHER)
         self._add(domain, f"control-{name}", "", size)
 
     def message_counts(self) -> dict[str, float]:
-        """Returns how many there were, by the labels of a metric."""
+        """Returns the number of messages, by metric labels."""
         return {_labels(*key): n[0] for key, n in self._counts.items()}
 
     def byte_counts(self) -> dict[str, float]:
-        """Returns how long they were in all (bytes), by the same labels."""
+        """Returns the total size of the messages (bytes), by metric labels."""
         return {_labels(*key): n[1] for key, n in self._counts.items()}
 
     def _add(self, domain: str, cause: str, route: str, size: int) -> None:
@@ -104,9 +105,9 @@
 
 
 def _cause(call: Call) -> str:
-    """Returns `first` for a call that nothing was tried for, else `again`.
+    """Returns `first` for the first attempt of a call, `again` for a retry.
 
-    A hedge runs beside the first attempt and counts as one.
+    A hedge runs concurrently with the first attempt and counts as `first`.
     """
     return "again" if call.steps else "first"
 
