--- a/src/radishwind/routes/__init__.py
+++ b/src/radishwind/routes/__init__.py
@@ -1,7 +1,7 @@
-"""Routes: which service a request is for and how it is to be treated.
+"""Routes: map requests to services and state how they are handled.
 
-An operator writes them whole, with a rising version; a node adopts only
-higher ones.
+The operator writes the routes as one configuration whose version rises with
+each change. A node adopts only a version higher than the one in force.
 """
 
 from radishwind.routes.active_routes import ActiveRoutes
--- a/src/radishwind/routes/active_routes.py
+++ b/src/radishwind/routes/active_routes.py
@@ -1,4 +1,4 @@
-"""The version of the routes that a node acts on; it only rises."""
+"""The route configuration in force on a node; its version only rises."""
 
 from collections.abc import Callable
 
@@ -10,14 +10,14 @@
 
 
 class ActiveRoutes:
-    """Holds the newest version; listeners hear of each adoption once.
+    """Holds the newest configuration and notifies listeners of each adoption.
 
     Attributes:
-      cfg: the version in force; `None` before the first.
-      table: its look-up table.
-      accounts: its client accounts.
-      raw: the same as the operator wrote it, for peers.
-      source: where it came from.
+      cfg: the configuration in force; `None` before the first.
+      table: index of its routes.
+      accounts: index of its client accounts.
+      raw: the configuration as the operator wrote it, to be sent to peers.
+      source: where it was received from.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -29,43 +29,46 @@
         self.accounts = AccountIndex()
         self.raw = b""
         self.source = ""
-        self._since = 0.0
+        self._adopted_at = 0.0
 
     @property
     def version(self) -> int:
-        """The version in force; 0 before the first."""
+        """Version in force; 0 before the first."""
         return self.cfg.version if self.cfg else 0
 
     @property
     def age_s(self) -> float:
-        """How long it has been in force (s)."""
-        return self._clock.monotonic() - self._since
+        """Time since the version in force was adopted (s)."""
+        return self._clock.monotonic() - self._adopted_at
 
     def subscribe(self, listener: Callable[[RouteConfig], None]) -> None:
-        """Calls `listener` after each adoption."""
+        """Registers `listener`, called after each adoption."""
         self._listeners.append(listener)
 
     def adopt(self, cfg: RouteConfig, raw: bytes, source: str) -> bool:
-        """Takes `cfg` if its version is higher; returns whether it was.
+        """Adopts `cfg` if its version is higher than the one in force.
 
         Args:
-          cfg: decoded.
-          raw: the same as the operator wrote it.
-          source: where it came from.
+          cfg: the decoded configuration.
+          raw: the configuration as the operator wrote it.
+          source: where it was received from, for the log.
+
+        Returns:
+          Whether it was adopted.
         """
         if cfg.version <= self.version:
             return False
-        before = self.version
-        self._follow_accounts(cfg)
+        previous = self.version
+        self._update_accounts(cfg)
         self.cfg = cfg
         self.table = RouteTable(cfg.routes)
         self.raw = raw
         self.source = source
-        self._since = self._clock.monotonic()
+        self._adopted_at = self._clock.monotonic()
         self._log.change(
             "Adopted a configuration.",
             version=cfg.version,
-            before=before,
+            before=previous,
             source=source,
             routes=len(cfg.routes),
             accounts=len(cfg.accounts),
@@ -74,14 +77,14 @@
             listener(cfg)
         return True
 
-    def _follow_accounts(self, cfg: RouteConfig) -> None:
-        """Takes the accounts of `cfg` where they differ from those in force."""
+    def _update_accounts(self, cfg: RouteConfig) -> None:
+        """Rebuilds the account index if `cfg` changes the accounts."""
         if self.cfg is not None and cfg.accounts == self.cfg.accounts:
             return
         self.accounts = AccountIndex(cfg.accounts)
         if self.accounts.shared_key_count:
             self._log.warning(
-                "Keys are held by several accounts; they count for none.",
+                "Keys held by several accounts are ignored.",
                 version=cfg.version,
                 keys=self.accounts.shared_key_count,
             )
--- a/src/radishwind/routes/evacuation.py
+++ b/src/radishwind/routes/evacuation.py
@@ -1,4 +1,4 @@
-"""The failure domains that the operator empties; revisions only rise."""
+"""Failure domains that the operator evacuated; their revision only rises."""
 
 from collections.abc import Callable
 
@@ -9,11 +9,11 @@
 
 
 class EvacuatedDomains(msgspec.Struct, frozen=True):
-    """What the store said of them as of one revision.
+    """The evacuated failure domains as of one revision of the store.
 
     Attributes:
-      revision: of the store; 0 where nothing is known.
-      names: the failure domains whose servers get nothing new.
+      revision: revision of the store; 0 if nothing is known yet.
+      names: failure domains whose servers get no new requests.
     """
 
     revision: int = 0
@@ -22,22 +22,22 @@
     def with_change(
         self, name: str, revision: int, *, evacuated: bool
     ) -> "EvacuatedDomains":
-        """Returns the same after one change.
+        """Returns the evacuated domains after one change.
 
         Args:
           name: the failure domain.
-          revision: of the change.
-          evacuated: whether it is emptied or taken back.
+          revision: revision of the change.
+          evacuated: whether it is now evacuated; false if it was restored.
         """
         names = self.names | {name} if evacuated else self.names - {name}
         return EvacuatedDomains(revision, names)
 
 
 class EvacuationState:
-    """Holds the newest of them; listeners hear of each change once.
+    """Holds the newest evacuated domains and notifies listeners of changes.
 
     Attributes:
-      domains: the newest that is known.
+      domains: the evacuated domains of the highest revision received.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -47,33 +47,36 @@
 
     @property
     def names(self) -> frozenset[str]:
-        """The failure domains whose servers get nothing new."""
+        """Failure domains whose servers get no new requests."""
         return self.domains.names
 
     def subscribe(self, listener: Callable[[EvacuatedDomains], None]) -> None:
-        """Calls `listener` after each change."""
+        """Registers `listener`, called after each change of the names."""
         self._listeners.append(listener)
 
-    def adopt(self, told: EvacuatedDomains, source: str) -> bool:
-        """Takes `told` if it is newer; returns whether others are named.
+    def adopt(self, domains: EvacuatedDomains, source: str) -> bool:
+        """Adopts `domains` if their revision is higher.
 
         Args:
-          told: what was told.
-          source: who told it, for the log.
+          domains: the evacuated domains received.
+          source: where they were received from, for the log.
+
+        Returns:
+          Whether the names changed.
         """
-        before = self.domains
-        if told.revision <= before.revision:
+        previous = self.domains
+        if domains.revision <= previous.revision:
             return False
-        self.domains = told
-        if told.names == before.names:
+        self.domains = domains
+        if domains.names == previous.names:
             return False
         self._log.change(
-            "Other failure domains are emptied.",
-            domains=" ".join(sorted(told.names)),
-            before=" ".join(sorted(before.names)),
-            revision=told.revision,
+            "The evacuated failure domains changed.",
+            domains=" ".join(sorted(domains.names)),
+            before=" ".join(sorted(previous.names)),
+            revision=domains.revision,
             source=source,
         )
         for listener in self._listeners:
-            listener(told)
+            listener(domains)
         return True
--- a/src/radishwind/routes/model.py
+++ b/src/radishwind/routes/model.py
@@ -1,4 +1,4 @@
-"""The routes of an operator as frozen values."""
+"""Frozen values that hold the operator's route configuration."""
 
 from collections.abc import Mapping
 
@@ -8,11 +8,12 @@
 
 
 class WeightedService(msgspec.Struct, frozen=True):
-    """A service that gets a share of a route's requests.
+    """A service that receives a share of a route's requests.
 
     Attributes:
-      service: its name.
-      weight: its share, against the weights of the route's other parts.
+      service: name of the service.
+      weight: its share, relative to the weights of the route's other
+        services.
     """
 
     service: str
@@ -20,21 +21,21 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """How requests below one prefix of one host are treated.
+    """How requests below one path prefix of one host are handled.
 
     Attributes:
-      name: unique.
-      host: the host asked for, lower case.
-      prefix: begins and ends with a slash.
+      name: unique name.
+      host: requested host, lower case.
+      prefix: path prefix; begins and ends with a slash.
       idempotent: whether a request may run more than once.
-      weighted_services: the services that its requests are shared out to.
-      timeout_s: the longest that a caller is kept waiting (s).
-      aim_s: an answer within this time earns its full worth (s).
-      priority: its rank; 0 is the highest.
-      attempts: targets that one request may reach at most.
-      regions: where its requests may run; empty for anywhere.
-      public: whether a request needs no key.
-      has_large_responses: whether its answers are large.
+      weighted_services: services among which its requests are distributed.
+      timeout_s: longest time that a caller waits for the response (s).
+      aim_s: response time within which a response has its full value (s).
+      priority: priority level; 0 is the highest.
+      attempts: maximum number of targets that one request may reach.
+      regions: regions in which its requests may run; empty for any region.
+      public: whether requests are accepted without an API key.
+      has_large_responses: whether its responses are large.
     """
 
     name: str
@@ -52,15 +53,15 @@
 
 
 class ServiceInfo(msgspec.Struct, frozen=True):
-    """What is configured of a service's targets.
+    """Configured properties of the targets of a service.
 
     Attributes:
-      name: the service.
-      health_path: where its servers answer health checks; empty for nowhere.
+      name: name of the service.
+      health_path: path of the health check of its servers; empty for none.
       connections: connections that one of its servers accepts.
-      warmup_s: how long one is cold after its start (s).
-      warmup_per_s: requests a second that a cold one stands; `None` where
-        nothing bounds them.
+      warmup_s: duration of the slow start of a server (s).
+      warmup_per_s: requests per second that a server accepts during slow
+        start; `None` for no limit.
     """
 
     name: str
@@ -71,13 +72,13 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """What a caller may send and how long it may stay idle.
+    """Limits on the requests and connections of callers.
 
     Attributes:
-      header_bytes: the largest header (bytes).
-      body_bytes: the largest body (bytes).
-      header_s: the longest that a header may take to arrive (s).
-      idle_s: the longest that a connection may stay idle (s).
+      header_bytes: maximum size of a request header (bytes).
+      body_bytes: maximum size of a request body (bytes).
+      header_s: time within which a request header must arrive (s).
+      idle_s: time after which an idle connection is closed (s).
     """
 
     header_bytes: int = 16 * 1024
@@ -87,14 +88,15 @@
 
 
 class RouteConfig(msgspec.Struct, frozen=True):
-    """One version of the configuration.
+    """One version of the route configuration.
 
     Attributes:
       version: rises with each change, by any step.
       routes: all routes.
-      services: what is configured of services, by name.
-      limits: what callers may send.
-      accounts: the client accounts; without any, no request needs a key.
+      services: properties of the services, by name.
+      limits: limits on what callers send.
+      accounts: client accounts; if there are none, no request needs an API
+        key.
     """
 
     version: int
--- a/src/radishwind/routes/route_table.py
+++ b/src/radishwind/routes/route_table.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request by host and longest prefix."""
+"""Matches requests to routes by host and longest path prefix."""
 
 from collections.abc import Iterable
 
@@ -7,16 +7,22 @@
 
 
 class RouteTable:
-    """The routes of one version, indexed; a look-up costs a step a segment."""
+    """Index of the routes of one version.
+
+    A look-up takes one step for each path segment.
+    """
 
     def __init__(self, routes: Iterable[Route]) -> None:
         self._hosts: dict[str, dict[str, Route]] = {}
         for route in routes:
             self._hosts.setdefault(route.host, {})[route.prefix] = route
-        self._shares: dict[str, list[float]] = {}
+        self._credits: dict[str, list[float]] = {}
 
     def match(self, host: str, path: str) -> Route | None:
-        """Returns the route of `host` with the longest prefix of `path`."""
+        """Returns the route of `host` with the longest prefix of `path`.
+
+        Returns `None` if no route matches.
+        """
         prefixes = self._hosts.get(host)
         if prefixes is None:
             return None
@@ -28,26 +34,27 @@
         return None
 
     def next_service(self, route: Route) -> str:
-        """Returns the service that the next request of `route` goes to.
+        """Returns the service for the next request of `route`.
 
-        Smooth weighted round robin: in any row of requests each part has its
-        share to within one request, which a draw at random would not hold.
+        Uses smooth weighted round robin: in any sequence of requests, each
+        service gets its share to within one request, which a random choice
+        would not guarantee.
         """
         if len(route.weighted_services) == 1:
             return route.weighted_services[0].service
-        credits = self._shares.setdefault(
+        credits = self._credits.setdefault(
             route.name, [0.0] * len(route.weighted_services)
         )
-        total = sum(part.weight for part in route.weighted_services)
+        total = sum(entry.weight for entry in route.weighted_services)
         if total <= 0:
             return route.weighted_services[0].service
-        for i, part in enumerate(route.weighted_services):
-            credits[i] += part.weight
+        for i, entry in enumerate(route.weighted_services):
+            credits[i] += entry.weight
         chosen = max(range(len(credits)), key=credits.__getitem__)
         credits[chosen] -= total
         return route.weighted_services[chosen].service
 
 
-def service_names(parts: Iterable[WeightedService]) -> frozenset[str]:
-    """Returns the names of the services of `parts`."""
-    return frozenset(part.service for part in parts)
+def service_names(entries: Iterable[WeightedService]) -> frozenset[str]:
+    """Returns the service names of `entries`."""
+    return frozenset(entry.service for entry in entries)
--- a/src/radishwind/routes/tests/test_routes.py
+++ b/src/radishwind/routes/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes are found by host and longest prefix, shared out, and only rise."""
+"""Tests for the matching, weighting and adoption of routes."""
 
 import collections
 
@@ -30,7 +30,7 @@
         ("other", "/a/x", None),
     ],
 )
-def test_the_longest_prefix_of_the_host_counts(host, path, name):
+def test_longest_prefix_of_the_host_matches(host, path, name):
     table = RouteTable([route("a", prefix="/a/"), route("ab", prefix="/a/b/")])
 
     found = table.match(host, path)
@@ -38,7 +38,7 @@
     assert (found.name if found else None) == name
 
 
-def test_parts_get_their_shares_in_any_row_of_requests():
+def test_requests_are_distributed_by_weight():
     split = route(
         "r",
         weighted_services=(
@@ -54,7 +54,7 @@
     assert counts == {"x": 180, "y": 18, "z": 2}
 
 
-def test_a_part_of_no_weight_gets_nothing():
+def test_service_without_weight_gets_no_requests():
     split = route(
         "r",
         weighted_services=(WeightedService("x", 0), WeightedService("y", 5)),
@@ -64,15 +64,15 @@
     assert {table.next_service(split) for _ in range(50)} == {"y"}
 
 
-def test_versions_only_rise():
-    heard = []
+def test_only_higher_versions_are_adopted():
+    adopted = []
     active_routes = ActiveRoutes(ManualClock())
-    active_routes.subscribe(lambda cfg: heard.append(cfg.version))
+    active_routes.subscribe(lambda cfg: adopted.append(cfg.version))
 
     for version in (5, 3, 5, 9, 7):
         active_routes.adopt(
             RouteConfig(version, (), {}), b"%d" % version, "test"
         )
 
-    assert heard == [5, 9]
+    assert adopted == [5, 9]
     assert (active_routes.version, active_routes.raw) == (9, b"9")
