--- a/src/radishwind/routes/feed_peers.py
+++ b/src/radishwind/routes/feed_peers.py
@@ -1,4 +1,4 @@
-"""The nodes there are as the feed of routes sees them, and who is to watch."""
+"""Peers of a node in the route feed, and which nodes watch the store."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -12,24 +12,27 @@
 from radishwind.membership.ranking import hash_rank
 from radishwind.membership.ranking import ranks_among_first
 
-#: Nodes of a failure domain that watch the store: one may be cut off from it.
+#: Nodes of a failure domain that watch the store; two, since one may lose its
+#: connection to it.
 WATCHERS_PER_DOMAIN = 2
 
-#: Beyond so many watchers in all each failure domain has one. Each change of
-#: the routes costs a call of each watcher; where the store turns a third of the
-#: nodes away, six are all turned away once in 700 times, and a failure domain
-#: whose own can't watch hears of a version from the others.
+#: If two watchers per failure domain would be more than this in total, each
+#: failure domain has one. Each change of the routes costs one store call for
+#: each watcher. If the store refuses a third of the nodes, it refuses all of
+#: six watchers only once in 700 cases, and a failure domain whose own watcher
+#: is refused gets the version from the others.
 MAX_PAIRED_WATCHERS = 6
 
-#: A node that knows no other of its failure domain watches only this long after
-#: its start (s): it finds them within a second. Where each of a start of all
-#: took itself for the only one, each watched, and each change of the routes was
-#: asked for by all of them (31 watches of 27 nodes in the logs of a play).
+#: A node that knows no other node of its failure domain watches the store only
+#: after this time from its start (s). It usually discovers the others within a
+#: second. Without the delay, at a simultaneous start each node assumed that it
+#: was alone and watched, so all of them asked for each change of the routes (31
+#: watches by 27 nodes in the logs of a simulation).
 LONE_NODE_GRACE_S = 2.0
 
 
 def watchers_per_domain(members: Iterable[Member]) -> int:
-    """Returns how many nodes of a failure domain watch the store."""
+    """Returns the number of nodes per failure domain that watch the store."""
     domains = {member.failure_domain for member in members}
     return (
         WATCHERS_PER_DOMAIN
@@ -39,7 +42,7 @@
 
 
 class FeedPeers:
-    """The other nodes that live, by nearness, and this one's duty."""
+    """The other live nodes by failure domain, and whether this node watches."""
 
     def __init__(
         self,
@@ -50,59 +53,59 @@
         clock: Clock,
         rng: random.Random,
     ) -> None:
-        """Makes the view of a node that starts now.
+        """Creates the view of a node that starts now.
 
         Args:
-          node_name: of this node.
-          failure_domain: where it stands.
-          directory: the nodes there are.
+          node_name: name of this node.
+          failure_domain: failure domain of this node.
+          directory: the known members.
           clock: the clock.
-          rng: shuffles.
+          rng: random source for shuffling.
         """
         self._node_name = node_name
         self._failure_domain = failure_domain
         self._directory = directory
         self._clock = clock
         self._rng = rng
-        self._began = clock.monotonic()
+        self._started_at = clock.monotonic()
 
-    def near(self) -> Sequence[Member]:
-        """Returns the others of the own failure domain, shuffled."""
-        return self._where(near=True)
+    def local(self) -> Sequence[Member]:
+        """Returns the other nodes of the own failure domain, shuffled."""
+        return self._select(is_local=True)
 
-    def far(self) -> Sequence[Member]:
-        """Returns those of other failure domains, shuffled."""
-        return self._where(near=False)
+    def remote(self) -> Sequence[Member]:
+        """Returns the nodes of other failure domains, shuffled."""
+        return self._select(is_local=False)
 
     def is_watcher(self) -> bool:
-        """Returns whether this node is to watch the store."""
-        names = [m.name for m in self._others() if self._is_near(m)]
+        """Returns whether this node should watch the store."""
+        names = [m.name for m in self._others() if self._is_local(m)]
         if (
             not names
-            and self._clock.monotonic() - self._began < LONE_NODE_GRACE_S
+            and self._clock.monotonic() - self._started_at < LONE_NODE_GRACE_S
         ):
             return False
-        return ranks_among_first(self._node_name, names, self._watchers())
+        return ranks_among_first(self._node_name, names, self._watcher_count())
 
-    def part(self) -> list[Member]:
-        """Returns the near nodes that this watcher is to bring a version to.
+    def push_recipients(self) -> list[Member]:
+        """Returns the local nodes to which this watcher pushes new versions.
 
-        Each watcher of the failure domain has its part of them.
+        The watchers of a failure domain divide its nodes among themselves.
         """
-        near = self.near()
-        parts = self._watchers()
-        own = hash_rank(self._node_name)
-        number = sum(hash_rank(m.name) < own for m in near) % parts
-        return [m for m in near if hash_rank(m.name) % parts == number]
-
-    def _watchers(self) -> int:
-        """Returns how many nodes of a failure domain watch the store."""
+        local = self.local()
+        watchers = self._watcher_count()
+        own_rank = hash_rank(self._node_name)
+        index = sum(hash_rank(m.name) < own_rank for m in local) % watchers
+        return [m for m in local if hash_rank(m.name) % watchers == index]
+
+    def _watcher_count(self) -> int:
+        """Returns how many nodes of each failure domain watch the store."""
         return watchers_per_domain(self._directory.members())
 
-    def _where(self, *, near: bool) -> Sequence[Member]:
-        found = [m for m in self._others() if self._is_near(m) is near]
-        self._rng.shuffle(found)
-        return found
+    def _select(self, *, is_local: bool) -> Sequence[Member]:
+        members = [m for m in self._others() if self._is_local(m) is is_local]
+        self._rng.shuffle(members)
+        return members
 
     def _others(self) -> Iterator[Member]:
         for member in self._directory.members():
@@ -111,5 +114,5 @@
             if member.name != self._node_name:
                 yield member
 
-    def _is_near(self, member: Member) -> bool:
+    def _is_local(self, member: Member) -> bool:
         return member.failure_domain == self._failure_domain
--- a/src/radishwind/routes/messages.py
+++ b/src/radishwind/routes/messages.py
@@ -1,7 +1,7 @@
-"""What nodes say to each other of a configuration.
+"""Messages by which nodes exchange route configurations and evacuations.
 
-A configuration travels compressed: 1,450 routes are 230 KB of JSON, which one
-node brings to ten others over a link of 10 Mbit/s in 2 s as they are, and in
+A configuration is sent compressed: 1,450 routes are 230 KB of JSON. One node
+sends them to ten others over a link of 10 Mbit/s in 2 s uncompressed, and in
 0.2 s compressed.
 """
 
@@ -15,21 +15,22 @@
 from radishwind.routes.evacuation import EvacuatedDomains
 
 #: Fast, and within a tenth of the best ratio on configurations.
-_LEVEL = 3
+_COMPRESSION_LEVEL = 3
 
 
 class FeedMalformedError(RadishwindError):
-    """What a peer sent of a configuration cannot be read."""
+    """A message or rumor of the route feed cannot be decoded."""
 
     code = ResultCode.PEER_MALFORMED
 
 
 class RouteUpdate(msgspec.Struct, frozen=True, tag="offer"):
-    """Brings what the operator wrote.
+    """Carries the route configuration, the evacuated domains, or both.
 
     Attributes:
-      packed: the configuration as written, compressed; empty for none.
-      emptied: the failure domains that are emptied.
+      packed: the configuration as the operator wrote it, compressed; empty if
+        none is sent.
+      emptied: the evacuated failure domains.
     """
 
     packed: bytes = b""
@@ -37,11 +38,11 @@
 
 
 class UpdateRequest(msgspec.Struct, frozen=True, tag="ask"):
-    """Asks for what is newer.
+    """Requests what is newer than the state of the sender.
 
     Attributes:
-      have: the version in force at the sender; 0 for none.
-      have_emptied: the revision of the emptied failure domains there.
+      have: route version in force at the sender; 0 for none.
+      have_emptied: revision of the evacuated domains at the sender.
     """
 
     have: int
@@ -49,7 +50,7 @@
 
 
 class NoUpdate(msgspec.Struct, frozen=True, tag="nothing"):
-    """Answers that there is nothing newer, or takes an offer."""
+    """Replies that there is nothing newer, or acknowledges a `RouteUpdate`."""
 
 
 FeedMessage: TypeAlias = RouteUpdate | UpdateRequest | NoUpdate
@@ -59,74 +60,79 @@
 
 
 def encode(message: FeedMessage) -> bytes:
-    """Returns `message` as bytes."""
+    """Returns `message` encoded as MessagePack."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes) -> FeedMessage:
-    """Returns the message in `data`.
+    """Returns the message encoded in `data`.
 
     Raises:
-      FeedMalformedError: there is none.
+      FeedMalformedError: `data` is not a valid message.
     """
     try:
         return _decoder.decode(data)
     except msgspec.MsgspecError as exc:
-        raise FeedMalformedError(f"expected a message: {exc}") from exc
+        raise FeedMalformedError(
+            f"expected a route feed message: {exc}"
+        ) from exc
 
 
 class EvacuationRumor(msgspec.Struct, frozen=True, array_like=True):
-    """Tells of emptied failure domains.
+    """Rumor that carries the evacuated failure domains.
 
     Attributes:
-      revision: of the store.
-      names: the domains; `None` where they don't fit in a rumor, so that who
-        hears it has to ask.
+      revision: revision of the store.
+      names: the domains; `None` if they don't fit in a rumor, so that the
+        receiver has to request them.
     """
 
     revision: int
     names: tuple[str, ...] | None
 
 
-def encode_rumor(domains: EvacuatedDomains, most_bytes: int) -> bytes:
-    """Returns a rumor of `domains` of at most `most_bytes`, as JSON."""
+def encode_rumor(domains: EvacuatedDomains, max_bytes: int) -> bytes:
+    """Returns a rumor of `domains` of at most `max_bytes`, as JSON."""
     names = tuple(sorted(domains.names))
     value = msgspec.json.encode(EvacuationRumor(domains.revision, names))
-    if len(value) <= most_bytes:
+    if len(value) <= max_bytes:
         return value
     return msgspec.json.encode(EvacuationRumor(domains.revision, None))
 
 
 def decode_rumor(value: bytes) -> EvacuationRumor:
-    """Returns the rumor in `value`.
+    """Returns the rumor encoded in `value`.
 
     Raises:
-      FeedMalformedError: there is none.
+      FeedMalformedError: `value` is not a valid rumor.
     """
     try:
         return msgspec.json.decode(value, type=EvacuationRumor)
     except msgspec.MsgspecError as exc:
-        raise FeedMalformedError(f"expected a rumor: {exc}") from exc
+        raise FeedMalformedError(
+            f"expected an evacuation rumor: {exc}"
+        ) from exc
 
 
 def compress(raw: bytes) -> bytes:
-    """Returns `raw` compressed."""
-    return zlib.compress(raw, _LEVEL)
+    """Returns `raw` compressed by zlib."""
+    return zlib.compress(raw, _COMPRESSION_LEVEL)
 
 
-def decompress(packed: bytes, most_bytes: int) -> bytes:
-    """Returns what `compress` was given.
+def decompress(packed: bytes, max_bytes: int) -> bytes:
+    """Returns the bytes that `compress` compressed to `packed`.
 
     Raises:
-      FeedMalformedError: it was not packed so, or is longer than `most_bytes`.
+      FeedMalformedError: `packed` is not valid, or its content is longer than
+        `max_bytes`.
     """
-    unpacker = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        raw = unpacker.decompress(packed, most_bytes)
+        raw = decompressor.decompress(packed, max_bytes)
     except zlib.error as exc:
-        raise FeedMalformedError(f"expected packed bytes: {exc}") from exc
-    if not unpacker.eof:
+        raise FeedMalformedError(f"expected compressed bytes: {exc}") from exc
+    if not decompressor.eof:
         raise FeedMalformedError(
-            f"expected at most {most_bytes} bytes, all there, got others"
+            f"expected a complete stream of at most {max_bytes} bytes"
         )
     return raw
--- a/src/radishwind/routes/route_feed.py
+++ b/src/radishwind/routes/route_feed.py
@@ -1,10 +1,11 @@
-"""Brings what the operator wrote to this node and on to its peers.
-
-A few nodes of each failure domain watch the store and push what is new to the
-nodes beside them, each to its part of them. It also travels as rumors: the
-number of a version of the routes, and the emptied failure domains themselves,
-which are few. Who hears of what it lacks asks a peer near it, and the store if
-that fails.
+"""Distributes the operator's routes and evacuations to all nodes.
+
+A few nodes of each failure domain watch the store and push changes to the other
+nodes of the domain, which they divide among themselves. Changes are also spread
+as rumors: the version number of the routes, and the evacuated failure domains
+themselves, which are few. A node that learns of a change it lacks requests it
+from peers, those of its own failure domain first, and from the store if that
+fails.
 """
 
 from collections.abc import Callable
@@ -48,29 +49,32 @@
 from radishwind.store.base import Store
 from radishwind.telemetry.logs import PartLogger
 
-#: The control path on the peer listener.
+#: Name of the control path on the peer listener.
 CONTROL_NAME = "routes"
 
-#: The largest configuration taken from a peer (bytes): the store's largest.
+#: Maximum size of a configuration from a peer (bytes), as that of a value in
+#: the store.
 MAX_CONFIG_BYTES = 1 << 20
 
-#: The topics of the rumors that tell a version, and emptied failure domains.
+#: Rumor topics for the route version and for the evacuated failure domains.
 VERSION_TOPIC = "routes"
 EVACUATION_TOPIC = "emptied"
 
-#: How long such rumors are remembered (s).
-_RUMOR_S = 600.0
+#: Time to live of these rumors (s).
+_RUMOR_TTL_S = 600.0
 
-#: How long a peer may take to give or take a configuration (s).
+#: Timeout for sending a configuration to a peer or receiving it from one (s).
 _PEER_TIMEOUT_S = 0.5
 
-#: A version heard of is pushed to us within this time (s), else we ask.
+#: A node waits about this long for the push of a version it has learned of (s),
+#: and then requests the version.
 _PUSH_WAIT_S = 0.15
 
-#: Versions pushed at once. A packed configuration is 28 to 100 KB, the link of
-#: a node 10 to 20 Mbit/s: six share it within the time that a push may take,
-#: where all of a large failure domain at once would all be cut off.
-#: Who waits asks those who have it already.
+#: Pushes in flight at the same time. A compressed configuration is 28 to 100
+#: KB, the link of a node 10 to 20 Mbit/s: six pushes that share it finish
+#: within the timeout, while concurrent pushes to all nodes of a large failure
+#: domain would all time out. A node that waits requests the version from a peer
+#: that has it.
 MAX_CONCURRENT_PUSHES = 6
 
 
@@ -78,7 +82,7 @@
 
 
 class RouteFeed:
-    """Keeps `ActiveRoutes` and `EvacuationState` at the newest."""
+    """Keeps `ActiveRoutes` and `EvacuationState` up to date."""
 
     def __init__(
         self,
@@ -98,40 +102,41 @@
         first_wait_s: float = 0.0,
         on_proof: Callable[[FreshnessProof], None] | None = None,
     ) -> None:
-        """Wires the feed.
+        """Creates the feed.
 
         Args:
-          node_name: of this node.
-          failure_domain: where it stands.
-          keys: where the operator's words lie in the store.
-          decode: reads a configuration; raises a `RadishwindError` if it is
+          node_name: name of this node.
+          failure_domain: failure domain of this node.
+          keys: the operator's keys in the store.
+          decode: decodes a configuration; raises a `RadishwindError` if it is
             malformed.
           store: the platform's store.
-          active_routes: takes configurations.
-          evacuation: takes the emptied failure domains.
-          directory: the nodes there are.
-          rumor_bus: tells all nodes what is new.
+          active_routes: holds the configuration in force.
+          evacuation: holds the evacuated failure domains.
+          directory: the known members.
+          rumor_bus: spreads changes to all nodes.
           peers: calls other nodes.
           clock: the clock.
-          rng: the random source of pauses.
-          first_wait_s: the store is first asked after up to this time (s), at
-            random; not where a peer brought the configuration before.
-          on_proof: takes what the first read proves, where that is wanted.
+          rng: random source of pauses and of the order of peers.
+          first_wait_s: the store is first read after a random time of up to
+            this (s), unless a peer sends the configuration before.
+          on_proof: called with the freshness proof of the first read; `None`
+            if no proof is needed.
         """
         self._node_name = node_name
-        self._neighbours = FeedPeers(
+        self._feed_peers = FeedPeers(
             node_name=node_name,
             failure_domain=failure_domain,
             directory=directory,
             clock=clock,
             rng=rng,
         )
-        self._store_side = StoreWatcher(
+        self._store_watcher = StoreWatcher(
             keys=keys,
             store=store,
             clock=clock,
             rng=rng,
-            is_watcher=lambda: self._neighbours.is_watcher(),
+            is_watcher=lambda: self._feed_peers.is_watcher(),
             on_config=self._adopt_config,
             on_evacuation=self._adopt_evacuated,
             evacuated=lambda: evacuation.domains,
@@ -145,84 +150,97 @@
         self._rng = rng
         self._first_wait_s = first_wait_s
         self._log = PartLogger("routes", clock)
-        self._heard_version = 0
-        self._heard_emptied = 0
-        self._heard = anyio.Event()
-        # The version that is packed, and packed; made for the first peer.
-        self._packed = (0, b"")
+        self._known_version = 0
+        self._known_evacuation_revision = 0
+        self._behind_event = anyio.Event()
+        # A version and its compressed configuration, made on the first use.
+        self._compressed = (0, b"")
         self._tasks: anyio.abc.TaskGroup | None = None
-        rumor_bus.subscribe(VERSION_TOPIC, self._on_rumor)
-        rumor_bus.subscribe(EVACUATION_TOPIC, self._on_emptied_rumor)
-        active_routes.subscribe(self._adopted)
+        rumor_bus.subscribe(VERSION_TOPIC, self._on_version_rumor)
+        rumor_bus.subscribe(EVACUATION_TOPIC, self._on_evacuation_rumor)
+        active_routes.subscribe(self._on_adopted)
 
     async def run(self) -> None:
         """Runs until cancelled."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             tasks.start_soon(
-                self._store_side.run,
+                self._store_watcher.run,
                 self._first_wait_s,
                 lambda: self._active_routes.cfg is not None,
             )
-            await self._follow_peers()
+            await self._pull_when_behind()
 
     async def confirm(self) -> FreshnessProof | None:
-        """Asks the store what its newest configuration is, and takes it."""
-        return await self._store_side.confirm()
+        """Asks the store for its newest configuration, and adopts it if newer.
+
+        Returns:
+          The freshness proof; `None` if the store did not answer or has no
+          valid configuration.
+        """
+        return await self._store_watcher.confirm()
 
     def note_version(self, version: int) -> None:
-        """Takes that there is `version`, to be fetched if it is newer."""
-        if version > self._heard_version:
-            self._heard_version = version
-            self._heard.set()
+        """Records that `version` exists, so that it is fetched if newer."""
+        if version > self._known_version:
+            self._known_version = version
+            self._behind_event.set()
 
     async def handle(self, request: Request) -> Response:
-        """Answers a peer that brings what is new, or asks for it."""
+        """Handles a `RouteUpdate` or an `UpdateRequest` of a peer."""
         body = await whole_body(request.body)
         try:
             message = decode_message(body)
             if isinstance(message, RouteUpdate):
-                self._take_offer(message, f"peer {request.remote}")
+                self._apply_update(message, f"peer {request.remote}")
         except FeedMalformedError as exc:
-            self._log.warning("A message is malformed.", reason=str(exc)[:120])
+            self._log.warning(
+                "A message of a peer is malformed.", reason=str(exc)[:120]
+            )
             return problem_response(exc.code, str(exc), "not-run")
-        answer: RouteUpdate | NoUpdate = NoUpdate()
+        reply: RouteUpdate | NoUpdate = NoUpdate()
         if isinstance(message, UpdateRequest):
-            answer = self.build_reply(message)
-        data = encode(answer)
+            reply = self.build_reply(message)
+        data = encode(reply)
         return Response(200, _MSGPACK, data, len(data))
 
-    def build_reply(self, ask: UpdateRequest) -> RouteUpdate | NoUpdate:
-        """Returns what the peer that asks lacks."""
-        emptied = self._evacuation.domains
-        if ask.have < self._active_routes.version:
-            return RouteUpdate(self._pack(), emptied)
-        if ask.have_emptied < emptied.revision:
-            return RouteUpdate(b"", emptied)
+    def build_reply(self, request: UpdateRequest) -> RouteUpdate | NoUpdate:
+        """Returns what the requesting peer lacks."""
+        evacuated = self._evacuation.domains
+        if request.have < self._active_routes.version:
+            return RouteUpdate(self._compressed_config(), evacuated)
+        if request.have_emptied < evacuated.revision:
+            return RouteUpdate(b"", evacuated)
         return NoUpdate()
 
-    def _take_offer(self, offer: RouteUpdate, source: str) -> None:
-        """Takes what a peer brought: where nothing may go before the routes.
+    def _apply_update(self, update: RouteUpdate, source: str) -> None:
+        """Adopts the content of an update, the evacuations before the routes.
 
         Raises:
-          FeedMalformedError: it cannot be unpacked.
+          FeedMalformedError: the configuration cannot be decompressed.
         """
         raw = (
-            decompress(offer.packed, MAX_CONFIG_BYTES) if offer.packed else b""
+            decompress(update.packed, MAX_CONFIG_BYTES)
+            if update.packed
+            else b""
         )
-        self._adopt_evacuated(offer.emptied, source)
+        self._adopt_evacuated(update.emptied, source)
         if raw:
             self._adopt_config(raw, source)
 
-    def _pack(self) -> bytes:
-        """Returns the configuration in force, packed; empty for none."""
+    def _compressed_config(self) -> bytes:
+        """Returns the configuration in force, compressed; empty for none."""
         version = self._active_routes.version
-        if version and self._packed[0] != version:
-            self._packed = (version, compress(self._active_routes.raw))
-        return self._packed[1]
+        if version and self._compressed[0] != version:
+            self._compressed = (version, compress(self._active_routes.raw))
+        return self._compressed[1]
 
     def _adopt_config(self, raw: bytes, source: str) -> int:
-        """Takes a configuration; returns its version, 0 if malformed."""
+        """Adopts a configuration if it is newer.
+
+        Returns:
+          Its version; 0 if it is malformed.
+        """
         if (
             self._active_routes.cfg is not None
             and raw == self._active_routes.raw
@@ -232,7 +250,7 @@
             cfg = self._decode(raw)
         except RadishwindError as exc:
             self._log.error(
-                "A configuration is malformed; the old one stays.",
+                "A configuration is malformed; the one in force is kept.",
                 source=source,
                 reason=str(exc)[:200],
             )
@@ -240,49 +258,54 @@
         self._active_routes.adopt(cfg, raw, source)
         return cfg.version
 
-    def _adopt_evacuated(self, told: EvacuatedDomains, source: str) -> None:
-        """Takes emptied failure domains and tells on what is new.
+    def _adopt_evacuated(self, domains: EvacuatedDomains, source: str) -> None:
+        """Adopts evacuated domains if they are newer, and spreads the change.
 
-        Who told what is older than the own knowledge, and otherwise, hears it:
-        a failure domain that was taken back while nobody watched would stay
-        empty for those who heard of it before.
+        If `domains` are older than the own ones and differ from them, the own
+        ones are published again: otherwise, a failure domain that was restored
+        while no node watched would stay evacuated for the nodes that learned
+        of the evacuation before.
         """
-        mine = self._evacuation.domains
-        if self._evacuation.adopt(told, source):
-            self._tell_emptied()
-            self._push_soon(RouteUpdate(b"", told))
-        elif told.revision < mine.revision and told.names != mine.names:
-            self._tell_emptied()
-        self._heard_emptied = max(self._heard_emptied, told.revision)
-
-    def _tell_emptied(self) -> None:
-        told = self._evacuation.domains
-        value = encode_rumor(told, MAX_RUMOR_VALUE_CHARS)
+        own = self._evacuation.domains
+        if self._evacuation.adopt(domains, source):
+            self._publish_evacuation()
+            self._push_soon(RouteUpdate(b"", domains))
+        elif domains.revision < own.revision and domains.names != own.names:
+            self._publish_evacuation()
+        self._known_evacuation_revision = max(
+            self._known_evacuation_revision, domains.revision
+        )
+
+    def _publish_evacuation(self) -> None:
+        domains = self._evacuation.domains
+        value = encode_rumor(domains, MAX_RUMOR_VALUE_CHARS)
         self._rumor_bus.publish(
-            EVACUATION_TOPIC, "domains", told.revision, value, _RUMOR_S
+            EVACUATION_TOPIC, "domains", domains.revision, value, _RUMOR_TTL_S
         )
 
-    def _adopted(self, cfg: RouteConfig) -> None:
-        self._heard_version = max(self._heard_version, cfg.version)
+    def _on_adopted(self, cfg: RouteConfig) -> None:
+        self._known_version = max(self._known_version, cfg.version)
         value = msgspec.json.encode([cfg.version, self._node_name])
         self._rumor_bus.publish(
-            VERSION_TOPIC, "version", cfg.version, value, _RUMOR_S
+            VERSION_TOPIC, "version", cfg.version, value, _RUMOR_TTL_S
+        )
+        self._push_soon(
+            RouteUpdate(self._compressed_config(), self._evacuation.domains)
         )
-        self._push_soon(RouteUpdate(self._pack(), self._evacuation.domains))
 
-    def _push_soon(self, offer: RouteUpdate) -> None:
-        if self._tasks is not None and self._neighbours.is_watcher():
-            self._tasks.start_soon(self._push, encode(offer))
+    def _push_soon(self, update: RouteUpdate) -> None:
+        if self._tasks is not None and self._feed_peers.is_watcher():
+            self._tasks.start_soon(self._push, encode(update))
 
     async def _push(self, data: bytes) -> None:
-        """Brings what is new to a part of the nodes beside this one.
+        """Pushes an encoded update to this watcher's share of the local nodes.
 
-        Each watcher of the failure domain has its part; where one of them is
-        cut off, those of its part hear the rumor and ask.
+        If another watcher of the failure domain is disconnected, the nodes of
+        its share receive the rumor and request the update.
         """
         limit = anyio.Semaphore(MAX_CONCURRENT_PUSHES)
         async with anyio.create_task_group() as tasks:
-            for member in self._neighbours.part():
+            for member in self._feed_peers.push_recipients():
                 await limit.acquire()
                 tasks.start_soon(self._push_to, member, data, limit)
 
@@ -294,12 +317,14 @@
                 member.address, CONTROL_NAME, data, _PEER_TIMEOUT_S
             )
         except PeerError as exc:
-            # The rumor reaches it, and then it asks.
-            self._log.info("A push failed.", reason=str(exc)[:120])
+            # The peer receives the rumor and then requests the update.
+            self._log.info(
+                "Failed to push an update to a peer.", reason=str(exc)[:120]
+            )
         finally:
             limit.release()
 
-    def _on_rumor(self, key: str, value: bytes) -> None:
+    def _on_version_rumor(self, key: str, value: bytes) -> None:
         try:
             version = msgspec.json.decode(value, type=tuple[int, str])[0]
         except msgspec.MsgspecError as exc:
@@ -307,73 +332,81 @@
             return
         self.note_version(version)
 
-    def _on_emptied_rumor(self, key: str, value: bytes) -> None:
+    def _on_evacuation_rumor(self, key: str, value: bytes) -> None:
         try:
             rumor = decode_rumor(value)
         except FeedMalformedError as exc:
             self._log.warning("A rumor is malformed.", reason=str(exc)[:120])
             return
         if rumor.names is not None:
-            told = EvacuatedDomains(rumor.revision, frozenset(rumor.names))
-            self._adopt_evacuated(told, "rumor")
+            domains = EvacuatedDomains(rumor.revision, frozenset(rumor.names))
+            self._adopt_evacuated(domains, "rumor")
             return
-        if rumor.revision > self._heard_emptied:
-            self._heard_emptied = rumor.revision
-            self._heard.set()
+        if rumor.revision > self._known_evacuation_revision:
+            self._known_evacuation_revision = rumor.revision
+            self._behind_event.set()
 
-    async def _follow_peers(self) -> None:
+    async def _pull_when_behind(self) -> None:
         while True:
             if not self._is_behind():
-                await self._hear()
+                await self._wait_until_notified()
                 if not self._is_behind():
                     continue
                 await anyio.sleep(_PUSH_WAIT_S * (0.5 + self._rng.random()))
             if self._is_behind() and not await self._pull():
                 await anyio.sleep(_PUSH_WAIT_S)
 
-    async def _hear(self) -> None:
-        """Waits for news; without any routes also for the first peers."""
-        self._heard = anyio.Event()
+    async def _wait_until_notified(self) -> None:
+        """Waits until a newer version or revision is known to exist.
+
+        A node without any routes waits only for a short time, after which it
+        checks for peers again.
+        """
+        self._behind_event = anyio.Event()
         if self._active_routes.cfg is not None:
-            await self._heard.wait()
+            await self._behind_event.wait()
             return
         with anyio.move_on_after(DUTY_CHECK_INTERVAL_S):
-            await self._heard.wait()
+            await self._behind_event.wait()
 
     def _is_behind(self) -> bool:
         if self._active_routes.cfg is None:
-            return bool(self._neighbours.near() or self._neighbours.far())
-        if self._evacuation.domains.revision < self._heard_emptied:
+            return bool(self._feed_peers.local() or self._feed_peers.remote())
+        if self._evacuation.domains.revision < self._known_evacuation_revision:
             return True
-        return self._active_routes.version < self._heard_version
+        return self._active_routes.version < self._known_version
 
     async def _pull(self) -> bool:
-        """Asks peers, near ones first, then the store; `False` if in vain."""
+        """Requests updates from peers, local ones first, then from the store.
+
+        Returns:
+          Whether the node is up to date afterwards.
+        """
         for member in (
-            *self._neighbours.near()[:3],
-            *self._neighbours.far()[:2],
+            *self._feed_peers.local()[:3],
+            *self._feed_peers.remote()[:2],
         ):
             if await self._pull_from(member):
                 return True
         if self._active_routes.cfg is None:
             return False
-        await self._store_side.read()
+        await self._store_watcher.read()
         return not self._is_behind()
 
     async def _pull_from(self, member: Member) -> bool:
-        ask = encode(
+        request = encode(
             UpdateRequest(
                 self._active_routes.version, self._evacuation.domains.revision
             )
         )
         try:
             data = await self._peers.call(
-                member.address, CONTROL_NAME, ask, _PEER_TIMEOUT_S
+                member.address, CONTROL_NAME, request, _PEER_TIMEOUT_S
             )
             message = decode_message(data)
             if isinstance(message, RouteUpdate):
-                self._take_offer(message, f"peer {member.name}")
+                self._apply_update(message, f"peer {member.name}")
         except (PeerError, FeedMalformedError) as exc:
-            self._log.info("A peer gave no routes.", reason=str(exc)[:120])
+            self._log.info("A peer sent no routes.", reason=str(exc)[:120])
             return False
         return self._active_routes.cfg is not None and not self._is_behind()
--- a/src/radishwind/routes/store_watcher.py
+++ b/src/radishwind/routes/store_watcher.py
@@ -1,7 +1,7 @@
-"""Reads what the operator writes to the store, and watches it.
+"""Reads and watches the operator's keys in the store.
 
-The configuration and the emptied failure domains lie below one prefix, so one
-read and one watch bring both.
+The route configuration and the evacuated failure domains have a common key
+prefix, so that one read and one watch cover both.
 """
 
 from collections.abc import Callable
@@ -22,25 +22,25 @@
 from radishwind.store.budgeted_store import Backoff
 from radishwind.telemetry.logs import PartLogger
 
-#: What the store is named as a source.
+#: Source given with everything that is read from the store.
 STORE_SOURCE = "store"
 
-#: Pauses after failed calls of the store (s).
-_FIRST_PAUSE_S = 0.1
-_LONGEST_PAUSE_S = 1.0
+#: Bounds of the pause after a failed call of the store (s).
+_INITIAL_PAUSE_S = 0.1
+_MAX_PAUSE_S = 1.0
 
-#: How often a node looks whether it is to watch (s).
+#: Interval at which a node checks whether it should watch the store (s).
 DUTY_CHECK_INTERVAL_S = 0.5
 
 
 class OperatorKeys(msgspec.Struct, frozen=True):
-    """Where the operator's words lie in the store.
+    """The operator's keys in the store.
 
     Attributes:
-      prefix: of all of them.
-      config: the key of the configuration, below `prefix`.
-      evacuated_domain: returns the failure domain that a key says is emptied;
-        `None` for another key.
+      prefix: common prefix of all of them.
+      config: key of the route configuration, below `prefix`.
+      evacuated_domain: returns the failure domain that a key marks as
+        evacuated; `None` for another key.
     """
 
     prefix: str
@@ -49,7 +49,7 @@
 
 
 class StoreWatcher:
-    """Follows the store while this node is to, and tells what it found."""
+    """Reads the store once, and watches it while this node is a watcher."""
 
     def __init__(
         self,
@@ -64,22 +64,23 @@
         evacuated: Callable[[], EvacuatedDomains],
         on_proof: Callable[[FreshnessProof], None] | None = None,
     ) -> None:
-        """Wires the store's side of the feed.
+        """Creates the watcher.
 
         Args:
-          keys: where the operator's words lie.
+          keys: the operator's keys in the store.
           store: the platform's store.
           clock: the clock.
-          rng: the random source of pauses.
-          is_watcher: returns whether this node is to watch.
-          on_config: takes a configuration as written, and its source;
-            returns its version, 0 where it can't be read.
-          on_evacuation: takes the emptied failure domains and their source.
-          evacuated: returns those in force.
-          on_proof: takes what the first read proves; `None` where nobody
-            wants proof, so that it may bring old state.
+          rng: random source of pauses.
+          is_watcher: returns whether this node should watch the store.
+          on_config: called with an encoded configuration and its source;
+            returns its version, 0 if it is malformed.
+          on_evacuation: called with the evacuated failure domains and their
+            source.
+          evacuated: returns the evacuated failure domains in force.
+          on_proof: called with the freshness proof of the first read; `None`
+            if no proof is needed, so that the first read may be stale.
         """
-        self._take_proof = on_proof
+        self._on_proof = on_proof
         self._keys = keys
         self._store = store
         self._rng = rng
@@ -88,26 +89,30 @@
         self._on_evacuation = on_evacuation
         self._evacuated = evacuated
         self._log = PartLogger("routes", clock)
-        self._backoff = Backoff(rng, _FIRST_PAUSE_S, _LONGEST_PAUSE_S)
+        self._backoff = Backoff(rng, _INITIAL_PAUSE_S, _MAX_PAUSE_S)
         self._clock = clock
         self._revision = 0
-        # The newest revision at which the configuration is known for certain,
-        # and its version: by a read of no old state, or by a change itself.
-        self._certain = (0, 0)
-        self._lost = False
+        # The newest revision at which the version of the configuration is
+        # certain, and this version: from a linearizable read or from a change.
+        self._confirmed = (0, 0)
+        self._is_unavailable = False
 
     async def run(
         self, first_wait_s: float, is_known: Callable[[], bool]
     ) -> None:
-        """Reads once and then watches while it is to, until cancelled.
+        """Reads once, then watches while this node is a watcher.
+
+        Runs until cancelled.
 
         Args:
-          first_wait_s: the store is first asked after up to this time (s).
-          is_known: returns whether a peer brought it before.
+          first_wait_s: the first read comes after a random time of up to this
+            (s); 0 to read at once in any case.
+          is_known: returns whether a configuration is in force; if a peer sent
+            one during the wait, the read is skipped.
         """
         await anyio.sleep(self._rng.random() * first_wait_s)
-        peers_may_bring_it = first_wait_s > 0
-        while not is_known() or not peers_may_bring_it:
+        may_skip_read = first_wait_s > 0
+        while not is_known() or not may_skip_read:
             if await self._read_first():
                 break
             await anyio.sleep(self._backoff.record_failure())
@@ -123,125 +128,132 @@
             await self._watch()
 
     async def _read_first(self) -> bool:
-        """Returns whether the first read brought a configuration."""
-        if self._take_proof is None:
-            # What is newer than an old answer comes by the watch from its
-            # revision on, and to those who don't watch as a rumor.
+        """Returns whether the first read returned a configuration."""
+        if self._on_proof is None:
+            # Changes after a stale response are received by the watch, which
+            # starts at its revision, and by other nodes as a rumor.
             return await self.read(allow_stale=True)
         proof = await self.confirm()
         if proof is not None:
-            self._take_proof(proof)
+            self._on_proof(proof)
         return proof is not None
 
     async def read(self, *, allow_stale: bool = False) -> bool:
-        """Returns whether there is a configuration and it could be read."""
+        """Reads all keys; returns whether there was a configuration."""
         return await self._read(allow_stale=allow_stale) is not None
 
     async def confirm(self) -> FreshnessProof | None:
-        """Asks the store what its newest configuration is.
+        """Asks the store which configuration is its newest.
 
-        A watch proves nothing: it may hear of a change late. Where the store's
-        revision is still the one at which the configuration is known, a short
-        answer does; else all is read.
+        A watch proves nothing, since it may report a change late. If the
+        revision of the store is still the one at which its configuration is
+        known, reading the revision is sufficient; else all keys are read.
 
         Returns:
-          What that proves, counted from before the question; `None` where the
-          store gave no answer or has no configuration that can be read.
+          The freshness proof, dated to before the call; `None` if the store
+          did not answer or has no valid configuration.
         """
-        asked_at = self._clock.monotonic()
+        called_at = self._clock.monotonic()
         try:
-            if self._certain[1]:
+            if self._confirmed[1]:
                 revision = await self._store.revision()
-                if revision == self._certain[0]:
-                    self._note(lost=False)
-                    return FreshnessProof(asked_at, self._certain[1])
+                if revision == self._confirmed[0]:
+                    self._record_result(failed=False)
+                    return FreshnessProof(called_at, self._confirmed[1])
         except StoreError as exc:
-            self._note(lost=True, reason=str(exc)[:120])
+            self._record_result(failed=True, reason=str(exc)[:120])
             return None
         version = await self._read()
-        return FreshnessProof(asked_at, version) if version else None
+        return FreshnessProof(called_at, version) if version else None
 
     async def _read(self, *, allow_stale: bool = False) -> int | None:
-        """Reads all; returns the version, 0 for one that can't be read.
+        """Reads all keys and passes them on.
 
-        Returns `None` where there is no configuration, or no answer.
+        Returns:
+          The version of the configuration, 0 if it is malformed; `None` if
+          there is none or the store did not answer.
         """
         try:
             entries = await self._store.list(
                 self._keys.prefix, allow_stale=allow_stale
             )
         except StoreError as exc:
-            self._note(lost=True, reason=str(exc)[:120])
+            self._record_result(failed=True, reason=str(exc)[:120])
             return None
-        self._note(lost=False)
+        self._record_result(failed=False)
         config = [e for e in entries if e.key == self._keys.config]
         if not config:
             return None
-        # From the store's revision on: the keys' own may be older than the
-        # history, and a watch from there is refused at once.
+        # Watch from the revision of the store on: the revisions of the keys may
+        # be older than the history, so that the store refuses a watch from
+        # there.
         newest = max(entry.mod_revision for entry in entries)
         as_of = max(newest, min(e.store_revision for e in entries))
         self._revision = as_of
-        # An old answer counts as no newer than what it shows, so that it never
-        # stands against what others heard since.
-        names = self._emptied_names(entries)
-        told = EvacuatedDomains(newest if allow_stale else as_of, names)
-        self._on_evacuation(told, STORE_SOURCE)
+        # A stale response gets the revision of the newest key in it, so that
+        # it never overrides what other nodes have learned since.
+        names = self._evacuated_names(entries)
+        domains = EvacuatedDomains(newest if allow_stale else as_of, names)
+        self._on_evacuation(domains, STORE_SOURCE)
         version = self._on_config(config[0].value, STORE_SOURCE)
         if not allow_stale:
-            self._note_certain(config[0].store_revision, version)
+            self._record_confirmed(config[0].store_revision, version)
         return version
 
-    def _note_certain(self, revision: int, version: int) -> None:
-        """Takes that `version` is the store's configuration at `revision`."""
-        if version and revision > self._certain[0]:
-            self._certain = (revision, version)
+    def _record_confirmed(self, revision: int, version: int) -> None:
+        """Records that `version` is in the store as of `revision`."""
+        if version and revision > self._confirmed[0]:
+            self._confirmed = (revision, version)
 
-    def _emptied_names(self, entries: Sequence[StoreEntry]) -> frozenset[str]:
+    def _evacuated_names(self, entries: Sequence[StoreEntry]) -> frozenset[str]:
         names = (self._keys.evacuated_domain(entry.key) for entry in entries)
         return frozenset(name for name in names if name is not None)
 
     async def _watch(self) -> None:
-        """Watches until the watch fails, or others are to watch.
+        """Watches until the watch fails or this node is no longer a watcher.
 
-        The next one goes on from the last revision seen; all is read anew only
-        where the store forgot what came since.
+        The next watch continues from the last revision seen. All keys are read
+        again only if the store has compacted the history since then.
         """
         try:
             async for event in self._store.watch(
                 self._keys.prefix, self._revision + 1
             ):
-                self._note(lost=False)
+                self._record_result(failed=False)
                 self._revision = max(self._revision, event.revision)
-                self._take(event)
+                self._apply_event(event)
                 if not self._is_watcher():
                     return
         except StoreCompactedError:
             self._revision = 0
         except StoreError as exc:
-            self._note(lost=True, reason=str(exc)[:120])
+            self._record_result(failed=True, reason=str(exc)[:120])
         await anyio.sleep(self._backoff.record_failure())
 
-    def _take(self, event: WatchEvent) -> None:
+    def _apply_event(self, event: WatchEvent) -> None:
         if event.key == self._keys.config:
             if event.entry is not None:
                 version = self._on_config(event.entry.value, STORE_SOURCE)
-                self._note_certain(event.revision, version)
+                self._record_confirmed(event.revision, version)
             return
         name = self._keys.evacuated_domain(event.key)
         if name is None:
             return
-        told = self._evacuated().with_change(
+        domains = self._evacuated().with_change(
             name, event.revision, evacuated=event.entry is not None
         )
-        self._on_evacuation(told, STORE_SOURCE)
+        self._on_evacuation(domains, STORE_SOURCE)
 
-    def _note(self, *, lost: bool, reason: str = "") -> None:
-        """Logs when the store is lost and regained."""
-        if not lost:
+    def _record_result(self, *, failed: bool, reason: str = "") -> None:
+        """Logs when the store becomes unavailable and available again."""
+        if not failed:
             self._backoff.record_success()
-        if lost == self._lost:
+        if failed == self._is_unavailable:
             return
-        self._lost = lost
-        sentence = "Lost the store." if lost else "Regained the store."
+        self._is_unavailable = failed
+        sentence = (
+            "The store is unavailable."
+            if failed
+            else "The store is available again."
+        )
         self._log.change(sentence, reason=reason)
--- a/src/radishwind/routes/tests/test_evacuation.py
+++ b/src/radishwind/routes/tests/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Which failure domains are emptied reaches every node and never goes back."""
+"""Tests that evacuations reach every node and are not undone by old state."""
 
 import random
 
@@ -40,21 +40,21 @@
     return "asyncio"
 
 
-def of(revision, *names):
+def evacuated(revision, *names):
     return EvacuatedDomains(revision, frozenset(names))
 
 
-class KeptStore:
-    """Holds keys; tells changes to watches; may forget, be away or be old."""
+class Store:
+    """Store stub with watches, compaction, outages and stale reads."""
 
     def __init__(self):
         self.items = {}
         self.events = []
         self.revision = 10
-        self.oldest = 0
-        self.away = False
+        self.compacted_revision = 0
+        self.is_down = False
         self.reads = 0
-        self.old = None
+        self.stale_entries = None
         self._changed = anyio.Event()
         self.put(CONFIG, b"7")
 
@@ -76,9 +76,9 @@
         self._changed.set()
         self._changed = anyio.Event()
 
-    def forget_history(self):
+    def compact(self):
         self.events.clear()
-        self.oldest = self.revision
+        self.compacted_revision = self.revision
         self._changed.set()
         self._changed = anyio.Event()
 
@@ -91,17 +91,17 @@
 
     async def list(self, prefix, limit=0, *, allow_stale=False):
         self.reads += 1
-        if self.away:
-            raise StoreUnavailableError("away")
-        if allow_stale and self.old is not None:
-            return self.old
+        if self.is_down:
+            raise StoreUnavailableError("down")
+        if allow_stale and self.stale_entries is not None:
+            return self.stale_entries
         return self.snapshot()
 
     async def watch(self, prefix, from_revision):
         while True:
-            if self.away:
-                raise StoreUnavailableError("away")
-            if from_revision <= self.oldest:
+            if self.is_down:
+                raise StoreUnavailableError("down")
+            if from_revision <= self.compacted_revision:
                 raise StoreCompactedError("expected history, got 410")
             for event in list(self.events):
                 if event.revision >= from_revision:
@@ -110,40 +110,40 @@
             await self._changed.wait()
 
 
-class Board:
-    """Hands what one node publishes to the others, if it is not cut."""
+class RumorBus:
+    """Delivers what is published to the subscribers, unless it is cut."""
 
     def __init__(self):
         self.handlers = {}
-        self.told = []
-        self.cut = False
+        self.published = []
+        self.is_cut = False
 
     def subscribe(self, topic, handler):
         self.handlers.setdefault(topic, []).append(handler)
 
     def publish(self, topic, key, version, value, ttl_s):
-        self.told.append((topic, version, value))
-        if self.cut:
+        self.published.append((topic, version, value))
+        if self.is_cut:
             return
         for handler in self.handlers[topic]:
             handler(key, value)
 
 
 class Peers:
-    """Takes what is pushed and has nothing to give."""
+    """Peer client stub that accepts pushes and refuses requests."""
 
     def __init__(self):
-        self.offers = []
+        self.updates = []
 
     async def call(self, address, name, data, timeout_s):
         message = messages.decode(data)
         if isinstance(message, messages.UpdateRequest):
-            raise PeerError("nothing to give")
-        self.offers.append(message)
+            raise PeerError("no routes")
+        self.updates.append(message)
         return messages.encode(messages.NoUpdate())
 
 
-class Names:
+class Directory:
     def __init__(self, *names):
         self._members = tuple(
             Member(n, "s", "a", Address("h", 1), 1, MemberState.ALIVE)
@@ -155,13 +155,13 @@
 
 
 class Node:
-    """One feed with what it keeps."""
+    """A route feed and the state that it maintains."""
 
-    def __init__(self, store, rumor_bus=None, name="own", watches=True):
+    def __init__(self, store, rumor_bus=None, name="own", is_watcher=True):
         clock = ManualClock()
         self.routes = ActiveRoutes(clock)
         self.evacuation = EvacuationState(clock)
-        self.rumor_bus = rumor_bus or Board()
+        self.rumor_bus = rumor_bus or RumorBus()
         self.peers = Peers()
         self.feed = RouteFeed(
             node_name=name,
@@ -171,15 +171,15 @@
             store=store,
             active_routes=self.routes,
             evacuation=self.evacuation,
-            directory=Names("own", *(f"p-{number}" for number in range(8))),
+            directory=Directory("own", *(f"p-{number}" for number in range(8))),
             rumor_bus=self.rumor_bus,
             peers=self.peers,
             clock=clock,
             rng=random.Random(1),
         )
-        self.feed._neighbours.is_watcher = lambda: watches
+        self.feed._feed_peers.is_watcher = lambda: is_watcher
 
-    async def until(self, expected):
+    async def wait_for(self, expected):
         with anyio.fail_after(5):
             while self.evacuation.names != frozenset(expected):  # noqa: ASYNC110
                 await anyio.sleep(0.001)
@@ -192,197 +192,214 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_a_watcher_hears_of_one_emptied_and_of_one_taken_back():
-    store = KeptStore()
+async def test_watcher_follows_evacuations_and_restorations():
+    store = Store()
     node = Node(store)
 
     async def steps():
-        await node.until(())
+        await node.wait_for(())
         await anyio.sleep(0.05)
         store.put("op/evacuate/b")
-        await node.until("b")
+        await node.wait_for("b")
         store.put("op/evacuate/c")
-        await node.until("bc")
+        await node.wait_for("bc")
         store.delete("op/evacuate/b")
-        await node.until("c")
+        await node.wait_for("c")
 
     await run(node, steps)
     assert store.reads == 1
     versions = [
-        v for topic, v, _ in node.rumor_bus.told if topic == EVACUATION_TOPIC
+        v
+        for topic, v, _ in node.rumor_bus.published
+        if topic == EVACUATION_TOPIC
     ]
     assert versions == sorted(set(versions))
 
 
-async def test_one_that_starts_has_it_before_it_has_routes():
-    store = KeptStore()
+async def test_evacuations_are_adopted_before_the_routes_at_start():
+    store = Store()
     store.put("op/evacuate/b")
-    node = Node(store, watches=False)
+    node = Node(store, is_watcher=False)
     known = []
     node.routes.subscribe(lambda cfg: known.append(node.evacuation.names))
 
     async def steps():
-        await node.until("b")
+        await node.wait_for("b")
 
     await run(node, steps)
     assert known == [frozenset("b")]
 
 
-async def test_a_forgotten_history_is_read_anew_and_shows_what_was_taken_back():
-    store = KeptStore()
+async def test_restoration_is_seen_after_the_history_was_compacted():
+    store = Store()
     store.put("op/evacuate/b")
     node = Node(store)
 
     async def steps():
-        await node.until("b")
+        await node.wait_for("b")
         await anyio.sleep(0.05)
-        store.away = True
+        store.is_down = True
         store.delete("op/evacuate/b")
-        store.forget_history()
+        store.compact()
         await anyio.sleep(0.2)
-        store.away = False
-        await node.until(())
+        store.is_down = False
+        await node.wait_for(())
 
     await run(node, steps)
 
 
-async def test_a_store_that_is_away_changes_nothing_and_is_caught_up():
-    store = KeptStore()
+async def test_outage_of_the_store_keeps_the_evacuations_until_it_ends():
+    store = Store()
     store.put("op/evacuate/b")
     node = Node(store)
 
     async def steps():
-        await node.until("b")
-        store.away = True
+        await node.wait_for("b")
+        store.is_down = True
         store.put("op/evacuate/c")
         await anyio.sleep(0.1)
         assert node.evacuation.names == frozenset("b")
-        store.away = False
-        await node.until("bc")
+        store.is_down = False
+        await node.wait_for("bc")
 
     await run(node, steps)
 
 
-async def test_an_old_answer_of_the_store_does_not_stand_against_a_rumor():
-    store = KeptStore()
-    store.old = store.snapshot()
+async def test_stale_read_does_not_override_a_rumor():
+    store = Store()
+    store.stale_entries = store.snapshot()
     store.put("op/evacuate/b")
-    node = Node(store, watches=False)
+    node = Node(store, is_watcher=False)
 
     async def steps():
-        await node.until(())
+        await node.wait_for(())
         rumor = msgspec.json.encode([store.revision, ["b"]])
         node.rumor_bus.publish(EVACUATION_TOPIC, "domains", 1, rumor, 1.0)
-        await node.until("b")
+        await node.wait_for("b")
 
     await run(node, steps)
 
 
-def adopted(*told):
-    active_routes = EvacuationState(ManualClock())
-    for one in told:
-        active_routes.adopt(one, "test")
-    return active_routes.names
-
-
-def test_an_older_revision_changes_nothing():
-    assert adopted(of(9, "b"), of(7)) == frozenset("b")
-    assert adopted(of(9), of(7, "b")) == frozenset()
-    assert adopted(of(9, "b"), of(9)) == frozenset("b")
-
-
-def test_listeners_hear_of_a_change_once():
-    active_routes = EvacuationState(ManualClock())
-    heard = []
-    active_routes.subscribe(heard.append)
-    for told in (of(1), of(2, "b"), of(3, "b"), of(4, "b", "c"), of(5)):
-        active_routes.adopt(told, "test")
-
-    assert [sorted(one.names) for one in heard] == [["b"], ["b", "c"], []]
+def adopt_in_order(*states):
+    evacuation = EvacuationState(ManualClock())
+    for state in states:
+        evacuation.adopt(state, "test")
+    return evacuation.names
+
+
+def test_older_revision_changes_nothing():
+    assert adopt_in_order(evacuated(9, "b"), evacuated(7)) == frozenset("b")
+    assert adopt_in_order(evacuated(9), evacuated(7, "b")) == frozenset()
+    assert adopt_in_order(evacuated(9, "b"), evacuated(9)) == frozenset("b")
+
+
+def test_listeners_are_notified_of_each_change_once():
+    evacuation = EvacuationState(ManualClock())
+    notified = []
+    evacuation.subscribe(notified.append)
+    for state in (
+        evacuated(1),
+        evacuated(2, "b"),
+        evacuated(3, "b"),
+        evacuated(4, "b", "c"),
+        evacuated(5),
+    ):
+        evacuation.adopt(state, "test")
+
+    assert [sorted(state.names) for state in notified] == [
+        ["b"],
+        ["b", "c"],
+        [],
+    ]
 
 
-def test_who_tells_what_is_older_hears_what_is_so_now():
-    """One taken back while nobody watched would stay empty for some."""
-    node = Node(KeptStore())
-    node.evacuation.adopt(of(50), "test")
+def test_older_evacuations_are_answered_by_the_newer_ones():
+    """Without this, a domain that was restored while no node watched would
+    stay evacuated for some nodes.
+    """
+    node = Node(Store())
+    node.evacuation.adopt(evacuated(50), "test")
 
-    node.feed._on_emptied_rumor("domains", msgspec.json.encode([20, ["b"]]))
+    node.feed._on_evacuation_rumor("domains", msgspec.json.encode([20, ["b"]]))
 
     assert node.evacuation.names == frozenset()
-    told = [told for told in node.rumor_bus.told if told[0] == EVACUATION_TOPIC]
-    assert [(v, msgspec.json.decode(raw)) for _, v, raw in told] == [
+    published = [
+        rumor
+        for rumor in node.rumor_bus.published
+        if rumor[0] == EVACUATION_TOPIC
+    ]
+    assert [(v, msgspec.json.decode(raw)) for _, v, raw in published] == [
         (50, [50, []])
     ]
 
 
-def test_more_names_than_fit_in_a_rumor_are_asked_for():
-    node = Node(KeptStore())
+def test_names_that_do_not_fit_in_a_rumor_are_requested():
+    node = Node(Store())
     names = [f"failure-domain-{number}" for number in range(60)]
 
-    node.feed._adopt_evacuated(of(20, *names), "test")
+    node.feed._adopt_evacuated(evacuated(20, *names), "test")
 
-    raw = node.rumor_bus.told[-1][2]
+    raw = node.rumor_bus.published[-1][2]
     assert msgspec.json.decode(raw) == [20, None]
-    other = Node(KeptStore())
+    other = Node(Store())
     other.routes.adopt(RouteConfig(7, (ROUTE,), {}), b"7", "test")
-    other.feed._on_emptied_rumor("domains", raw)
+    other.feed._on_evacuation_rumor("domains", raw)
     assert other.feed._is_behind()
 
 
 @pytest.mark.parametrize("raw", [b"", b"7", b"[1]", b'["x",["b"]]', b"[2,7]"])
-def test_a_rumor_that_nobody_can_read_changes_nothing(raw):
-    node = Node(KeptStore())
+def test_malformed_rumor_changes_nothing(raw):
+    node = Node(Store())
 
-    node.feed._on_emptied_rumor("domains", raw)
+    node.feed._on_evacuation_rumor("domains", raw)
 
     assert node.evacuation.domains == EvacuatedDomains()
 
 
-async def answered(node, message):
+async def send(node, message):
     body = messages.encode(message)
     response = await node.feed.handle(Request("POST", "/", (), body, len(body)))
     return messages.decode(response.body)
 
 
-async def test_a_peer_that_asks_gets_what_it_lacks():
-    node = Node(KeptStore())
+async def test_requesting_peer_gets_what_it_lacks():
+    node = Node(Store())
     node.routes.adopt(RouteConfig(7, (ROUTE,), {}), b"7", "test")
-    node.evacuation.adopt(of(20, "b"), "test")
+    node.evacuation.adopt(evacuated(20, "b"), "test")
 
-    lacks_both = await answered(node, messages.UpdateRequest(0))
-    lacks_one = await answered(node, messages.UpdateRequest(7))
+    lacks_both = await send(node, messages.UpdateRequest(0))
+    lacks_one = await send(node, messages.UpdateRequest(7))
 
     assert messages.decompress(lacks_both.packed, 100) == b"7"
-    assert lacks_both.emptied == lacks_one.emptied == of(20, "b")
+    assert lacks_both.emptied == lacks_one.emptied == evacuated(20, "b")
     assert lacks_one.packed == b""
     assert (
-        await answered(node, messages.UpdateRequest(7, 20))
-        == messages.NoUpdate()
+        await send(node, messages.UpdateRequest(7, 20)) == messages.NoUpdate()
     )
 
 
-async def test_what_a_peer_brings_is_taken():
-    node = Node(KeptStore())
+async def test_evacuations_pushed_by_a_peer_are_adopted():
+    node = Node(Store())
 
-    await answered(node, messages.RouteUpdate(b"", of(20, "b")))
+    await send(node, messages.RouteUpdate(b"", evacuated(20, "b")))
 
-    assert node.evacuation.domains == of(20, "b")
+    assert node.evacuation.domains == evacuated(20, "b")
 
 
-async def test_a_watcher_pushes_a_change_to_those_beside_it():
-    store = KeptStore()
+async def test_watcher_pushes_a_change_to_local_nodes():
+    store = Store()
     node = Node(store)
 
     async def steps():
-        await node.until(())
+        await node.wait_for(())
         await anyio.sleep(0.05)
         store.put("op/evacuate/b")
-        await node.until("b")
+        await node.wait_for("b")
         await anyio.sleep(0.05)
 
     await run(node, steps)
-    assert node.peers.offers[-1] == messages.RouteUpdate(
-        b"", of(store.revision, "b")
+    assert node.peers.updates[-1] == messages.RouteUpdate(
+        b"", evacuated(store.revision, "b")
     )
 
 
@@ -397,5 +414,5 @@
         ("servers/a", None),
     ],
 )
-def test_only_keys_of_one_failure_domain_say_that_it_is_emptied(key, name):
+def test_only_keys_of_a_failure_domain_mark_it_as_evacuated(key, name):
     assert evacuated_domain(key) == name
--- a/src/radishwind/routes/tests/test_route_feed.py
+++ b/src/radishwind/routes/tests/test_route_feed.py
@@ -1,4 +1,4 @@
-"""The newest configuration reaches a node by few calls of the store."""
+"""Tests that the newest configuration reaches a node by few store calls."""
 
 import random
 
@@ -44,7 +44,7 @@
 
 
 class Store:
-    """Counts reads; a watch waits for good."""
+    """Store stub that counts reads; its watches never report anything."""
 
     def __init__(self):
         self.reads = 0
@@ -58,23 +58,23 @@
         yield
 
 
-class Board:
+class RumorBus:
     def subscribe(self, topic, listener):
         self.listener = listener
 
-    def publish(self, *told):
+    def publish(self, *rumor):
         pass
 
 
 class Peers:
-    """Every peer has version 7."""
+    """Peer client stub; every peer has version 7."""
 
     def __init__(self):
-        self.asked = []
+        self.received = []
 
     async def call(self, address, name, data, timeout_s):
         message = messages.decode(data)
-        self.asked.append(message)
+        self.received.append(message)
         if isinstance(message, messages.UpdateRequest) and message.have >= 7:
             return messages.encode(messages.NoUpdate())
         return messages.encode(messages.RouteUpdate(messages.compress(b"7")))
@@ -103,7 +103,7 @@
         active_routes=active_routes,
         evacuation=EvacuationState(ManualClock()),
         directory=directory,
-        rumor_bus=Board(),
+        rumor_bus=RumorBus(),
         peers=Peers(),
         clock=ManualClock(),
         rng=random.Random(1),
@@ -121,7 +121,7 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_a_node_that_starts_again_asks_the_store_at_once():
+async def test_restarted_node_reads_the_store_at_once():
     store = Store()
 
     await run_until_known(*feed(store, Directory("own"), 0.0))
@@ -129,7 +129,7 @@
     assert store.reads == 1
 
 
-async def test_at_the_first_start_of_all_a_peer_spares_the_store():
+async def test_node_that_gets_routes_from_a_peer_does_not_read_the_store():
     store = Store()
     members = Directory("own", "p-1", "p-2", "p-3")
 
@@ -138,29 +138,29 @@
     assert store.reads == 0
 
 
-async def answered(made, message):
+async def send(made, message):
     body = messages.encode(message)
     response = await made.handle(Request("POST", "/", (), body, len(body)))
     return response.status, response.body
 
 
-async def test_a_peer_gets_a_newer_version_packed_and_no_other():
+async def test_peer_gets_only_a_newer_version_and_compressed():
     made, active_routes = feed(Store(), Directory("own"), 0.0)
     active_routes.adopt(decode(b"7"), b"7", "test")
 
-    status, body = await answered(made, messages.UpdateRequest(6))
+    status, body = await send(made, messages.UpdateRequest(6))
     assert status == 200
     assert messages.decompress(messages.decode(body).packed, 100) == b"7"
-    assert await answered(made, messages.UpdateRequest(7)) == (
+    assert await send(made, messages.UpdateRequest(7)) == (
         200,
         messages.encode(messages.NoUpdate()),
     )
 
 
-async def test_a_version_that_a_peer_brings_is_taken():
+async def test_version_pushed_by_a_peer_is_adopted():
     made, active_routes = feed(Store(), Directory("own"), 0.0)
 
-    await answered(made, messages.RouteUpdate(messages.compress(b"9")))
+    await send(made, messages.RouteUpdate(messages.compress(b"9")))
 
     assert active_routes.version == 9
 
@@ -168,7 +168,7 @@
 @pytest.mark.parametrize(
     "body", [b"", b"7", b"\xc1", messages.encode(messages.RouteUpdate(b"raw"))]
 )
-async def test_what_cannot_be_read_changes_nothing(body):
+async def test_malformed_message_changes_nothing(body):
     made, active_routes = feed(Store(), Directory("own"), 0.0)
 
     response = await made.handle(Request("POST", "/", (), body, len(body)))
@@ -177,44 +177,44 @@
     assert active_routes.version == 0
 
 
-def test_a_pack_longer_than_allowed_is_refused():
+def test_configuration_longer_than_allowed_is_refused():
     with pytest.raises(messages.FeedMalformedError):
         messages.decompress(messages.compress(b"x" * 101), 100)
 
 
 @pytest.mark.parametrize("domains", [1, 2, 3, 5])
-async def test_watchers_push_to_a_part_of_the_others_each(domains):
+async def test_watchers_divide_the_other_nodes_among_themselves(domains):
     names = [f"t-{number}" for number in range(12)]
     members = Directory(*names, domains="abcde"[:domains])
     pushed = {}
     for name in names:
         made, active_routes = feed(Store(), members, 60.0, name)
-        pushed[name] = await pushed_to(made, active_routes)
+        pushed[name] = await push_recipients(made, active_routes)
 
-    watchers = [name for name, told in pushed.items() if told]
+    watchers = [name for name, to in pushed.items() if to]
     assert len(watchers) == (WATCHERS_PER_DOMAIN if domains <= 3 else 1)
-    told = [name for watcher in watchers for name in pushed[watcher]]
-    assert set(told) | set(watchers) == set(names)
-    assert len(told) == len(set(told))
+    recipients = [name for watcher in watchers for name in pushed[watcher]]
+    assert set(recipients) | set(watchers) == set(names)
+    assert len(recipients) == len(set(recipients))
 
 
-async def pushed_to(made, active_routes):
+async def push_recipients(made, active_routes):
     active_routes.adopt(decode(b"7"), b"7", "test")
-    if not made._neighbours.is_watcher():
+    if not made._feed_peers.is_watcher():
         return []
-    told = []
+    recipients = []
 
-    async def note(member, data, limit):
-        told.append(member.name)
+    async def record(member, data, limit):
+        recipients.append(member.name)
         limit.release()
 
-    made._push_to = note
+    made._push_to = record
     await made._push(b"")
-    return told
+    return recipients
 
 
-class OldStore(Store):
-    """The key changed last at revision 6; history goes back to 40 only."""
+class CompactedStore(Store):
+    """The key last changed at revision 6; the history starts at 40."""
 
     def __init__(self):
         super().__init__()
@@ -232,8 +232,8 @@
         yield
 
 
-async def test_a_key_that_is_older_than_the_history_is_read_once():
-    store = OldStore()
+async def test_key_older_than_the_history_is_read_once():
+    store = CompactedStore()
     made, active_routes = feed(store, Directory("own", "p-1"), 0.0)
 
     await run_until_known(made, active_routes)
@@ -246,8 +246,8 @@
     assert set(store.watched) == {51}
 
 
-class TellingStore(Store):
-    """Tells one change to each watch, and counts the watches."""
+class WatchedStore(Store):
+    """Reports one change to each watch, and counts the watches."""
 
     def __init__(self):
         super().__init__()
@@ -256,13 +256,13 @@
     async def watch(self, prefix, from_revision):
         self.watches += 1
         yield WatchEvent("k", StoreEntry("k", b"8", 1, 2), 2)
-        # Each further answer is a call of the store.
+        # Each further watch event costs a call of the store.
         self.watches += 1
         await anyio.sleep_forever()
 
 
-async def test_a_node_that_knows_nobody_yet_does_not_watch():
-    store = TellingStore()
+async def test_node_without_known_peers_does_not_watch_at_first():
+    store = WatchedStore()
     made, active_routes = feed(store, Directory("own"), 0.0)
 
     async with anyio.create_task_group() as tasks:
@@ -274,24 +274,24 @@
     assert store.watches == 0
 
 
-def test_a_node_that_stays_alone_watches():
+def test_node_that_stays_alone_watches():
     made, _ = feed(Store(), Directory("own"), 0.0)
-    assert not made._neighbours.is_watcher()
+    assert not made._feed_peers.is_watcher()
 
-    made._neighbours._clock.advance(LONE_NODE_GRACE_S)
+    made._feed_peers._clock.advance(LONE_NODE_GRACE_S)
 
-    assert made._neighbours.is_watcher()
+    assert made._feed_peers.is_watcher()
 
 
-async def test_a_watch_ends_where_others_are_to_watch():
-    store = TellingStore()
+async def test_watch_ends_when_the_node_is_no_longer_a_watcher():
+    store = WatchedStore()
     names = [f"t-{number}" for number in range(12)]
     made, active_routes = feed(store, Directory(*names), 0.0, "t-0")
-    duty = iter((True, False))
-    made._neighbours.is_watcher = lambda: next(duty, False)
+    is_watcher = iter((True, False))
+    made._feed_peers.is_watcher = lambda: next(is_watcher, False)
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(made._store_side.run, 0.0, lambda: False)
+        tasks.start_soon(made._store_watcher.run, 0.0, lambda: False)
         with anyio.fail_after(5):
             while active_routes.version < 8:  # noqa: ASYNC110
                 await anyio.sleep(0.001)
@@ -302,22 +302,22 @@
 
 
 class SlowPeers(Peers):
-    """Takes a while for each push, and notes how many are on their way."""
+    """Delays each push, and records how many are in flight at once."""
 
     def __init__(self):
         super().__init__()
-        self.now = self.most = self.pushed = 0
+        self.in_flight = self.max_in_flight = self.pushed = 0
 
     async def call(self, address, name, data, timeout_s):
-        self.now += 1
-        self.most = max(self.most, self.now)
+        self.in_flight += 1
+        self.max_in_flight = max(self.max_in_flight, self.in_flight)
         await anyio.sleep(0.001)
-        self.now -= 1
+        self.in_flight -= 1
         self.pushed += 1
         return messages.encode(messages.NoUpdate())
 
 
-async def test_a_watcher_of_a_large_failure_domain_pushes_to_few_at_once():
+async def test_concurrent_pushes_of_a_watcher_are_limited():
     names = [f"t-{number}" for number in range(40)]
     first = min(names, key=hash_rank)
     made, active_routes = feed(Store(), Directory(*names), 60.0, first)
@@ -326,5 +326,5 @@
 
     await made._push(b"")
 
-    assert made._peers.most == MAX_CONCURRENT_PUSHES
+    assert made._peers.max_in_flight == MAX_CONCURRENT_PUSHES
     assert made._peers.pushed >= 10
--- a/src/radishwind/routes/tests/test_unsigned_requests.py
+++ b/src/radishwind/routes/tests/test_unsigned_requests.py
@@ -1,4 +1,4 @@
-"""Who can't sign is brought the configuration where it is known to be."""
+"""Tests that an unsigned request causes a push to the known member only."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 pytestmark = pytest.mark.anyio
 
 KNOWN = Member("b-1", "s", "b", Address("10.0.0.2", 7600))
-OFFER = messages.RouteUpdate(b"packed", EvacuatedDomains(4))
+UPDATE = messages.RouteUpdate(b"packed", EvacuatedDomains(4))
 
 
 @pytest.fixture
@@ -23,10 +23,10 @@
 
 
 class Feed:
-    """Has version 7."""
+    """Feed stub that has version 7."""
 
-    def build_reply(self, ask):
-        return OFFER if ask.have < 7 else messages.NoUpdate()
+    def build_reply(self, request):
+        return UPDATE if request.have < 7 else messages.NoUpdate()
 
 
 class Directory:
@@ -36,13 +36,13 @@
 
 class Peers:
     def __init__(self):
-        self.brought = []
+        self.pushed = []
         self.fails = False
 
     async def call(self, address, name, payload, timeout_s):
-        self.brought.append((address, name, messages.decode(payload)))
+        self.pushed.append((address, name, messages.decode(payload)))
         if self.fails:
-            raise PeerError("away")
+            raise PeerError("unreachable")
         return b""
 
 
@@ -52,55 +52,55 @@
 
 
 @pytest.fixture
-def asks(peers):
+def handler(peers):
     return UnsignedRequestHandler(
         feed=Feed(), directory=Directory(), peers=peers, clock=ManualClock()
     )
 
 
-async def answered(asks, message, remote):
+async def send(handler, message, remote):
     body = messages.encode(message)
     request = Request("POST", "/x", (), body, len(body), remote)
-    return messages.decode((await asks.handle(request)).body)
+    return messages.decode((await handler.handle(request)).body)
 
 
-async def test_known_node_is_brought_what_it_lacks(asks, peers):
-    answer = await answered(asks, messages.UpdateRequest(0), "10.0.0.2")
+async def test_known_node_gets_a_push_of_what_it_lacks(handler, peers):
+    reply = await send(handler, messages.UpdateRequest(0), "10.0.0.2")
 
-    assert answer == messages.NoUpdate()
-    assert peers.brought == [(KNOWN.address, "routes", OFFER)]
+    assert reply == messages.NoUpdate()
+    assert peers.pushed == [(KNOWN.address, "routes", UPDATE)]
 
 
-async def test_stranger_is_brought_nothing(asks, peers):
-    answer = await answered(asks, messages.UpdateRequest(0), "10.6.6.6")
+async def test_unknown_host_gets_no_push(handler, peers):
+    reply = await send(handler, messages.UpdateRequest(0), "10.6.6.6")
 
-    assert answer == messages.NoUpdate()
-    assert peers.brought == []
+    assert reply == messages.NoUpdate()
+    assert peers.pushed == []
 
 
-async def test_who_lacks_nothing_is_brought_nothing(asks, peers):
-    await answered(asks, messages.UpdateRequest(7), "10.0.0.2")
+async def test_node_that_is_up_to_date_gets_no_push(handler, peers):
+    await send(handler, messages.UpdateRequest(7), "10.0.0.2")
 
-    assert peers.brought == []
+    assert peers.pushed == []
 
 
-async def test_offer_is_not_taken(asks, peers):
-    answer = await answered(asks, OFFER, "10.0.0.2")
+async def test_unsigned_update_is_not_applied(handler, peers):
+    reply = await send(handler, UPDATE, "10.0.0.2")
 
-    assert answer == messages.NoUpdate()
-    assert peers.brought == []
+    assert reply == messages.NoUpdate()
+    assert peers.pushed == []
 
 
-async def test_node_that_is_away_can_ask_again(asks, peers):
+async def test_request_can_be_repeated_after_a_failed_push(handler, peers):
     peers.fails = True
-    await answered(asks, messages.UpdateRequest(0), "10.0.0.2")
-    await answered(asks, messages.UpdateRequest(0), "10.0.0.2")
+    await send(handler, messages.UpdateRequest(0), "10.0.0.2")
+    await send(handler, messages.UpdateRequest(0), "10.0.0.2")
 
-    assert len(peers.brought) == 2
+    assert len(peers.pushed) == 2
 
 
-async def test_bytes_that_are_no_message_are_refused(asks, peers):
+async def test_malformed_message_is_refused(handler, peers):
     request = Request("POST", "/x", (), b"\xff", 1, "10.0.0.2")
 
-    assert (await asks.handle(request)).status >= 400
-    assert peers.brought == []
+    assert (await handler.handle(request)).status >= 400
+    assert peers.pushed == []
--- a/src/radishwind/routes/unsigned_requests.py
+++ b/src/radishwind/routes/unsigned_requests.py
@@ -1,8 +1,9 @@
-"""Answers nodes that ask for a configuration and can't sign the question yet.
+"""Handles requests for routes from nodes that can't sign them yet.
 
-A node that started while the store was away has no secret, and may know no
-routes. The configuration holds the keys of client accounts, so it goes to
-nobody who merely asks: it is brought to the address at which a node is known.
+A node that started while the store was unavailable has no secret, and may know
+no routes. The configuration holds the API keys of client accounts, so it is not
+sent in response to an unsigned request: it is pushed to the address at which
+the requesting node is known as a member.
 """
 
 from radishwind.core.clock import Clock
@@ -24,14 +25,14 @@
 from radishwind.routes.route_feed import RouteFeed
 from radishwind.telemetry.logs import PartLogger
 
-#: How long a node may take to take a configuration (s).
+#: Time within which a node must accept a pushed configuration (s).
 _PUSH_TIMEOUT_S = 0.4
 
 _MSGPACK = (("Content-Type", "application/msgpack"),)
 
 
 class UnsignedRequestHandler:
-    """Brings the configuration to the known node at the asker's host."""
+    """Pushes the configuration to the known member at the requesting host."""
 
     def __init__(
         self,
@@ -41,50 +42,55 @@
         peers: PeerClient,
         clock: Clock,
     ) -> None:
-        """Wires the answers.
+        """Creates the handler.
 
         Args:
-          feed: knows what an asker lacks.
-          directory: the nodes there are.
+          feed: builds the reply to a request.
+          directory: the known members.
           peers: calls other nodes.
-          clock: holds back lines that come again.
+          clock: limits repeated log lines.
         """
         self._feed = feed
         self._directory = directory
         self._peers = peers
         self._log = PartLogger("routes", clock)
-        self._on_their_way: set[str] = set()
+        self._pushes_in_flight: set[str] = set()
 
     async def handle(self, request: Request) -> Response:
-        """Answers once the configuration was brought, or that it wasn't."""
+        """Replies `NoUpdate` after the push, whether or not it succeeded."""
         body = await whole_body(request.body)
         try:
             message = decode(body)
         except FeedMalformedError as exc:
             return problem_response(exc.code, str(exc), "not-run")
-        member = self._known_at(request.remote)
+        member = self._find_member(request.remote)
         if isinstance(message, UpdateRequest) and member is not None:
-            await self._bring(member, self._feed.build_reply(message))
+            await self._push(member, self._feed.build_reply(message))
         data = encode(NoUpdate())
         return Response(200, _MSGPACK, data, len(data))
 
-    def _known_at(self, host: str) -> Member | None:
+    def _find_member(self, host: str) -> Member | None:
         for member in self._directory.members():
             if member.address.host == host:
                 return member
         return None
 
-    async def _bring(
-        self, member: Member, offer: RouteUpdate | NoUpdate
+    async def _push(
+        self, member: Member, update: RouteUpdate | NoUpdate
     ) -> None:
-        if isinstance(offer, NoUpdate) or member.name in self._on_their_way:
+        if (
+            isinstance(update, NoUpdate)
+            or member.name in self._pushes_in_flight
+        ):
             return
-        self._on_their_way.add(member.name)
+        self._pushes_in_flight.add(member.name)
         try:
             await self._peers.call(
-                member.address, CONTROL_NAME, encode(offer), _PUSH_TIMEOUT_S
+                member.address, CONTROL_NAME, encode(update), _PUSH_TIMEOUT_S
             )
         except PeerError as exc:
-            self._log.info("A push failed.", reason=str(exc)[:120])
+            self._log.info(
+                "Failed to push the routes to a peer.", reason=str(exc)[:120]
+            )
         finally:
-            self._on_their_way.discard(member.name)
+            self._pushes_in_flight.discard(member.name)
