--- a/src/radishwind/leases/tests/test_lease_holder.py
+++ b/src/radishwind/leases/tests/test_lease_holder.py
@@ -1,3 +1,5 @@
+"""At most one holder has a lease, and writes of a former holder are fenced."""
+
 import anyio
 import pytest
 from tests.support.direct import DirectSender
@@ -14,12 +16,16 @@
 
 STORE = Address("10.0.0.1", 2379)
 KEY = "/radishwind/leases/contact"
-EFFECT = (Put("/effect", b"made"),)
+WRITE = (Put("/effect", b"made"),)
 TTL_S = 10
 
 
-class Setting:
-    """Two holders; `paused` is the store's clock, which runs on."""
+class LeaseFixture:
+    """Two holders of a lease in one store.
+
+    The store has a clock of its own. Advancing only that one simulates holders
+    whose clock stands still.
+    """
 
     def __init__(self) -> None:
         self.store_clock = ManualClock()
@@ -33,106 +39,108 @@
     def _holder(self, name: str) -> LeaseHolder:
         return LeaseHolder(self.store, self.clock, KEY, name, TTL_S)
 
-    def pass_time(self, seconds: float) -> None:
+    def advance_clocks(self, seconds: float) -> None:
         self.store_clock.advance(seconds)
         self.clock.advance(seconds)
 
 
 @pytest.fixture
-def at() -> Setting:
-    return Setting()
+def setup() -> LeaseFixture:
+    return LeaseFixture()
 
 
 pytestmark = pytest.mark.anyio
 
 
-async def test_one_of_two_holds_until_it_releases(at):
-    assert await at.first.acquire()
-    assert not await at.second.acquire()
+async def test_only_one_holder_has_the_lease_until_it_releases_it(setup):
+    assert await setup.first.acquire()
+    assert not await setup.second.acquire()
 
-    await at.first.release()
+    await setup.first.release()
 
-    assert await at.second.acquire()
+    assert await setup.second.acquire()
 
 
-async def test_renewed_lease_outlives_its_first_term(at):
-    await at.first.acquire()
-    epoch = at.first.epoch
+async def test_renewed_lease_outlives_its_first_term(setup):
+    await setup.first.acquire()
+    epoch = setup.first.epoch
 
     for _ in range(5):
-        at.pass_time(TTL_S / 2)
-        assert await at.first.renew()
+        setup.advance_clocks(TTL_S / 2)
+        assert await setup.first.renew()
 
-    assert at.first.epoch == epoch
-    assert not await at.second.acquire()
+    assert setup.first.epoch == epoch
+    assert not await setup.second.acquire()
 
 
-async def test_holder_that_sees_the_time_passed_sends_nothing(at):
-    await at.first.acquire()
-    at.pass_time(TTL_S)
-    sent = len(at.sender.sent)
+async def test_holder_whose_clock_shows_expiry_sends_nothing(setup):
+    await setup.first.acquire()
+    setup.advance_clocks(TTL_S)
+    sent = len(setup.sender.sent)
 
     with pytest.raises(LeaseLostError):
-        await at.first.transact((), EFFECT)
+        await setup.first.transact((), WRITE)
 
-    assert len(at.sender.sent) == sent
+    assert len(setup.sender.sent) == sent
 
 
-async def test_effect_of_a_holder_whose_clock_stood_still_is_fenced(at):
-    await at.first.acquire()
-    at.store_clock.advance(TTL_S + 1)
-    assert await at.second.acquire()
-    assert at.first.epoch is not None  # It still believes in its lease.
+async def test_write_of_a_holder_whose_clock_stood_still_is_fenced(setup):
+    await setup.first.acquire()
+    setup.store_clock.advance(TTL_S + 1)
+    assert await setup.second.acquire()
+    assert setup.first.epoch is not None  # The lease is valid by its clock.
 
-    result = await at.first.transact((), EFFECT)
+    result = await setup.first.transact((), WRITE)
 
     assert not result.succeeded
-    assert await at.store.get("/effect") is None
-    assert (await at.second.transact((), EFFECT)).succeeded
+    assert await setup.store.get("/effect") is None
+    assert (await setup.second.transact((), WRITE)).succeeded
 
 
-async def test_effect_after_a_lapse_without_successor_is_fenced(at):
-    await at.first.acquire()
-    at.store_clock.advance(TTL_S + 1)
+async def test_write_after_expiry_without_a_new_holder_is_fenced(setup):
+    await setup.first.acquire()
+    setup.store_clock.advance(TTL_S + 1)
 
-    assert not (await at.first.transact((), EFFECT)).succeeded
+    assert not (await setup.first.transact((), WRITE)).succeeded
 
 
-async def test_lapsed_holder_that_acquires_again_has_a_new_epoch(at):
-    await at.first.acquire()
-    old_fence = at.first.fence()
-    at.pass_time(TTL_S + 1)
+async def test_holder_that_acquires_an_expired_lease_again_has_a_new_epoch(
+    setup,
+):
+    await setup.first.acquire()
+    old_fence = setup.first.fence()
+    setup.advance_clocks(TTL_S + 1)
 
-    assert not await at.first.renew()
-    assert await at.first.acquire()
+    assert not await setup.first.renew()
+    assert await setup.first.acquire()
 
-    assert not (await at.store.transact((old_fence,), EFFECT)).succeeded
-    assert (await at.first.transact((), EFFECT)).succeeded
+    assert not (await setup.store.transact((old_fence,), WRITE)).succeeded
+    assert (await setup.first.transact((), WRITE)).succeeded
 
 
-async def test_failed_renewal_keeps_the_lease_until_its_term_ends(at):
-    await at.first.acquire()
-    at.sender.faults[STORE] = Fault.REFUSED
-    at.pass_time(TTL_S * 0.8)
+async def test_failed_renewal_keeps_the_lease_until_its_term_ends(setup):
+    await setup.first.acquire()
+    setup.sender.faults[STORE] = Fault.REFUSED
+    setup.advance_clocks(TTL_S * 0.8)
 
-    assert await at.first.renew()
+    assert await setup.first.renew()
 
-    at.pass_time(TTL_S * 0.15)
-    assert not await at.first.renew()
+    setup.advance_clocks(TTL_S * 0.15)
+    assert not await setup.first.renew()
 
 
-async def test_lost_answer_is_settled_by_reading(at):
-    at.sender.next_faults = [None, Fault.ANSWER_LOST]
+async def test_lost_answer_to_the_creation_is_resolved_by_a_read(setup):
+    setup.sender.next_faults = [None, Fault.ANSWER_LOST]
 
-    assert await at.first.acquire()
+    assert await setup.first.acquire()
 
-    assert (await at.first.transact((), EFFECT)).succeeded
+    assert (await setup.first.transact((), WRITE)).succeeded
 
 
-async def test_hold_returns_once_the_lease_is_lost(at):
-    holder = LeaseHolder(at.store, at.clock, KEY, "brief", 1)
+async def test_renewal_ends_once_the_lease_is_lost(setup):
+    holder = LeaseHolder(setup.store, setup.clock, KEY, "brief", 1)
     await holder.acquire()
-    at.store_clock.advance(2)
+    setup.store_clock.advance(2)
 
     with anyio.fail_after(20):
         await holder.renew_until_lost()
@@ -140,13 +148,13 @@
     assert holder.epoch is None
 
 
-async def test_shared_lease_is_granted_once_per_bucket(at):
-    lease = SharedLease(at.store, at.clock, bucket_s=600)
+async def test_shared_lease_is_granted_once_per_bucket(setup):
+    lease = SharedLease(setup.store, setup.clock, bucket_s=600)
 
     first = await lease.get_lease_id(3600)
-    at.pass_time(599)
+    setup.advance_clocks(599)
     assert await lease.get_lease_id(3600) == first
-    at.pass_time(2)
+    setup.advance_clocks(2)
 
     assert await lease.get_lease_id(3600) != first
-    assert await at.store.keep_alive(first) > 3600
+    assert await setup.store.keep_alive(first) > 3600
--- a/src/radishwind/peers/tests/test_fleet_security.py
+++ b/src/radishwind/peers/tests/test_fleet_security.py
@@ -1,4 +1,4 @@
-"""A message counts once, by the secret, at the process it is meant for."""
+"""A signed message is accepted once, by the process it is addressed to."""
 
 import base64
 
@@ -31,7 +31,7 @@
 
 
 class Node:
-    """What signs and checks at one process."""
+    """Signer, verifier and datagram authenticator of one process."""
 
     def __init__(self, address, secret=OLD, *, accounts=True, with_grace=False):
         self.clock = ManualClock()
@@ -51,15 +51,15 @@
 
     started = 0
 
-    def meets(self, other):
-        """Hears a datagram of `other`, as nodes do each second."""
+    def receive_datagram_of(self, other):
+        """Receives a datagram of `other`, as nodes do every second."""
         ((data, _),) = other.authenticator.sign(PLAIN, [self.address])
         self.authenticator.verify(data, other.address)
 
     def sign(self, to, covered=b"account-1"):
         return self.signer.sign(to.address, "POST", "/x", covered)
 
-    def takes(
+    def verify_request(
         self,
         field,
         method="POST",
@@ -85,16 +85,16 @@
 @pytest.fixture
 def here(entry):
     node = Node(HERE)
-    entry.meets(node)
+    entry.receive_datagram_of(node)
     return node
 
 
-def test_request_of_a_node_is_taken_once(entry, here):
+def test_request_of_a_node_is_accepted_once(entry, here):
     field = entry.sign(here)
 
-    here.takes(field)
+    here.verify_request(field)
     with pytest.raises(PeerReplayedError):
-        here.takes(field)
+        here.verify_request(field)
 
 
 @pytest.mark.parametrize(
@@ -107,21 +107,21 @@
 )
 def test_altered_request_is_refused(entry, here, change):
     with pytest.raises(PeerRefusedError):
-        here.takes(entry.sign(here), **change)
+        here.verify_request(entry.sign(here), **change)
 
 
 @pytest.mark.parametrize("field", [None, "", "x" * 32, "é" * 32, "=" * 32])
 def test_request_without_a_signature_is_refused(here, field):
     with pytest.raises(PeerRefusedError):
-        here.takes(field)
+        here.verify_request(field)
 
 
-def test_request_by_another_secret_is_refused(here):
+def test_request_signed_with_another_secret_is_refused(here):
     foreign = Node(ENTRY, FOREIGN)
     foreign.start_ids.update(HERE, here.start_ids.own)
 
     with pytest.raises(PeerRefusedError):
-        here.takes(foreign.sign(here))
+        here.verify_request(foreign.sign(here))
 
 
 def test_request_to_another_node_is_refused(entry, here):
@@ -129,54 +129,56 @@
     entry.start_ids.update(ELSEWHERE, here.start_ids.own)
 
     with pytest.raises(PeerRefusedError):
-        here.takes(entry.sign(other))
+        here.verify_request(entry.sign(other))
 
 
-def test_attempt_to_an_earlier_process_is_refused_and_signed_anew(entry, here):
+def test_attempt_to_an_earlier_process_is_refused_and_signed_again(entry, here):
     field = entry.sign(here)
     restarted = Node(HERE)
 
     with pytest.raises(PeerStaleError):
-        restarted.takes(field)
+        restarted.verify_request(field)
     refusal = Response(401, restarted.verifier.refusal_headers())
 
     assert entry.signer.should_sign_again(HERE, refusal)
-    restarted.takes(entry.sign(restarted))
+    restarted.verify_request(entry.sign(restarted))
     assert not entry.signer.should_sign_again(HERE, refusal)
 
 
-def test_attempt_names_its_process_also_while_nothing_is_required(entry):
-    adopting = Node(HERE, with_grace=True)
+def test_attempt_names_its_process_even_while_signatures_are_optional(entry):
+    in_grace = Node(HERE, with_grace=True)
 
     with pytest.raises(PeerStaleError):
-        adopting.takes(entry.sign(adopting))
+        in_grace.verify_request(entry.sign(in_grace))
 
 
-def test_control_message_needs_not_know_which_process_is_there(entry, here):
+def test_control_message_may_name_an_earlier_or_unknown_process(entry, here):
     field = entry.sign(here)
     restarted = Node(HERE)
 
-    restarted.takes(field, at_most_once=False)
-    restarted.takes(Node(ELSEWHERE).sign(restarted), at_most_once=False)
+    restarted.verify_request(field, at_most_once=False)
+    restarted.verify_request(
+        Node(ELSEWHERE).sign(restarted), at_most_once=False
+    )
 
 
-def test_who_finds_a_secret_signs_before_it_knows_of_accounts(entry):
+def test_node_with_a_secret_signs_before_it_knows_of_accounts(entry):
     starting = Node(HERE, accounts=None)
 
-    entry.takes(starting.sign(entry), at_most_once=False)
+    entry.verify_request(starting.sign(entry), at_most_once=False)
     assert entry.authenticator.verify(starting.send(entry), HERE) == PLAIN
     starting.keyring.set_has_accounts(False, with_grace=False)
     assert starting.sign(entry) is None
 
 
-@pytest.mark.parametrize("told", ["", "zz", "00", "ü"])
-def test_refusal_with_a_start_that_cannot_be_read_changes_nothing(entry, told):
-    refusal = Response(401, ((fleet_security.START_FIELD, told),))
+@pytest.mark.parametrize("start_id", ["", "zz", "00", "ü"])
+def test_refusal_with_a_malformed_start_id_is_ignored(entry, start_id):
+    refusal = Response(401, ((fleet_security.START_FIELD, start_id),))
 
     assert not entry.signer.should_sign_again(HERE, refusal)
 
 
-def test_datagram_of_a_node_is_taken_once(entry, here):
+def test_datagram_of_a_node_is_accepted_once(entry, here):
     data = entry.send(here)
 
     assert here.authenticator.verify(data, ENTRY) == PLAIN
@@ -188,7 +190,7 @@
     }
 
 
-def test_each_altered_byte_of_a_datagram_is_noticed(entry, here):
+def test_datagram_with_any_altered_byte_is_refused(entry, here):
     data = entry.send(here)
 
     for i in range(1, len(data)):
@@ -200,7 +202,7 @@
 
 
 @pytest.mark.parametrize("length", range(1, 10 + DATAGRAM_TAG_BYTES))
-def test_datagram_cut_short_is_refused(entry, here, length):
+def test_truncated_datagram_is_refused(entry, here, length):
     assert here.authenticator.verify(entry.send(here)[:length], ENTRY) is None
 
 
@@ -214,7 +216,7 @@
     assert here.authenticator.refused_by_reason["unsigned"] == 1
 
 
-def test_one_sending_to_many_is_taken_by_each(entry, here):
+def test_datagram_to_many_peers_is_accepted_by_each(entry, here):
     other = Node(ELSEWHERE)
 
     sent = {
@@ -227,9 +229,9 @@
     assert here.authenticator.verify(sent[ELSEWHERE], ENTRY) is None
 
 
-def test_without_accounts_nothing_is_signed_or_checked(monkeypatch):
-    def fail(*args, **more):
-        raise AssertionError("expected no signature to be made")
+def test_without_accounts_nothing_is_signed_or_verified(monkeypatch):
+    def fail(*args, **kwargs):
+        raise AssertionError("expected no signature to be computed")
 
     node, other = Node(ENTRY, accounts=False), Node(HERE, accounts=False)
     monkeypatch.setattr(fleet_security.hashlib, "blake2b", fail)
@@ -237,71 +239,74 @@
     assert node.sign(other) is None
     assert node.send(other) is PLAIN
     assert other.authenticator.verify(PLAIN, ENTRY) is PLAIN
-    other.takes(None)
+    other.verify_request(None)
     assert other.verifier.refusal_headers() == ()
 
 
-def test_node_without_accounts_yet_reads_what_others_sign(entry):
+def test_node_without_accounts_accepts_signed_messages(entry):
     behind = Node(HERE, None, accounts=False)
 
     assert behind.authenticator.verify(entry.send(behind), ENTRY) == PLAIN
-    behind.takes(entry.sign(behind))
+    behind.verify_request(entry.sign(behind))
 
 
-def test_node_that_lacks_the_secret_takes_what_comes(entry):
-    lacking = Node(HERE, None)
+def test_node_without_the_secret_accepts_all_messages(entry):
+    without_secret = Node(HERE, None)
 
-    assert lacking.keyring.lacks_secret
-    assert lacking.authenticator.verify(entry.send(lacking), ENTRY) == PLAIN
-    assert lacking.authenticator.verify(PLAIN, ENTRY) == PLAIN
-    lacking.takes(entry.sign(lacking))
-    lacking.takes(None)
+    assert without_secret.keyring.lacks_secret
+    assert (
+        without_secret.authenticator.verify(entry.send(without_secret), ENTRY)
+        == PLAIN
+    )
+    assert without_secret.authenticator.verify(PLAIN, ENTRY) == PLAIN
+    without_secret.verify_request(entry.sign(without_secret))
+    without_secret.verify_request(None)
 
 
-def test_members_accept_before_they_require(entry):
-    adopting = Node(HERE, with_grace=True)
+def test_signatures_are_accepted_before_they_are_required(entry):
+    in_grace = Node(HERE, with_grace=True)
 
-    assert adopting.keyring.signing_secret is not None
-    adopting.takes(None)
-    assert adopting.authenticator.verify(PLAIN, ENTRY) == PLAIN
-    adopting.clock.advance(UNSIGNED_GRACE_S)
+    assert in_grace.keyring.signing_secret is not None
+    in_grace.verify_request(None)
+    assert in_grace.authenticator.verify(PLAIN, ENTRY) == PLAIN
+    in_grace.clock.advance(UNSIGNED_GRACE_S)
     with pytest.raises(PeerRefusedError):
-        adopting.takes(None)
-    assert adopting.authenticator.verify(PLAIN, ENTRY) is None
+        in_grace.verify_request(None)
+    assert in_grace.authenticator.verify(PLAIN, ENTRY) is None
 
 
-def test_replay_is_refused_also_while_signatures_are_not_required(entry):
-    adopting = Node(HERE, with_grace=True)
-    entry.meets(adopting)
-    field, data = entry.sign(adopting), entry.send(adopting)
-    adopting.takes(field)
-    adopting.authenticator.verify(data, ENTRY)
+def test_replay_is_refused_even_while_signatures_are_optional(entry):
+    in_grace = Node(HERE, with_grace=True)
+    entry.receive_datagram_of(in_grace)
+    field, data = entry.sign(in_grace), entry.send(in_grace)
+    in_grace.verify_request(field)
+    in_grace.authenticator.verify(data, ENTRY)
 
     with pytest.raises(PeerReplayedError):
-        adopting.takes(field)
-    assert adopting.authenticator.verify(data, ENTRY) is None
+        in_grace.verify_request(field)
+    assert in_grace.authenticator.verify(data, ENTRY) is None
 
 
-def test_rotation_takes_both_secrets_for_a_while(entry, here):
+def test_both_secrets_are_accepted_during_a_rotation(entry, here):
     here.keyring.update_secret(NEW, 2)
 
-    here.takes(entry.sign(here))
+    here.verify_request(entry.sign(here))
     assert here.authenticator.verify(entry.send(here), ENTRY) == PLAIN
     entry.keyring.update_secret(NEW, 2)
-    here.takes(entry.sign(here))
+    here.verify_request(entry.sign(here))
     assert here.authenticator.verify(entry.send(here), ENTRY) == PLAIN
 
 
-def test_replaced_secret_ends(entry, here):
+def test_replaced_secret_expires(entry, here):
     here.keyring.update_secret(NEW, 2)
     here.clock.advance(OLD_SECRET_VALID_S)
 
     with pytest.raises(PeerRefusedError):
-        here.takes(entry.sign(here))
+        here.verify_request(entry.sign(here))
     assert here.authenticator.verify(entry.send(here), ENTRY) is None
 
 
-def test_older_record_changes_nothing(entry, here):
+def test_secret_of_an_older_record_is_ignored(entry, here):
     here.keyring.update_secret(NEW, 5)
     here.keyring.update_secret(FOREIGN, 4)
 
@@ -309,33 +314,33 @@
 
 
 @pytest.mark.parametrize("by", ["datagram", "request"])
-def test_unknown_signature_asks_for_a_look_at_the_record(entry, here, by):
-    asked = []
-    here.keyring.subscribe(lambda: asked.append(1))
+def test_unknown_signature_notifies_of_a_possibly_newer_secret(entry, here, by):
+    notifications = []
+    here.keyring.subscribe(lambda: notifications.append(1))
     entry.keyring.update_secret(NEW, 2)
 
     if by == "datagram":
         here.authenticator.verify(entry.send(here), ENTRY)
     else:
         with pytest.raises(PeerRefusedError):
-            here.takes(entry.sign(here))
+            here.verify_request(entry.sign(here))
 
-    assert asked
+    assert notifications
     assert here.keyring.may_be_outdated
 
 
-def test_no_line_or_field_holds_the_secret(entry, here):
+def test_secret_appears_in_no_log_line_or_header_field(entry, here):
     secret = OLD.hex()
     lines = []
     from radishwind.telemetry import logs
 
-    taker = lines.append
-    logs._takers.append(taker)
+    log_handler = lines.append
+    logs._takers.append(log_handler)
     try:
         here.keyring.update_secret(NEW, 2)
         here.authenticator.verify(PLAIN, ENTRY)
     finally:
-        logs._takers.remove(taker)
+        logs._takers.remove(log_handler)
     text = (
         repr(lines) + entry.sign(here) + repr(here.verifier.refusal_headers())
     )
@@ -345,9 +350,10 @@
     assert NEW.hex() not in text
     assert "oooo" not in text
     assert "nnnn" not in text
-    for held in (OLD, NEW):
+    for known_secret in (OLD, NEW):
         for skipped in range(3):
-            # However it lies in what was encoded; the ends depend on that.
-            plain = base64.b64encode(held[skipped:24]).decode()
+            # For each of the three alignments of base64; only the ends of the
+            # encoded text depend on what surrounds the secret.
+            plain = base64.b64encode(known_secret[skipped:24]).decode()
             assert plain[:24] not in text
             assert plain[:24].translate(URL_SAFE) not in text
--- a/src/radishwind/peers/tests/test_malformed.py
+++ b/src/radishwind/peers/tests/test_malformed.py
@@ -1,4 +1,4 @@
-"""Whatever a peer sends is read as an attempt's message or refused."""
+"""Any message of a peer is either decoded or refused, never a crash."""
 
 import contextlib
 
@@ -35,14 +35,14 @@
     st.none() | st.floats(allow_nan=False, allow_infinity=False),
     st.none() | st.lists(st.integers(-9, 9), max_size=6),
 ).map(lambda value: msgspec.json.encode(value).decode())
-#: As read from the wire: bytes that are not UTF-8 come as surrogates.
+#: Header values as received: bytes that are not UTF-8 become surrogates.
 _wire = st.binary(max_size=40).map(
     lambda data: data.decode("utf-8", "surrogateescape")
 )
 
 
 @given(_arrays | _answers | _wire)
-def test_any_answer_is_read_or_unknown(field):
+def test_any_answer_field_is_decoded_or_yields_unknown(field):
     response = Response(200, ((ANSWER_FIELD, field),), b"x")
 
     outcome = parse_attempt_result(response, "id").outcome
@@ -55,6 +55,6 @@
 
 
 @given(_arrays | _wire)
-def test_any_attempt_is_read_or_refused(field):
+def test_any_attempt_field_is_decoded_or_refused(field):
     with contextlib.suppress(PeerMalformedError):
         decode_attempt(field)
--- a/src/radishwind/peers/tests/test_peer_traffic.py
+++ b/src/radishwind/peers/tests/test_peer_traffic.py
@@ -1,4 +1,4 @@
-"""What passes between nodes is counted by domain, cause and route."""
+"""Traffic between nodes is counted by failure domain, cause and route."""
 
 from radishwind.config.model import ServiceRules
 from radishwind.entry.call import Call
@@ -10,7 +10,7 @@
 from radishwind.peers.peer_traffic import MAX_SERIES
 from radishwind.peers.peer_traffic import PeerTraffic
 
-FAR = Member("f", "s", "b", Address("10.0.0.2", 80))
+REMOTE = Member("f", "s", "b", Address("10.0.0.2", 80))
 
 
 def call(route="r", **fields):
@@ -32,11 +32,11 @@
     return f'domain="{domain}",cause="{cause}",route="{route}"'
 
 
-def test_a_forward_and_its_answer_are_counted_apart_by_route():
+def test_forwards_and_responses_are_counted_separately_by_route():
     traffic = PeerTraffic()
     request = Request("POST", "/", (("A", "bc"),), b"12345", 5)
-    traffic.record_forward(FAR, call(), request)
-    traffic.record_answer(FAR, call(), Response(200, (), b"x" * 90, 90))
+    traffic.record_forward(REMOTE, call(), request)
+    traffic.record_answer(REMOTE, call(), Response(200, (), b"x" * 90, 90))
 
     sizes = traffic.byte_counts()
     assert sizes[labels("first-head", "r")] == 7
@@ -45,19 +45,19 @@
     assert traffic.message_counts()[labels("answer-body", "r")] == 1
 
 
-def test_a_repeat_is_told_from_a_first_attempt():
+def test_retry_is_counted_separately_from_first_attempts():
     traffic = PeerTraffic()
-    traffic.record_forward(FAR, call(steps=["x"]), Request("GET", "/"))
+    traffic.record_forward(REMOTE, call(steps=["x"]), Request("GET", "/"))
 
     assert labels("again-head", "r") in traffic.message_counts()
 
 
-def test_datagrams_and_control_messages_count_for_the_domain_of_their_host():
+def test_datagrams_and_control_messages_are_counted_by_domain_of_the_host():
     traffic = PeerTraffic()
-    traffic.set_members((FAR,))
-    traffic.record_datagram(Channel.LOADS, FAR.address, 40)
+    traffic.set_members((REMOTE,))
+    traffic.record_datagram(Channel.LOADS, REMOTE.address, 40)
     traffic.record_datagram(Channel.GOSSIP, Address("10.0.0.9", 80), 10)
-    traffic.record_control(FAR.address, "routes", 1000)
+    traffic.record_control(REMOTE.address, "routes", 1000)
 
     sizes = traffic.byte_counts()
     assert sizes[labels("datagram-loads")] == 40
@@ -65,11 +65,11 @@
     assert sizes[labels("control-routes")] == 1000
 
 
-def test_the_series_are_bounded_and_nothing_is_lost():
+def test_series_are_bounded_and_all_messages_are_counted():
     traffic = PeerTraffic()
     for number in range(2 * MAX_SERIES):
         traffic.record_answer(
-            FAR, call(f"r{number}"), Response(200, (), b"x", 1)
+            REMOTE, call(f"r{number}"), Response(200, (), b"x", 1)
         )
 
     assert len(traffic.byte_counts()) <= MAX_SERIES + 1
--- a/src/radishwind/peers/tests/test_replay_window.py
+++ b/src/radishwind/peers/tests/test_replay_window.py
@@ -1,4 +1,4 @@
-"""A number of a sender counts once, in whatever order numbers arrive."""
+"""Each sequence number of a sender is accepted once, in any order."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -10,23 +10,23 @@
 
 
 @given(st.lists(st.integers(0, 3 * WINDOW), max_size=60))
-def test_no_number_counts_twice(numbers):
+def test_no_number_is_accepted_twice(numbers):
     window = ReplayWindow(WINDOW)
 
-    taken = [number for number in numbers if window.add(number)]
+    accepted = [number for number in numbers if window.add(number)]
 
-    assert len(taken) == len(set(taken))
+    assert len(accepted) == len(set(accepted))
 
 
 @given(st.permutations(range(40)), st.integers(0, 2**39))
-def test_what_arrives_out_of_order_within_the_window_counts(order, first):
+def test_numbers_out_of_order_within_the_window_are_accepted(order, first):
     window = ReplayWindow(WINDOW)
 
     assert all(window.add(first + i) for i in order)
 
 
 @given(st.lists(st.integers(0, 3 * WINDOW), min_size=1, max_size=60))
-def test_it_agrees_with_a_set_that_forgets_what_is_old(numbers):
+def test_window_matches_a_set_limited_to_recent_numbers(numbers):
     window, seen, highest = ReplayWindow(WINDOW), set(), -1
     for number in numbers:
         expected = number not in seen and number > highest - WINDOW
@@ -35,7 +35,7 @@
         assert window.add(number) is expected
 
 
-def test_what_is_older_than_the_window_does_not_count():
+def test_number_below_the_window_is_not_accepted():
     window = ReplayWindow(WINDOW)
     window.add(WINDOW + 5)
 
@@ -43,7 +43,7 @@
     assert window.add(6)
 
 
-def test_senders_are_told_apart_and_bounded():
+def test_senders_have_separate_windows_and_are_bounded():
     guard = ReplayGuard(WINDOW, limit=2)
 
     assert guard.add(b"a", 1)
--- a/src/radishwind/peers/tests/test_security.py
+++ b/src/radishwind/peers/tests/test_security.py
@@ -1,4 +1,7 @@
-"""What is not authentic, in time and new is refused, and answered truly."""
+"""Requests are refused unless they are authentic, current and new.
+
+The response to a refused attempt states whether the attempt may have run.
+"""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -41,7 +44,7 @@
 ELSEWHERE = Address("10.0.0.2", 8081)
 SERVER = Address("10.0.0.1", 80)
 PATH = "/radishwind/v1/echo"
-LOAD_FIELD = "radishwind-node-answer"
+ANSWER_FIELD = "radishwind-node-answer"
 
 pytestmark = pytest.mark.anyio
 
@@ -51,8 +54,8 @@
     return "asyncio"
 
 
-class Peers:
-    """One node that listens, with the server beside it."""
+class ListeningNode:
+    """A node with a peer listener and its backend server."""
 
     def __init__(self, keys=(OLD,)):
         self.clock = ManualClock()
@@ -96,7 +99,7 @@
         return Response(200, (), request.body)
 
 
-def booking():
+def make_call():
     return Call(
         "c-1",
         "prenota",
@@ -113,77 +116,77 @@
 
 
 async def test_signed_message_is_handled():
-    assert await Peers().client().call(HERE, "echo", b"hi", 1.0) == b"hi"
+    assert (
+        await ListeningNode().client().call(HERE, "echo", b"hi", 1.0) == b"hi"
+    )
 
 
 @pytest.mark.parametrize(("signed_by", "good"), [(OLD, True), (NEW, True)])
-async def test_during_a_rotation_both_keys_are_accepted(signed_by, good):
-    peers = Peers(keys=(NEW, OLD))
+async def test_both_keys_are_accepted_during_a_rotation(signed_by, good):
+    node = ListeningNode(keys=(NEW, OLD))
 
-    assert await peers.client(signed_by).call(HERE, "echo", b"", 1.0) == b""
+    assert await node.client(signed_by).call(HERE, "echo", b"", 1.0) == b""
 
 
 @pytest.mark.parametrize("client", ["wrong key", "no key"])
-async def test_message_that_is_not_authentic_is_refused(client):
-    peers = Peers()
-    sender = peers.client(NEW)
+async def test_unauthenticated_message_is_refused(client):
+    node = ListeningNode()
+    sender = node.client(NEW)
     if client == "no key":
-        sender = HttpPeerClient(peers.sender)
+        sender = HttpPeerClient(node.sender)
 
     with pytest.raises(PeerError, match="401"):
         await sender.call(HERE, "echo", b"hi", 1.0)
 
-    assert peers.listener.refused_by_code == {
-        ResultCode.PEER_UNAUTHENTICATED: 1
-    }
+    assert node.listener.refused_by_code == {ResultCode.PEER_UNAUTHENTICATED: 1}
 
 
 @pytest.mark.parametrize(
     "change", [{"method": "PUT"}, {"path": PATH + "?a"}, {"body": b"ho"}]
 )
-async def test_changed_message_is_refused(change):
-    peers = Peers()
-    auth = peers.signer().sign(HERE, "POST", PATH, b"hi")
+async def test_altered_message_is_refused(change):
+    node = ListeningNode()
+    auth = node.signer().sign(HERE, "POST", PATH, b"hi")
     fields = {"method": "POST", "path": PATH, "body": b"hi", **change}
 
-    answer = await peers.listener.handle(
+    response = await node.listener.handle(
         Request(headers=((AUTH_FIELD, auth),), body_bytes=2, **fields)
     )
 
-    assert answer.status == 401
+    assert response.status == 401
 
 
-async def test_message_to_another_node_is_refused_here():
-    peers = Peers()
-    auth = peers.signer().sign(ELSEWHERE, "POST", PATH, b"")
+async def test_message_to_another_node_is_refused():
+    node = ListeningNode()
+    auth = node.signer().sign(ELSEWHERE, "POST", PATH, b"")
 
-    answer = await peers.listener.handle(
+    response = await node.listener.handle(
         Request("POST", PATH, ((AUTH_FIELD, auth),))
     )
 
-    assert header(answer.headers, "radishwind-code") == "6001"
+    assert header(response.headers, "radishwind-code") == "6001"
 
 
 async def test_replayed_message_is_refused():
-    peers = Peers()
-    await peers.client().call(HERE, "echo", b"hi", 1.0)
-    first = peers.sender.sent[-1][1]
+    node = ListeningNode()
+    await node.client().call(HERE, "echo", b"hi", 1.0)
+    first = node.sender.sent[-1][1]
 
-    answer = await peers.listener.handle(first)
+    response = await node.listener.handle(first)
 
-    assert header(answer.headers, "radishwind-code") == "6003"
+    assert header(response.headers, "radishwind-code") == "6003"
 
 
 @pytest.mark.parametrize("size", [101, None])
 async def test_oversize_message_is_refused_unread(size):
-    peers = Peers()
+    node = ListeningNode()
 
-    answer = await peers.listener.handle(
+    response = await node.listener.handle(
         Request("POST", PATH, body=b"x" * 101, body_bytes=size)
     )
 
-    assert answer.status == 413
-    assert header(answer.headers, "radishwind-code") == "6005"
+    assert response.status == 413
+    assert header(response.headers, "radishwind-code") == "6005"
 
 
 @pytest.mark.parametrize(
@@ -195,93 +198,93 @@
     ],
 )
 async def test_malformed_request_is_refused(request_):
-    answer = await Peers().listener.handle(request_)
+    response = await ListeningNode().listener.handle(request_)
 
-    assert header(answer.headers, "radishwind-code") == "6002"
+    assert header(response.headers, "radishwind-code") == "6002"
 
 
 async def test_signed_attempt_runs():
-    peers = Peers()
+    node = ListeningNode()
 
-    result = await peers.runner(peers.signer()).run(booking(), MEMBER, "a")
+    result = await node.runner(node.signer()).run(make_call(), MEMBER, "a")
 
     assert isinstance(result.outcome, Done)
     assert result.load is not None
 
 
 @pytest.mark.parametrize("key", [NEW, None])
-async def test_attempt_that_is_not_authentic_is_not_run(key):
-    peers = Peers()
-    signer = peers.signer(key) if key else None
+async def test_unauthenticated_attempt_is_not_run(key):
+    node = ListeningNode()
+    signer = node.signer(key) if key else None
 
-    result = await peers.runner(signer).run(booking(), MEMBER, "a")
+    result = await node.runner(signer).run(make_call(), MEMBER, "a")
 
     assert isinstance(result.outcome, NotRun)
     assert result.outcome.code is ResultCode.PEER_UNAUTHENTICATED
     assert result.load is None
-    assert peers.ran == []
+    assert node.ran == []
 
 
-async def test_replayed_attempt_is_not_run_again_nor_told_not_run():
-    peers = Peers()
-    await peers.runner(peers.signer()).run(booking(), MEMBER, "a")
-    first = next(r for to, r in peers.sender.sent if to == HERE)
+async def test_replayed_attempt_is_neither_run_nor_reported_as_not_run():
+    node = ListeningNode()
+    await node.runner(node.signer()).run(make_call(), MEMBER, "a")
+    first = next(r for to, r in node.sender.sent if to == HERE)
 
-    answer = await peers.listener.handle(first)
+    response = await node.listener.handle(first)
 
-    told = msgspec.json.decode(header(answer.headers, LOAD_FIELD))
-    assert told[1:3] == ["unknown", 6003]
-    assert len(peers.ran) == 1
+    info = msgspec.json.decode(header(response.headers, ANSWER_FIELD))
+    assert info[1:3] == ["unknown", 6003]
+    assert len(node.ran) == 1
 
 
 async def test_attempt_sent_before_a_restart_is_refused_after_it():
-    peers = Peers()
-    await peers.runner(peers.signer()).run(booking(), MEMBER, "a")
-    first = next(r for to, r in peers.sender.sent if to == HERE)
-    peers.clock.advance(0.5)
+    node = ListeningNode()
+    await node.runner(node.signer()).run(make_call(), MEMBER, "a")
+    first = next(r for to, r in node.sender.sent if to == HERE)
+    node.clock.advance(0.5)
     restarted = PeerListener(
         node_name="prenota-1",
-        clock=peers.clock,
+        clock=node.clock,
         rules_for=lambda service: ServiceRules(),
-        target=peers.target,
-        verifier=PeerVerifier((OLD,), peers.clock, HERE),
+        target=node.target,
+        verifier=PeerVerifier((OLD,), node.clock, HERE),
     )
 
-    answer = await restarted.handle(first)
+    response = await restarted.handle(first)
 
-    assert header(answer.headers, "radishwind-code") == "6004"
-    assert len(peers.ran) == 1
+    assert header(response.headers, "radishwind-code") == "6004"
+    assert len(node.ran) == 1
 
 
-async def test_refused_connection_is_reported_as_a_hint():
-    peers = Peers()
-    hints = []
+async def test_failed_connection_is_reported_to_the_callback():
+    node = ListeningNode()
+    unreachable = []
     runner = ForwardRunner(
         node_name="entry",
-        clock=peers.clock,
-        target=peers.target,
-        sender=peers.sender,
-        on_unreachable=hints.append,
+        clock=node.clock,
+        target=node.target,
+        sender=node.sender,
+        on_unreachable=unreachable.append,
     )
-    gone = Member("prenota-2", "prenota", "savona", ELSEWHERE)
+    unreachable_member = Member("prenota-2", "prenota", "savona", ELSEWHERE)
 
-    await runner.run(booking(), gone, "a")
+    await runner.run(make_call(), unreachable_member, "a")
 
-    assert hints == ["prenota-2"]
+    assert unreachable == ["prenota-2"]
 
 
-class EagerSigner(RequestSigner):
-    """Would send whatever is answered once more."""
+class AlwaysSignAgain(RequestSigner):
+    """Asks to resend after every response."""
 
     def sign(self, to, method, path, covered):
         return None
 
-    def should_sign_again(self, to, answer):
+    def should_sign_again(self, to, response):
         return True
 
 
 @pytest.mark.parametrize(
-    ("answered", "sent"),
+    ("canned_response", "expected_count"),
     [
         (
             build_attempt_response(
@@ -305,17 +308,19 @@
         (Response(401), 1),
     ],
 )
-async def test_only_what_did_not_run_is_signed_and_sent_anew(answered, sent):
-    peers = Peers()
+async def test_only_attempts_that_did_not_run_are_signed_again_and_resent(
+    canned_response, expected_count
+):
+    node = ListeningNode()
 
-    async def answer(request):
-        return answered
+    async def respond(request):
+        return canned_response
 
-    peers.sender.handlers[HERE] = answer
+    node.sender.handlers[HERE] = respond
 
-    await peers.runner(EagerSigner()).run(booking(), MEMBER, "a")
+    await node.runner(AlwaysSignAgain()).run(make_call(), MEMBER, "a")
 
-    assert len(peers.sender.sent) == sent
+    assert len(node.sender.sent) == expected_count
 
 
 @pytest.mark.parametrize(
@@ -326,11 +331,11 @@
         (WINDOW_PAST_S + 0.01, PeerStaleError),
     ],
 )
-def test_window_of_time(later_s, error):
-    peers = Peers()
-    verifier = PeerVerifier((OLD,), peers.clock, HERE)
-    field = peers.signer().sign(HERE, "GET", "/", b"")
-    peers.clock.advance(later_s)
+def test_request_within_the_time_window_is_accepted(later_s, error):
+    node = ListeningNode()
+    verifier = PeerVerifier((OLD,), node.clock, HERE)
+    field = node.signer().sign(HERE, "GET", "/", b"")
+    node.clock.advance(later_s)
 
     if error is None:
         verifier.verify(field, "GET", "/", b"")
@@ -343,7 +348,7 @@
     ("ahead_s", "refused"),
     [(WINDOW_FUTURE_S, False), (WINDOW_FUTURE_S + 0.01, True)],
 )
-def test_clock_of_a_peer_may_be_a_little_ahead(ahead_s, refused):
+def test_clock_of_a_peer_may_be_slightly_ahead(ahead_s, refused):
     here, there = ManualClock(), ManualClock()
     there.advance(ahead_s)
     verifier = PeerVerifier((OLD,), here, HERE)
@@ -357,24 +362,24 @@
 
 
 @given(st.none() | st.text(max_size=170))
-def test_any_other_field_is_refused(field):
+def test_any_other_auth_field_is_refused(field):
     verifier = PeerVerifier((OLD,), ManualClock(), HERE)
 
     with pytest.raises(PeerRefusedError):
         verifier.verify(field, "GET", "/", b"")
 
 
-def test_nonces_are_bounded_and_what_is_forgotten_counts_as_old():
-    memory = NonceCache(limit=10)
+def test_nonces_are_bounded_and_dropped_ones_count_as_stale():
+    cache = NonceCache(limit=10)
 
     for number in range(35):
-        assert memory.add(str(number), 1_000 + number)
+        assert cache.add(str(number), 1_000 + number)
 
-    assert memory.dropped_until_ms == 1_019
-    assert not memory.add("34", 1_034)
+    assert cache.dropped_until_ms == 1_019
+    assert not cache.add("34", 1_034)
 
 
-def test_nonce_is_remembered_for_longer_than_the_window():
+def test_nonce_is_kept_for_longer_than_the_time_window():
     clock = ManualClock()
     verifier = PeerVerifier((OLD,), clock, HERE)
     signer = PeerSigner(OLD, clock, "p")
