--- a/src/radishwind/claims/at_most_once_guard.py
+++ b/src/radishwind/claims/at_most_once_guard.py
@@ -1,4 +1,4 @@
-"""The guard that runs a keyed call at most once, by claims in the store."""
+"""Guard that runs calls with an idempotency key at most once."""
 
 import dataclasses
 
@@ -27,47 +27,53 @@
 from radishwind.outcomes.model import Outcome
 from radishwind.outcomes.model import Unknown
 
-#: When to come back while the node starts or the first sending runs (s).
-_RETRY_S = 1.0
+#: Retry delay while the node starts or an earlier request with the key runs.
+_RETRY_AFTER_S = 1.0
 
-#: A later sending may have run while this node was paused.
-_LAPSED = Unknown(
+#: Outcome of a call that was not run but whose claim has expired meanwhile. It
+#: is not `NotRun`, since a later request with the same key may have run at
+#: another node while this node was paused.
+_CLAIM_EXPIRED = Unknown(
     ResultCode.CLAIM_UNKNOWN,
-    "This sending was not run, and its claim has lapsed meanwhile.",
+    "This request was not run, and its claim has expired meanwhile.",
 )
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Job:
-    """A keyed call that runs to its end whether or not its caller waits.
+    """A keyed call, which is completed even if its caller disconnects.
 
     Attributes:
-      call: the call; with its whole body once that was read.
-      execute: runs its attempts.
-      finished: set once `outcome` or `error` is.
-      outcome: what the caller is told.
-      error: a fault of the node.
-      abandoned: whether the caller has gone away.
+      call: the call; its body is in memory once it was read.
+      execute: executes the call.
+      completed: set once `outcome` or `error` is.
+      outcome: the outcome for the caller.
+      error: an unexpected exception.
+      is_abandoned: whether the caller has disconnected.
     """
 
     call: Call
     execute: Execute
-    finished: anyio.Event
+    completed: anyio.Event
     outcome: Outcome | None = None
     error: Exception | None = None
-    abandoned: bool = False
+    is_abandoned: bool = False
 
 
 class AtMostOnceGuard(ClaimGuard):
-    """Claims a key before its call's first attempt; answers repeats.
+    """Claims a key before the first attempt of its call; answers duplicates.
+
+    Only calls that have an idempotency key and are not idempotent are claimed;
+    they are called keyed calls here.
 
     Args:
       clock: the clock.
       registry: the claims in the store.
-      memory: what this node remembers of them.
-      answer_bytes: the most of an answer that is recorded (bytes).
-      body_bytes: the largest body of a keyed request (bytes).
-      repeat_wait_s: how long a repeat waits here for the first to end (s).
+      cache: the claims known to this node.
+      max_response_bytes: maximum size of a response that is recorded.
+      max_body_bytes: maximum size of the body of a keyed call.
+      duplicate_wait_s: how long a duplicate waits for an earlier call with
+        the same key to complete at this node (s).
     """
 
     def __init__(
@@ -88,22 +94,25 @@
         self._duplicate_wait_s = duplicate_wait_s
         self._running: dict[tuple[str, str], anyio.Event] = {}
         self._tasks: anyio.abc.TaskGroup | None = None
-        self._jobs = 0
+        self._running_count = 0
         self._idle = anyio.Event()
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Takes the group that keyed calls run in."""
+        """Starts the registry and runs the keyed calls in `tasks` from now on.
+
+        Keyed calls are refused before.
+        """
         self._tasks = tasks
         tasks.start_soon(self._registry.run)
 
     @property
     def running_count(self) -> int:
-        """How many keyed calls are in progress."""
-        return self._jobs
+        """Number of keyed calls in progress."""
+        return self._running_count
 
     async def wait_idle(self) -> None:
-        """Returns once no keyed call is in progress."""
-        while self._jobs:
+        """Waits until no keyed call is in progress."""
+        while self._running_count:
             self._idle = anyio.Event()
             await self._idle.wait()
 
@@ -114,74 +123,81 @@
             return NotRun(
                 ResultCode.CLAIM_UNAVAILABLE,
                 "The node is starting.",
-                _RETRY_S,
+                _RETRY_AFTER_S,
             )
         job = _Job(call, execute, anyio.Event())
-        self._tasks.start_soon(self._work, job)
+        self._tasks.start_soon(self._run_job, job)
         try:
-            await job.finished.wait()
+            await job.completed.wait()
         except BaseException:
-            job.abandoned = True
+            job.is_abandoned = True
             raise
         if job.error is not None:
             raise job.error
         assert job.outcome is not None
         return job.outcome
 
-    async def _work(self, job: _Job) -> None:
-        self._jobs += 1
+    async def _run_job(self, job: _Job) -> None:
+        self._running_count += 1
         try:
-            job.outcome = await self._whole(job)
+            job.outcome = await self._run_buffered(job)
         except Exception as exc:
             job.error = exc
         except BaseException:
             job.outcome = Unknown(
-                ResultCode.EXCHANGE_BROKEN, "The node was stopped meanwhile."
+                ResultCode.EXCHANGE_BROKEN,
+                "The node was stopped while the call was running.",
             )
             raise
         finally:
-            self._jobs -= 1
-            job.finished.set()
-            if not self._jobs:
+            self._running_count -= 1
+            job.completed.set()
+            if not self._running_count:
                 self._idle.set()
-        if job.abandoned and isinstance(job.outcome, Done):
+        if job.is_abandoned and isinstance(job.outcome, Done):
             abort_body(job.outcome.response.body)
 
-    async def _whole(self, job: _Job) -> Outcome:
+    async def _run_buffered(self, job: _Job) -> Outcome:
+        """Buffers the body of the request, then runs the call."""
         left_s = job.call.deadline - self._clock.monotonic()
-        whole = await buffer_request_body(
+        buffered = await buffer_request_body(
             job.call, self._max_body_bytes, left_s
         )
-        if not isinstance(whole, Call):
-            return whole
-        job.call = whole
-        return await self._one_at_a_time(job)
-
-    async def _one_at_a_time(self, job: _Job) -> Outcome:
-        """Lets one sending of a key at a time pass in this node."""
-        sending = KeyedRequest.from_call(job.call)
-        identity = sending.identity
+        if not isinstance(buffered, Call):
+            return buffered
+        job.call = buffered
+        return await self._run_exclusively(job)
+
+    async def _run_exclusively(self, job: _Job) -> Outcome:
+        """Runs the call while no other call with its key runs at this node."""
+        request = KeyedRequest.from_call(job.call)
+        identity = request.identity
         if not await self._wait_for_turn(identity, job.call):
             return Unknown(
                 ResultCode.CLAIM_RUNNING,
-                "An earlier sending with this key still runs.",
-                _RETRY_S,
+                "An earlier request with this key is still running.",
+                _RETRY_AFTER_S,
             )
-        known = self._cache.get(sending, self._clock.monotonic())
-        if known is not None:
+        record = self._cache.get(request, self._clock.monotonic())
+        if record is not None:
             wall_ms = self._clock.wall_ms()
-            return duplicate_outcome(known, sending, wall_ms)
-        turn = self._running[identity] = anyio.Event()
+            return duplicate_outcome(record, request, wall_ms)
+        completed = self._running[identity] = anyio.Event()
         try:
-            return await self._claimed(job, sending)
+            return await self._run_claimed(job, request)
         finally:
             del self._running[identity]
-            turn.set()
+            completed.set()
 
     async def _wait_for_turn(
         self, identity: tuple[str, str], call: Call
     ) -> bool:
-        """Returns whether no sending of the key runs here any more."""
+        """Waits until no call with the key runs at this node.
+
+        Returns:
+          Whether that was so before the deadline of `call` and within
+          `duplicate_wait_s`.
+        """
         left_s = call.deadline - self._clock.monotonic()
         with anyio.move_on_after(max(0.0, min(left_s, self._duplicate_wait_s))):
             while identity in self._running:
@@ -189,27 +205,31 @@
             return True
         return False
 
-    async def _claimed(self, job: _Job, sending: KeyedRequest) -> Outcome:
-        asked = self._clock.monotonic()
-        claim = await self._registry.claim(job.call, sending)
+    async def _run_claimed(self, job: _Job, request: KeyedRequest) -> Outcome:
+        """Claims the key, runs the call and records its result."""
+        started_at = self._clock.monotonic()
+        claim = await self._registry.claim(job.call, request)
         if not isinstance(claim, OwnedClaim):
             return claim
-        # From here on it may run, whatever becomes of this task.
-        ended = msgspec.structs.replace(claim.record, expires_ms=0)
-        self._remember(sending, claim, ended)
+        # From here on the call may run, even if this task is cancelled. Until
+        # there is a response, duplicates get the outcome "unknown".
+        unknown = msgspec.structs.replace(claim.record, expires_ms=0)
+        self._cache_record(request, claim, unknown)
         outcome = await job.execute(job.call)
         if isinstance(outcome, NotRun):
-            self._cache.remove(sending)
+            self._cache.remove(request)
             self._registry.release(claim)
-            if self._clock.monotonic() >= asked + claim.ttl_s:
-                return _LAPSED
+            if self._clock.monotonic() >= started_at + claim.ttl_s:
+                return _CLAIM_EXPIRED
             return outcome
         if isinstance(outcome, Done):
-            return await self._record(job.call, sending, claim, outcome)
+            return await self._record_response(
+                job.call, request, claim, outcome
+            )
         return outcome
 
-    async def _record(
-        self, call: Call, sending: KeyedRequest, claim: OwnedClaim, done: Done
+    async def _record_response(
+        self, call: Call, request: KeyedRequest, claim: OwnedClaim, done: Done
     ) -> Outcome:
         left_s = call.deadline - self._clock.monotonic()
         try:
@@ -219,23 +239,24 @@
                 )
         except ExchangeBrokenError:
             return Unknown(
-                ResultCode.EXCHANGE_BROKEN, "The server's answer broke off."
+                ResultCode.EXCHANGE_BROKEN,
+                "The server's response was incomplete.",
             )
         except TimeoutError:
             abort_body(done.response.body)
             return Unknown(
                 ResultCode.EXCHANGE_TIMEOUT,
-                "The server's answer did not end in time.",
+                "The server's response was not complete by the deadline.",
             )
         record = msgspec.structs.replace(
             claim.record, state=ClaimState.DONE, answer=captured.recorded
         )
-        self._remember(sending, claim, record)
+        self._cache_record(request, claim, record)
         self._registry.record_response(claim, record)
         return Done(captured.response)
 
-    def _remember(
-        self, sending: KeyedRequest, claim: OwnedClaim, record: ClaimRecord
+    def _cache_record(
+        self, request: KeyedRequest, claim: OwnedClaim, record: ClaimRecord
     ) -> None:
-        until = self._clock.monotonic() + claim.ttl_s
-        self._cache.put(sending, record, until)
+        expires_at = self._clock.monotonic() + claim.ttl_s
+        self._cache.put(request, record, expires_at)
--- a/src/radishwind/claims/claim_registry.py
+++ b/src/radishwind/claims/claim_registry.py
@@ -1,4 +1,4 @@
-"""Claims in the store: one compare-and-swap before anything runs."""
+"""Claims idempotency keys in the store, by a compare-and-swap."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -32,31 +32,32 @@
 from radishwind.store.base import StoreError
 from radishwind.store.base import StoreUnavailableError
 
-#: How often to try to claim a key whose claim is released meanwhile.
-_TRIES = 3
+#: Attempts to claim a key, if its claim is changed or released meanwhile.
+_MAX_ATTEMPTS = 3
 
-#: A claim lives at least so many times the longest deadline of its service.
-_TTL_DEADLINES = 10
+#: Minimum time to live of a claim, as a multiple of its service's longest
+#: deadline.
+_MIN_TTL_DEADLINES = 10
 
-#: The revision of a key that the store does not have.
-_ABSENT = 0
+#: Revision that stands for a key that does not exist.
+_ABSENT_REVISION = 0
 
-#: When to come back if the key was contended at each try (s).
-_CONTENDED_RETRY_S = 1.0
+#: Retry delay if each attempt lost a race for the key.
+_CONTENTION_RETRY_S = 1.0
 
 _T = TypeVar("_T")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OwnedClaim:
-    """A claim that this node has written and nobody else may run under.
+    """A claim written by this node, under which only this node may run a call.
 
     Attributes:
-      record: as written.
-      store_key: where.
-      mod_revision: the store's revision of it.
-      lease_id: the lease it hangs on.
-      ttl_s: how long it lives at least (s).
+      record: the record as written.
+      store_key: the key in the store.
+      mod_revision: the store's revision at which it was written.
+      lease_id: ID of the lease the key is attached to.
+      ttl_s: minimum time until the claim expires (s).
     """
 
     record: ClaimRecord
@@ -67,30 +68,32 @@
 
 
 def claim_ttl_s(call: Call) -> int:
-    """Returns how long the claim of `call` must live at least (s).
+    """Returns the minimum time to live of the claim of `call` (s).
 
-    A rule may shorten it, but never near the longest deadline: what was
-    claimed before a pause must be too late before its claim is gone.
+    A rule may shorten it, but it stays far above the longest deadline: if this
+    node is paused after it claimed a call, the deadline of the call must have
+    passed before the claim expires and another node may run the call.
     """
     longest_s = call.rules.max_deadline_ms / 1000
-    return max(call.rules.claim_ttl_s, int(longest_s * _TTL_DEADLINES) + 60)
+    return max(call.rules.claim_ttl_s, int(longest_s * _MIN_TTL_DEADLINES) + 60)
 
 
 class ClaimRegistry:
-    """Writes, reads and settles claims.
+    """Claims keys, releases claims and records responses.
 
     Args:
       store: the store.
       clock: the clock.
-      rng: makes the nonces.
-      node_name: the node, for whoever reads a claim.
-      gate: keeps calls from a store that failed.
-      budget: of the store's writes.
-      reads: of the store's reads, for telling repeats when writes are spent.
+      rng: source of the nonces.
+      node_name: name of this node, written with each claim.
+      breaker: circuit breaker for the store.
+      write_budget: rate limit of writes to the store.
+      read_budget: rate limit of the reads by which duplicates are detected
+        while `write_budget` is spent.
       writer: writes the claims.
-      settler: writes what became of claims.
-      lease: the lease that claims hang on.
-      wait_s: how long a caller may wait for the store (s).
+      updates: releases claims and writes responses in the background.
+      lease: the lease that the claims are attached to.
+      store_timeout_s: how long a call to the store may take (s).
     """
 
     def __init__(
@@ -121,21 +124,27 @@
         self._store_timeout_s = store_timeout_s
 
     async def claim(
-        self, call: Call, sending: KeyedRequest
+        self, call: Call, request: KeyedRequest
     ) -> OwnedClaim | Outcome:
-        """Returns the claim if it is ours now, else what the caller is told.
+        """Claims the key of a request.
 
-        Nothing has been dispatched under any claim that is not returned.
+        Args:
+          call: the call to be run.
+          request: the keyed request of `call`.
+
+        Returns:
+          The claim if this node owns it now, else the outcome of the call. No
+          call is ever dispatched under a claim that is not returned.
         """
         now = self._clock.monotonic()
         if not self._breaker.try_acquire(now):
-            return _unchecked(self._breaker.retry_after_s(now))
+            return _unchecked_outcome(self._breaker.retry_after_s(now))
         try:
-            outcome = await self._claim(call, sending)
+            outcome = await self._claim(call, request)
         except StoreError:
             self._lease.clear()
             self._breaker.record_failure(self._clock.monotonic())
-            return _unchecked(
+            return _unchecked_outcome(
                 self._breaker.retry_after_s(self._clock.monotonic())
             )
         except BaseException:
@@ -145,18 +154,18 @@
         return outcome
 
     async def run(self) -> None:
-        """Does what is to be done between claims, for ever."""
+        """Runs the background work until cancelled."""
         await self._writer.run()
 
     def release(self, claim: OwnedClaim) -> None:
-        """Gives a claim back under which nothing ran."""
+        """Releases a claim under which nothing ran."""
         self._updates.mark_undispatched(claim.record.nonce)
         self._updates.enqueue(
             ClaimUpdate(claim.store_key, claim.mod_revision, None, 0)
         )
 
     def record_response(self, claim: OwnedClaim, record: ClaimRecord) -> None:
-        """Writes what the server answered."""
+        """Replaces a claim in the store by `record`, with the response."""
         self._updates.enqueue(
             ClaimUpdate(
                 claim.store_key,
@@ -167,51 +176,60 @@
         )
 
     async def _claim(
-        self, call: Call, sending: KeyedRequest
+        self, call: Call, request: KeyedRequest
     ) -> OwnedClaim | Outcome:
-        store_key = sending.store_key()
-        for _ in range(_TRIES):
+        store_key = request.store_key()
+        for _ in range(_MAX_ATTEMPTS):
             if not self._write_budget.try_spend(self._clock.monotonic()):
-                return await self._over_budget(sending, store_key)
-            claim = await self._write(call, sending, store_key, _ABSENT)
+                return await self._outcome_over_budget(request, store_key)
+            claim = await self._write(
+                call, request, store_key, _ABSENT_REVISION
+            )
             if claim is not None:
                 return claim
             entry = await self._read(store_key)
             if entry is None:
                 continue
-            told = self._told(entry, sending)
-            if told is not None:
-                return told
+            outcome = self._duplicate_outcome(entry, request)
+            if outcome is not None:
+                return outcome
             claim = await self._write(
-                call, sending, store_key, entry.mod_revision
+                call, request, store_key, entry.mod_revision
             )
             if claim is not None:
                 return claim
-        return _unchecked(_CONTENDED_RETRY_S)
+        return _unchecked_outcome(_CONTENTION_RETRY_S)
 
     async def _write(
-        self, call: Call, sending: KeyedRequest, store_key: str, revision: int
+        self, call: Call, request: KeyedRequest, store_key: str, revision: int
     ) -> OwnedClaim | None:
-        """Writes a claim if the key's last revision is `revision`."""
+        """Writes a claim if the last revision of the key is `revision`.
+
+        Returns:
+          The claim, `None` if it was not written or that is unknown. In the
+          latter case its removal is queued.
+        """
         ttl_s = claim_ttl_s(call)
         lease_id = await self._lease_id(ttl_s)
-        record = self._new_record(call, sending)
+        record = self._new_record(call, request)
         put = Put(store_key, msgspec.json.encode(record), lease_id)
         compare = Compare(store_key, mod_revision=revision)
         try:
-            result = await self._bounded(
+            result = await self._with_timeout(
                 lambda: self._writer.write(compare, put)
             )
         except StoreAnswerLostError:
-            mod_revision = await self._settle(record, store_key)
+            mod_revision = await self._confirm(record, store_key)
             if mod_revision is None:
-                # Perhaps the store refused it since it lost the lease.
+                # The store may have rejected the write since it has lost the
+                # lease.
                 self._lease.clear()
         except StoreUnavailableError:
-            raise  # It is surely not written.
+            raise  # The claim is certainly not written.
         except BaseException:
-            # Cancelled: it may be written and will never be dispatched.
-            self._give_up(record, store_key)
+            # Cancelled: the claim may be written, but its call will never be
+            # dispatched.
+            self._abandon(record, store_key)
             raise
         else:
             mod_revision = result.revision if result.succeeded else None
@@ -219,96 +237,122 @@
             return None
         return OwnedClaim(record, store_key, mod_revision, lease_id, ttl_s)
 
-    def _new_record(self, call: Call, sending: KeyedRequest) -> ClaimRecord:
+    def _new_record(self, call: Call, request: KeyedRequest) -> ClaimRecord:
         return ClaimRecord(
-            key=sending.key,
+            key=request.key,
             nonce=f"{self._node_name}-{self._rng.getrandbits(96):024x}",
             node=self._node_name,
-            fingerprint=sending.fingerprint,
+            fingerprint=request.fingerprint,
             expires_ms=call.expires_ms,
-            caller=sending.caller,
+            caller=request.caller,
         )
 
-    async def _settle(self, record: ClaimRecord, store_key: str) -> int | None:
-        """Returns the revision of our claim if it was written, else `None`.
+    async def _confirm(self, record: ClaimRecord, store_key: str) -> int | None:
+        """Reads whether a claim was written.
+
+        The claim is not written again, since a conflict with the first write
+        could not be told apart from a claim by another node. If the read fails,
+        or the claim is not in the store (yet), it is abandoned: nothing will be
+        dispatched under it.
 
-        Never writes: a second write could not tell its own conflict from a
-        claim of somebody else. Where the store does not say, or the claim is
-        not there yet, it is given up: nothing will be dispatched under it.
+        Returns:
+          The claim's revision, `None` if it was not found.
         """
         try:
             entry = await self._read(store_key)
         except BaseException:
-            self._give_up(record, store_key)
+            self._abandon(record, store_key)
             raise
         if entry is not None and record.nonce.encode() in entry.value:
             return entry.mod_revision
-        self._give_up(record, store_key)
+        self._abandon(record, store_key)
         return None
 
-    def _give_up(self, record: ClaimRecord, store_key: str) -> None:
-        """Never dispatches under a claim that may be written; removes it."""
+    def _abandon(self, record: ClaimRecord, store_key: str) -> None:
+        """Queues the removal of a claim that may have been written.
+
+        Nothing may be dispatched under it.
+        """
         self._updates.mark_undispatched(record.nonce)
         self._updates.remove_unconfirmed(store_key, record.nonce)
 
     async def _lease_id(self, ttl_s: int) -> int:
+        """Returns the ID of a lease of at least `ttl_s`, granted if needed."""
         if not self._lease.has_valid_lease(ttl_s):
             self._write_budget.charge(self._clock.monotonic())
-        return await self._bounded(lambda: self._lease.get_lease_id(ttl_s))
+        return await self._with_timeout(lambda: self._lease.get_lease_id(ttl_s))
 
-    async def _over_budget(
-        self, sending: KeyedRequest, store_key: str
+    async def _outcome_over_budget(
+        self, request: KeyedRequest, store_key: str
     ) -> Outcome:
-        """Tells a repeat what is known, by a read; a first one is not run."""
+        """Returns the outcome while the write budget is spent.
+
+        A duplicate is detected by a read of the store. Any other request is
+        not run.
+        """
         now = self._clock.monotonic()
-        wait_s = self._write_budget.next_token_s(now)
+        retry_after_s = self._write_budget.next_token_s(now)
         if not self._read_budget.try_spend(now):
-            return _unchecked(wait_s)
+            return _unchecked_outcome(retry_after_s)
         entry = await self._read(store_key)
-        told = self._told(entry, sending) if entry is not None else None
-        if told is not None:
-            return told
+        outcome = (
+            self._duplicate_outcome(entry, request)
+            if entry is not None
+            else None
+        )
+        if outcome is not None:
+            return outcome
         return NotRun(
             ResultCode.CLAIM_UNAVAILABLE,
-            "This node's share of the store's writes is spent.",
-            wait_s,
+            "This node's share of the store's write rate is spent.",
+            retry_after_s,
         )
 
-    def _told(self, entry: StoreEntry, sending: KeyedRequest) -> Outcome | None:
-        """Returns what a repeat is told, `None` if nothing ran or will."""
+    def _duplicate_outcome(
+        self, entry: StoreEntry, request: KeyedRequest
+    ) -> Outcome | None:
+        """Returns the outcome of a request whose key is claimed by `entry`.
+
+        Returns:
+          The outcome, `None` if nothing ran, or will run, under that claim, so
+          that this node may take it over.
+        """
         try:
             record = msgspec.json.decode(entry.value, type=ClaimRecord)
         except msgspec.MsgspecError as exc:
             return Unknown(
-                ResultCode.CLAIM_UNKNOWN, f"The claim cannot be read: {exc}"
+                ResultCode.CLAIM_UNKNOWN,
+                f"The stored claim is malformed: {exc}",
             )
         if self._updates.is_undispatched(record.nonce):
             return None
         wall_ms = self._clock.wall_ms()
-        return duplicate_outcome(record, sending, wall_ms)
+        return duplicate_outcome(record, request, wall_ms)
 
     async def _read(self, store_key: str) -> StoreEntry | None:
-        return await self._bounded(lambda: self._store.get(store_key))
+        return await self._with_timeout(lambda: self._store.get(store_key))
 
-    async def _bounded(self, ask: Callable[[], Awaitable[_T]]) -> _T:
+    async def _with_timeout(self, make_call: Callable[[], Awaitable[_T]]) -> _T:
+        """Makes a call to the store, bounded by `store_timeout_s`."""
         try:
             with anyio.fail_after(self._store_timeout_s):
-                return await ask()
+                return await make_call()
         except TimeoutError as exc:
             raise StoreAnswerLostError(
-                f"expected an answer within {self._store_timeout_s} s, got none"
+                f"expected a response within {self._store_timeout_s} s, got "
+                "none"
             ) from exc
 
 
-def _unchecked(retry_after_s: float) -> Outcome:
-    """The answer where the store does not say whether the key has run.
+def _unchecked_outcome(retry_after_s: float) -> Outcome:
+    """Returns the outcome if the store could not be asked about a key.
 
-    Not `NotRun`: this sending was not dispatched, but an earlier one with the
-    same key may have run, and the caller asks about the request.
+    It is not `NotRun`. This sending was not dispatched, but an earlier one with
+    the same key may have run, and for the caller they are the same request.
     """
     return Unknown(
         ResultCode.CLAIM_UNCHECKED,
-        "This sending was not run; whether an earlier one with this key was "
-        "cannot be told now. Send again with the same key.",
+        "This request was not run; whether an earlier one with this key was is "
+        "unknown at present. Send it again with the same key.",
         retry_after_s,
     )
