--- a/src/radishwind/claims/claim_update_queue.py
+++ b/src/radishwind/claims/claim_update_queue.py
@@ -1,8 +1,8 @@
-"""Writes what became of claims, behind the callers' backs and in groups.
+"""Updates claims in the store in the background, in batches.
 
-Each change is conditional on the claim's own last revision, so making it again
-after a lost answer does nothing the second time. While one group is written
-the next gathers; nothing waits for a group to fill.
+Each update is conditional on the last revision of its claim, so that repeating
+it after a lost response has no further effect. Updates that arrive while a
+batch is written form the next one; none waits until a batch is full.
 """
 
 import collections
@@ -20,34 +20,36 @@
 from radishwind.store.base import Store
 from radishwind.store.base import StoreError
 
-#: Changes in one transaction; stores allow some 128 operations in each.
+#: Maximum number of updates per transaction. Stores allow about 128 operations
+#: per transaction.
 MAX_BATCH_LENGTH = 32
 
-#: Bytes of values in one transaction; stores take about 1 MB.
-_GROUP_BYTES = 256 * 1024
+#: Maximum size of the values in a transaction. Stores accept about 1 MB.
+_MAX_BATCH_BYTES = 256 * 1024
 
-#: How long a claim whose writing was lost may still appear in the store (s).
+#: How long a write without a response may still take effect in the store.
 LATE_WRITE_S = 60.0
 
-#: How often the store is asked for claims that may yet appear (s).
-_LOST_POLL_S = 5.0
+#: Interval at which unconfirmed claims are looked up in the store.
+_UNCONFIRMED_POLL_S = 5.0
 
-#: Lost claims looked for; the oldest go first, and stay "unknown".
-_LOST_LENGTH = 1_000
+#: Maximum number of unconfirmed claims. The oldest are dropped; calls with
+#: their keys get the outcome "unknown" until the claims expire.
+_MAX_UNCONFIRMED = 1_000
 
-#: Nonces remembered as never dispatched.
-_UNDISPATCHED_LENGTH = 10_000
+#: Maximum number of nonces remembered as never dispatched.
+_MAX_UNDISPATCHED = 10_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimUpdate:
-    """A change of a claim this node holds.
+    """An update of a claim that this node owns.
 
     Attributes:
-      store_key: where the claim is written.
-      mod_revision: its last revision.
-      value: its new value, `None` to release it.
-      lease_id: the lease it hangs on.
+      store_key: the key of the claim in the store.
+      mod_revision: the revision of its last change.
+      value: the new value, `None` to release the claim.
+      lease_id: ID of the lease the key is attached to.
     """
 
     store_key: str
@@ -56,15 +58,15 @@
     lease_id: int
 
     def size_bytes(self) -> int:
-        """Returns the length of the new value (bytes)."""
+        """Returns the size of the new value (bytes)."""
         return len(self.value or b"")
 
     def compare(self) -> Compare:
-        """Returns the condition of the change."""
+        """Returns the condition of the update."""
         return Compare(self.store_key, mod_revision=self.mod_revision)
 
     def operation(self) -> Operation:
-        """Returns the change."""
+        """Returns the change made by the update."""
         if self.value is None:
             return Delete(self.store_key)
         return Put(self.store_key, self.value, self.lease_id)
@@ -72,29 +74,38 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UnconfirmedClaim:
-    """A claim whose writing could not be settled; it was never dispatched.
+    """A claim that may or may not be written; it was never dispatched.
 
     Attributes:
-      store_key: where it may be written.
-      nonce: its nonce.
-      until: monotonic time (s) after which it cannot appear any more.
+      store_key: the key of the claim in the store.
+      nonce: the nonce of the claim.
+      expires_at: monotonic time after which the write cannot take effect any
+        more (s).
     """
 
     store_key: str
     nonce: str
-    until: float
+    expires_at: float
 
 
 class ClaimUpdateQueue:
-    """Writes results, releases claims that did not run, removes lost ones.
+    """Queue of updates to claims.
+
+    It records responses, releases claims whose call did not run and removes
+    unconfirmed claims.
 
     Args:
       store: the store.
       clock: the clock.
-      gate: shared with the claiming side.
-      budget: shared with the claiming side; settling goes on credit.
-      max_bytes: the most that may wait (bytes); the oldest go first, and
-        their claims stay "unknown" in the store until they lapse.
+      breaker: circuit breaker for the store, shared with `ClaimRegistry`.
+      write_budget: rate limit of writes to the store, shared with
+        `ClaimRegistry`. Updates are charged to it even if it is spent.
+      max_bytes: maximum size of the values in the queue. The oldest updates
+        are dropped; calls with their keys get the outcome "unknown" until the
+        claims expire.
+
+    Attributes:
+      dropped_count: number of updates dropped.
     """
 
     def __init__(
@@ -111,42 +122,42 @@
         self._breaker = breaker
         self._write_budget = write_budget
         self._max_bytes = max_bytes
-        self._waiting: collections.deque[ClaimUpdate] = collections.deque()
-        self._waiting_bytes = 0
-        self._lost: collections.deque[UnconfirmedClaim] = collections.deque(
-            maxlen=_LOST_LENGTH
+        self._pending: collections.deque[ClaimUpdate] = collections.deque()
+        self._pending_bytes = 0
+        self._unconfirmed: collections.deque[UnconfirmedClaim] = (
+            collections.deque(maxlen=_MAX_UNCONFIRMED)
         )
         self._undispatched: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
         self._wake = anyio.Event()
-        self._written = anyio.Event()
+        self._drained = anyio.Event()
         self.dropped_count = 0
 
     @property
     def pending_count(self) -> int:
-        """How many changes wait to be written."""
-        return len(self._waiting) + len(self._lost)
-
-    def enqueue(self, settlement: ClaimUpdate) -> None:
-        """Queues a change."""
-        self._waiting.append(settlement)
-        self._waiting_bytes += settlement.size_bytes()
-        while self._waiting_bytes > self._max_bytes:
-            self._waiting_bytes -= self._waiting.popleft().size_bytes()
+        """Number of updates and removals that wait to be written."""
+        return len(self._pending) + len(self._unconfirmed)
+
+    def enqueue(self, update: ClaimUpdate) -> None:
+        """Queues an update."""
+        self._pending.append(update)
+        self._pending_bytes += update.size_bytes()
+        while self._pending_bytes > self._max_bytes:
+            self._pending_bytes -= self._pending.popleft().size_bytes()
             self.dropped_count += 1
         self._wake.set()
 
     def remove_unconfirmed(self, store_key: str, nonce: str) -> None:
         """Queues the removal of a claim that may have been written."""
-        until = self._clock.monotonic() + LATE_WRITE_S
-        self._lost.append(UnconfirmedClaim(store_key, nonce, until))
+        expires_at = self._clock.monotonic() + LATE_WRITE_S
+        self._unconfirmed.append(UnconfirmedClaim(store_key, nonce, expires_at))
         self._wake.set()
 
     def mark_undispatched(self, nonce: str) -> None:
-        """Remembers that nothing ran, or will run, under `nonce`."""
+        """Records that nothing ran, or will run, under `nonce`."""
         self._undispatched[nonce] = None
-        if len(self._undispatched) > _UNDISPATCHED_LENGTH:
+        if len(self._undispatched) > _MAX_UNDISPATCHED:
             self._undispatched.popitem(last=False)
 
     def is_undispatched(self, nonce: str) -> bool:
@@ -154,36 +165,48 @@
         return nonce in self._undispatched
 
     async def wait_drained(self) -> None:
-        """Returns once no change waits; needs `run`."""
-        while self._waiting:
-            await self._written.wait()
+        """Waits until all updates are written; `run` must be running.
+
+        Unconfirmed claims are not waited for.
+        """
+        while self._pending:
+            await self._drained.wait()
 
     async def run(self) -> None:
-        """Writes what is queued, for ever."""
+        """Writes the queued updates until cancelled."""
         while True:
             await self._wake.wait()
             self._wake = anyio.Event()
             while self.pending_count:
-                written = await self.flush()
-                await anyio.sleep(self._pause_s(written))
+                has_responded = await self.flush()
+                await anyio.sleep(self._pause_s(has_responded))
 
-    def _pause_s(self, written: bool) -> float:
+    def _pause_s(self, has_responded: bool) -> float:
+        """Returns the pause before the next flush (s).
+
+        Args:
+          has_responded: whether the store responded to the last flush.
+        """
         now = self._clock.monotonic()
-        if not written:
+        if not has_responded:
             return self._breaker.retry_after_s(now)
-        if not self._waiting and self._lost:
-            return _LOST_POLL_S
-        # While the budget is spent, the next group gathers.
+        if not self._pending and self._unconfirmed:
+            return _UNCONFIRMED_POLL_S
+        # While the budget is spent, updates accumulate for the next batch.
         return self._write_budget.next_token_s(now)
 
     async def flush(self) -> bool:
-        """Writes one group; returns whether the store answered."""
+        """Writes one batch and looks up the unconfirmed claims once.
+
+        Returns:
+          Whether the store responded.
+        """
         now = self._clock.monotonic()
         if not self._breaker.try_acquire(now):
             return False
         try:
-            await self._write_group()
-            await self._remove_lost()
+            await self._write_batch()
+            await self._remove_unconfirmed()
         except StoreError:
             self._breaker.record_failure(self._clock.monotonic())
             return False
@@ -193,61 +216,78 @@
         self._breaker.record_success()
         return True
 
-    async def _write_group(self) -> None:
-        group = self._next_group()
-        if not group or await self._write(group):
-            self._done(group)
+    async def _write_batch(self) -> None:
+        """Writes the next batch, one by one if one of its updates fails."""
+        batch = self._next_batch()
+        if not batch or await self._write(batch):
+            self._dequeue(batch)
             return
-        if len(group) == 1:
-            # Taken over, lapsed, or written by a call whose answer was lost.
-            self._done(group)
+        if len(batch) == 1:
+            # The claim was taken over or has expired, or an earlier write of
+            # this update took effect although its response was lost.
+            self._dequeue(batch)
             return
-        for settlement in group:
-            await self._write([settlement])
-            self._done([settlement])
+        for update in batch:
+            await self._write([update])
+            self._dequeue([update])
 
-    async def _write(self, group: list[ClaimUpdate]) -> bool:
+    async def _write(self, batch: list[ClaimUpdate]) -> bool:
+        """Writes updates in one transaction; returns whether it succeeded."""
         self._write_budget.charge(self._clock.monotonic())
         result = await self._store.transact(
-            [s.compare() for s in group], [s.operation() for s in group]
+            [u.compare() for u in batch], [u.operation() for u in batch]
         )
         return result.succeeded
 
-    def _next_group(self) -> list[ClaimUpdate]:
-        group: list[ClaimUpdate] = []
-        size = 0
+    def _next_batch(self) -> list[ClaimUpdate]:
+        """Returns the updates at the head of the queue that fit in a batch.
+
+        A batch ends before a key that it already contains, since a transaction
+        may change a key only once.
+        """
+        batch: list[ClaimUpdate] = []
+        size_bytes = 0
         keys: set[str] = set()
-        for settlement in self._waiting:
-            size += settlement.size_bytes()
-            full = len(group) == MAX_BATCH_LENGTH or size > _GROUP_BYTES
-            if group and (full or settlement.store_key in keys):
+        for update in self._pending:
+            size_bytes += update.size_bytes()
+            is_full = (
+                len(batch) == MAX_BATCH_LENGTH or size_bytes > _MAX_BATCH_BYTES
+            )
+            if batch and (is_full or update.store_key in keys):
                 break
-            group.append(settlement)
-            keys.add(settlement.store_key)
-        return group
-
-    def _done(self, group: list[ClaimUpdate]) -> None:
-        for settlement in group:
-            if self._waiting and self._waiting[0] is settlement:
-                self._waiting.popleft()
-                self._waiting_bytes -= settlement.size_bytes()
-        if not self._waiting:
-            self._written.set()
-            self._written = anyio.Event()
-
-    async def _remove_lost(self) -> None:
-        """Removes what can be found; keeps what may yet appear."""
-        for _ in range(len(self._lost)):
-            lost = self._lost[0]
-            found = await self._remove(lost)
-            self._lost.popleft()
-            if not found and self._clock.monotonic() < lost.until:
-                self._lost.append(lost)
-
-    async def _remove(self, lost: UnconfirmedClaim) -> bool:
-        entry = await self._store.get(lost.store_key)
-        if entry is None or lost.nonce.encode() not in entry.value:
+            batch.append(update)
+            keys.add(update.store_key)
+        return batch
+
+    def _dequeue(self, batch: list[ClaimUpdate]) -> None:
+        """Removes updates that were written or have failed for good.
+
+        An update that was dropped meanwhile is not at the head any more.
+        """
+        for update in batch:
+            if self._pending and self._pending[0] is update:
+                self._pending.popleft()
+                self._pending_bytes -= update.size_bytes()
+        if not self._pending:
+            self._drained.set()
+            self._drained = anyio.Event()
+
+    async def _remove_unconfirmed(self) -> None:
+        """Looks up each unconfirmed claim; removes it if it was written.
+
+        A claim that is not found stays queued while it may still be written.
+        """
+        for _ in range(len(self._unconfirmed)):
+            claim = self._unconfirmed[0]
+            is_removed = await self._remove_if_written(claim)
+            self._unconfirmed.popleft()
+            if not is_removed and self._clock.monotonic() < claim.expires_at:
+                self._unconfirmed.append(claim)
+
+    async def _remove_if_written(self, claim: UnconfirmedClaim) -> bool:
+        entry = await self._store.get(claim.store_key)
+        if entry is None or claim.nonce.encode() not in entry.value:
             return False
-        release = ClaimUpdate(lost.store_key, entry.mod_revision, None, 0)
+        release = ClaimUpdate(claim.store_key, entry.mod_revision, None, 0)
         await self._write([release])
         return True
