--- a/src/radishwind/claims/tests/test_bounds.py
+++ b/src/radishwind/claims/tests/test_bounds.py
@@ -11,23 +11,23 @@
 from radishwind.claims.store_circuit_breaker import StoreCircuitBreaker
 
 
-def test_memory_keeps_what_was_used_last_within_its_bytes():
+def test_cache_evicts_the_least_recently_used_claims():
     cache = ClaimCache(10_000)
-    sendings = [KeyedRequest("s", f"k{n}", "f", "") for n in range(20)]
-    for sending in sendings:
+    requests = [KeyedRequest("s", f"k{n}", "f", "") for n in range(20)]
+    for request in requests:
         answer = RecordedResponse(200, (("A", "b"),), b"x" * 1000)
-        record = ClaimRecord(sending.key, "n", "a", "f", 0, answer=answer)
-        cache.put(sending, record, expires_at=10.0)
-        assert cache.get(sendings[0], 1.0) is not None
+        record = ClaimRecord(request.key, "n", "a", "f", 0, answer=answer)
+        cache.put(request, record, expires_at=10.0)
+        assert cache.get(requests[0], 1.0) is not None
         assert cache.used_bytes <= 10_000
 
-    known = [s.key for s in sendings if cache.get(s, 1.0) is not None]
+    known = [s.key for s in requests if cache.get(s, 1.0) is not None]
     assert known[0] == "k0"
-    assert known[1:] == [s.key for s in sendings[-len(known) + 1 :]]
-    assert cache.get(sendings[0], 10.0) is None
+    assert known[1:] == [s.key for s in requests[-len(known) + 1 :]]
+    assert cache.get(requests[0], 10.0) is None
 
 
-def test_budget_shrinks_as_nodes_join():
+def test_call_budget_shrinks_as_nodes_join():
     nodes = 1
     budget = StoreCallBudget(lambda: 10 / nodes)
     assert sum(budget.try_spend(0.0) for _ in range(1000)) == 10 * BURST_S
@@ -39,12 +39,12 @@
     assert budget.next_token_s(1000.0) == pytest.approx(2.0)
 
 
-def test_one_call_tries_a_store_that_failed():
+def test_circuit_breaker_allows_one_trial_call_after_a_failure():
     breaker = StoreCircuitBreaker(random.Random(1))
     for _ in range(50):
         assert breaker.try_acquire(0.0)
     for _ in range(50):
-        breaker.record_failure(0.0)  # Together they count once.
+        breaker.record_failure(0.0)  # Concurrent failures count as one.
 
     assert not breaker.try_acquire(0.01)
     assert [breaker.try_acquire(0.3) for _ in range(5)] == [True] + [False] * 4
--- a/src/radishwind/claims/tests/test_claim_writer.py
+++ b/src/radishwind/claims/tests/test_claim_writer.py
@@ -18,8 +18,12 @@
 pytestmark = pytest.mark.anyio
 
 
-class Load:
-    """Claims held back until `go`, so that all but the first wait."""
+class WriterSetup:
+    """A writer whose store does not respond until `proceed` is set.
+
+    Writes beyond the maximum number of concurrent transactions are thus
+    batched.
+    """
 
     def __init__(self) -> None:
         self.sender = DirectSender()
@@ -27,13 +31,14 @@
         self.standin = StoreStandin(ManualClock())
         self.store = EtcdStore(self.sender, STORE)
         self.writer = BatchClaimWriter(self.store)
-        self.go = anyio.Event()
+        self.proceed = anyio.Event()
+        # Whether each write succeeded, by key; `None` if the store failed.
         self.results: dict[str, bool | None] = {}
-        self.down = False
+        self.is_down = False
 
     async def _handle(self, request):
-        await self.go.wait()
-        if self.down:
+        await self.proceed.wait()
+        if self.is_down:
             raise ConnectFailedError("down")
         return await self.standin.handle(request)
 
@@ -47,82 +52,88 @@
         else:
             self.results[key] = result.succeeded
 
-    async def run(self, keys: list[str], given_up: int = 0) -> int:
-        """Writes `keys` at once; returns how many calls that took."""
+    async def run(self, keys: list[str], canceled_count: int = 0) -> int:
+        """Writes `keys` concurrently; returns the number of calls sent.
+
+        Args:
+          keys: the keys to write.
+          canceled_count: number of further writes, which are canceled while
+            they wait.
+        """
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.writer.run)
             async with anyio.create_task_group() as writes:
                 for key in keys:
                     writes.start_soon(self.write, key)
-                for number in range(given_up):
-                    writes.start_soon(self._give_up, number)
+                for number in range(canceled_count):
+                    writes.start_soon(self._cancel_write, number)
                 await anyio.wait_all_tasks_blocked()
-                self.go.set()
+                self.proceed.set()
             tasks.cancel_scope.cancel()
         return len(self.sender.sent)
 
-    async def _give_up(self, number: int) -> None:
+    async def _cancel_write(self, number: int) -> None:
         with anyio.move_on_after(0):
             await self.write(f"given-up-{number}")
 
 
 @pytest.fixture
-def load() -> Load:
-    return Load()
+def setup() -> WriterSetup:
+    return WriterSetup()
 
 
 def _keys(count: int) -> list[str]:
     return [f"k{number}" for number in range(count)]
 
 
-async def test_claims_that_wait_go_together(load):
-    calls = await load.run(_keys(MAX_IN_FLIGHT + 20))
+async def test_pending_claims_are_written_in_one_batch(setup):
+    calls = await setup.run(_keys(MAX_IN_FLIGHT + 20))
 
     assert calls == MAX_IN_FLIGHT + 1
-    assert all(load.results[key] for key in _keys(MAX_IN_FLIGHT + 20))
+    assert all(setup.results[key] for key in _keys(MAX_IN_FLIGHT + 20))
 
 
-async def test_claim_that_exists_is_told_and_fails_no_other(load):
-    load.go.set()
-    await load.write("k9")
-    load.go = anyio.Event()
+async def test_existing_claim_fails_no_other_claim_of_its_batch(setup):
+    setup.proceed.set()
+    await setup.write("k9")
+    setup.proceed = anyio.Event()
 
-    await load.run(_keys(MAX_IN_FLIGHT + 20))
+    await setup.run(_keys(MAX_IN_FLIGHT + 20))
 
-    refused = [key for key, result in load.results.items() if not result]
-    assert refused == ["k9"]
+    failed = [key for key, result in setup.results.items() if not result]
+    assert failed == ["k9"]
 
 
-async def test_same_key_twice_is_won_once(load):
-    await load.run(_keys(MAX_IN_FLIGHT))
-    won: list[bool] = []
+async def test_one_of_several_concurrent_writes_of_a_key_succeeds(setup):
+    await setup.run(_keys(MAX_IN_FLIGHT))
+    results: list[bool] = []
 
     async def write() -> None:
-        result = await load.writer.write(
+        result = await setup.writer.write(
             Compare("same", mod_revision=0), Put("same", b"claim")
         )
-        won.append(result.succeeded)
+        results.append(result.succeeded)
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(load.writer.run)
+        tasks.start_soon(setup.writer.run)
         async with anyio.create_task_group() as writes:
             for _ in range(MAX_IN_FLIGHT + 5):
                 writes.start_soon(write)
         tasks.cancel_scope.cancel()
 
-    assert won.count(True) == 1
+    assert results.count(True) == 1
 
 
-async def test_claim_given_up_while_it_waits_is_never_written(load):
-    await load.run(_keys(MAX_IN_FLIGHT + 3), given_up=2)
+async def test_claim_canceled_while_it_is_pending_is_never_written(setup):
+    await setup.run(_keys(MAX_IN_FLIGHT + 3), canceled_count=2)
 
-    assert await load.store.list("given-up") == ()
-    assert len(load.results) == MAX_IN_FLIGHT + 3
+    assert await setup.store.list("given-up") == ()
+    assert len(setup.results) == MAX_IN_FLIGHT + 3
 
 
-async def test_failed_group_fails_each_of_its_claims(load):
-    load.down = True
+async def test_failure_of_a_batch_fails_each_of_its_claims(setup):
+    setup.is_down = True
 
-    await load.run(_keys(MAX_IN_FLIGHT + 3))
+    await setup.run(_keys(MAX_IN_FLIGHT + 3))
 
-    assert list(load.results.values()) == [None] * (MAX_IN_FLIGHT + 3)
+    assert list(setup.results.values()) == [None] * (MAX_IN_FLIGHT + 3)
--- a/src/radishwind/claims/tests/test_random_faults.py
+++ b/src/radishwind/claims/tests/test_random_faults.py
@@ -1,6 +1,9 @@
-"""Keys, repeats at several nodes and faults, drawn from printed seeds.
+"""Randomized tests of at-most-once execution.
 
-`RADISHWIND_SEEDS=1000:3000` draws from others.
+Requests with the same keys are sent through several nodes while the store, the
+servers and the nodes fail. All random choices come from the printed seeds;
+`RADISHWIND_SEEDS=1000:3000` selects others. Each weakened variant of the code
+must be detected, which shows that the checks are effective.
 """
 
 import os
@@ -28,14 +31,20 @@
 
 
 class Session:
-    """One seeded run; `broken` names the promises it saw broken."""
+    """One seeded run.
+
+    Attributes:
+      cluster: the cluster under test.
+      violations: descriptions of the guarantees that were violated.
+      answered_count: number of requests that got a server's response.
+    """
 
     def __init__(self, seed: int, **options) -> None:
         self.cluster = Cluster(seed, **options)
         self._rng = random.Random(-seed)
         self._nodes: list[EntryNode] = []
-        self.broken: list[str] = []
-        self.done = 0
+        self.violations: list[str] = []
+        self.answered_count = 0
 
     async def run(self) -> None:
         cluster = self.cluster
@@ -51,26 +60,26 @@
             tasks.cancel_scope.cancel()
         for key in KEYS:
             if cluster.servers.runs[key] > 1:
-                self.broken.append(f"{key} ran more than once")
+                self.violations.append(f"{key} ran more than once")
 
     async def _round(self, tasks) -> None:
         cluster, rng = self.cluster, self._rng
-        cluster.store.down = rng.random() < 0.2
+        cluster.store.is_down = rng.random() < 0.2
         node = rng.choice(self._nodes)
-        paused = rng.random() < 0.2
-        if paused:
-            node.sender.paused = anyio.Event()
-        async with anyio.create_task_group() as sendings:
+        is_paused = rng.random() < 0.2
+        if is_paused:
+            node.sender.resumed = anyio.Event()
+        async with anyio.create_task_group() as requests:
             for _ in range(rng.randrange(1, 9)):
-                sendings.start_soon(self._send, rng.choice(self._nodes))
+                requests.start_soon(self._send, rng.choice(self._nodes))
             for _ in range(rng.randrange(20)):
                 await anyio.lowlevel.checkpoint()
             if rng.random() < 0.15:
                 self._replace(rng.randrange(3), tasks)
             cluster.clock.advance(rng.choice((0.0, 0.3, 10.0)))
-            if paused:
-                node.sender.paused.set()
-                node.sender.paused = None
+            if is_paused:
+                node.sender.resumed.set()
+                node.sender.resumed = None
         if rng.random() < 0.5:
             await cluster.store.deliver_late()
         for each in self._nodes:
@@ -89,17 +98,19 @@
             body += b" other"
         ran_before = self.cluster.servers.runs_by_body[body]
         response = await node.send(key, body)
-        told = header(response.headers, "radishwind-outcome")
-        if told == "not-run" and ran_before:
-            self.broken.append(f"{key} had run and was told not run")
-        if told is None:
-            self.done += 1
+        outcome = header(response.headers, "radishwind-outcome")
+        if outcome == "not-run" and ran_before:
+            self.violations.append(f"{key} had run but was reported as not run")
+        if outcome is None:
+            self.answered_count += 1
             if response.body != b"booked " + body:
-                self.broken.append(f"{key} got the answer {response.body!r}")
+                self.violations.append(
+                    f"{key} got the response {response.body!r}"
+                )
 
 
-class ClaimsAfterwards(ClaimGuard):
-    """Weak: writes the claim once the call has run."""
+class ClaimAfterRun(ClaimGuard):
+    """Weakened: writes the claim only after the call has run."""
 
     def __init__(self, guard, store, clock) -> None:
         self._store = store
@@ -118,8 +129,8 @@
         return outcome
 
 
-class RunsWithoutStore(ClaimGuard):
-    """Weak: runs a call whose claim cannot be written."""
+class RunWithoutClaim(ClaimGuard):
+    """Weakened: runs a call even if its claim cannot be written."""
 
     def __init__(self, guard, store, clock) -> None:
         self._guard = guard
@@ -131,8 +142,11 @@
         return outcome
 
 
-class TellsNotRun(RunsWithoutStore):
-    """Weak: takes "this sending was not run" for "not run"."""
+class UncheckedAsNotRun(RunWithoutClaim):
+    """Weakened: reports "not run" if only this request was not run.
+
+    An earlier request with the same key may have run.
+    """
 
     async def run(self, call, execute) -> Outcome:
         outcome = await self._guard.run(call, execute)
@@ -142,43 +156,45 @@
 
 
 class RetryUnknown(CappedRetryPolicy):
-    """Weak: tries again after an unknown outcome."""
+    """Weakened: retries after an unknown outcome."""
 
     def should_retry(self, call, outcome, attempts, now) -> bool:
         return attempts < 3 and isinstance(outcome, Unknown)
 
 
-def _broken(seeds, **options) -> tuple[list[str], int]:
-    broken, done = [], 0
+def _run_sessions(seeds, **options) -> tuple[list[str], int]:
+    """Returns the violations and the number of requests answered."""
+    violations, answered_count = [], 0
     for seed in seeds:
         session = Session(seed, **options)
         anyio.run(session.run)
-        broken += [f"seed {seed}: {text}" for text in session.broken]
-        done += session.done
-    return broken, done
+        violations += [f"seed {seed}: {text}" for text in session.violations]
+        answered_count += session.answered_count
+    return violations, answered_count
 
 
-def test_no_seed_runs_a_key_twice_or_tells_an_untruth():
-    broken, done = _broken(SEEDS)
-    print(f"seeds {SEEDS.start} to {SEEDS.stop - 1}: {done} answered")
+def test_key_runs_at_most_once_and_outcomes_are_true_under_random_faults():
+    violations, answered_count = _run_sessions(SEEDS)
+    print(f"seeds {SEEDS.start} to {SEEDS.stop - 1}: {answered_count} answered")
 
-    assert not broken
-    assert done > len(SEEDS)  # It would be easy never to run anything.
+    assert not violations
+    # A node that never runs anything must not pass.
+    assert answered_count > len(SEEDS)
 
 
 @pytest.mark.parametrize(
-    ("options", "promise"),
+    ("options", "violation"),
     [
         ({"guard": lambda guard, store, clock: NoClaims()}, "more than once"),
-        ({"guard": ClaimsAfterwards}, "more than once"),
-        ({"guard": RunsWithoutStore}, "more than once"),
-        ({"guard": TellsNotRun}, "told not run"),
+        ({"guard": ClaimAfterRun}, "more than once"),
+        ({"guard": RunWithoutClaim}, "more than once"),
+        ({"guard": UncheckedAsNotRun}, "reported as not run"),
         ({"retries": RetryUnknown()}, "more than once"),
     ],
     ids=["none", "afterwards", "without store", "tells not run", "retries"],
 )
-def test_weak_variant_is_caught(options, promise):
-    broken, _ = _broken(range(1, 41), **options)
-    print(f"{len(broken)} broken promises, first: {broken[:1]}")
+def test_weakened_variant_is_detected(options, violation):
+    violations, _ = _run_sessions(range(1, 41), **options)
+    print(f"{len(violations)} violations, first: {violations[:1]}")
 
-    assert any(promise in text for text in broken)
+    assert any(violation in text for text in violations)
--- a/tests/proofs/failures.py
+++ b/tests/proofs/failures.py
@@ -147,7 +147,7 @@
 
     async def hit(stage: Stage, entry: str, send: Send) -> None:
         node = stage.entries[entry]
-        resume = node.sender.paused = anyio.Event()
+        resume = node.sender.resumed = anyio.Event()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(send)
             await quiet()
@@ -157,7 +157,7 @@
                 other = "entry-b" if entry == "entry-a" else "entry-a"
                 await stage.send(other, "k", b"tavola")
             stage.note(entry, "goes on")
-            node.sender.paused = None
+            node.sender.resumed = None
             resume.set()
 
     return hit
--- a/tests/proofs/test_leaving.py
+++ b/tests/proofs/test_leaving.py
@@ -178,7 +178,7 @@
     async def _fail(self, requests) -> None:
         stage = self.stage
         if self.failure == "the store is down":
-            stage.cluster.store.down = True
+            stage.cluster.store.is_down = True
         if self.failure == "the server drains":
             told = Announcement("prenota-1", "10.0.1.1:80", "draining")
             stage.cluster.targets[0]._server.accept_announcement(told, 0.0)
--- a/tests/support/claim_cluster.py
+++ b/tests/support/claim_cluster.py
@@ -1,7 +1,7 @@
-"""Entry nodes, targets, a store and counting servers in one process.
+"""A cluster with entry nodes, targets, servers and a store in one process.
 
-Every fault and every interleaving is drawn from one seeded generator, and time
-moves only by hand, so that a run can be repeated from its seed.
+All faults and interleavings come from one seeded generator and time advances
+only explicitly, so that a run is reproducible from its seed.
 """
 
 import collections
@@ -60,23 +60,29 @@
     rules=Rules(defaults=RULES),
 )
 
-#: Wraps or replaces the guard of a node; for the weak variants.
-GuardMaker = Callable[[ClaimGuard, Store, Clock], ClaimGuard]
+#: Wraps or replaces the guard of a node, for weakened variants of the code.
+GuardFactory = Callable[[ClaimGuard, Store, Clock], ClaimGuard]
 
 
 class FaultyStore:
-    """The stand-in of the store behind a network drawn from a seed."""
+    """The stand-in of the store behind a network with random faults.
+
+    Attributes:
+      standin: the stand-in.
+      fault_share: fraction of the requests that a fault affects.
+      is_down: whether all connections are refused.
+    """
 
     def __init__(self, clock: ManualClock, rng: random.Random) -> None:
         self.standin = StoreStandin(clock)
         self._clock = clock
         self._rng = rng
         self.fault_share = 0.0
-        self.down = False
+        self.is_down = False
         self._late: list[Request] = []
 
     async def handle(self, request: Request) -> Response:
-        if self.down:
+        if self.is_down:
             raise ConnectFailedError("the store is down")
         for _ in range(self._rng.randrange(4)):
             await anyio.lowlevel.checkpoint()
@@ -95,14 +101,20 @@
         raise ExchangeBrokenError(f"answer {kind}")
 
     async def deliver_late(self) -> None:
-        """Handles the requests that were under way for long."""
+        """Handles the delayed requests."""
         late, self._late = self._late, []
         for request in late:
             await self.standin.handle(request)
 
 
 class CountingServers:
-    """Backend servers that count what ran, by key and body."""
+    """Backend servers that count the requests they run.
+
+    Attributes:
+      fault_share: fraction of the requests that a fault affects.
+      runs: number of requests run, by idempotency key.
+      runs_by_body: number of requests run, by body.
+    """
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -133,7 +145,7 @@
 
 
 class StaticDirectory(Directory):
-    """The members given."""
+    """A directory with a fixed set of members."""
 
     def __init__(self, members: tuple[Member, ...]) -> None:
         self._members = members
@@ -146,22 +158,26 @@
 
 
 class PausableSender(DirectSender):
-    """Holds sends back while the process that sends is paused."""
+    """Delays requests while the sending process is paused.
+
+    Attributes:
+      resumed: set when the process resumes; `None` while it is not paused.
+    """
 
     def __init__(self) -> None:
         super().__init__()
-        self.paused: anyio.Event | None = None
+        self.resumed: anyio.Event | None = None
 
     async def send(
         self, address: Address, request: Request, connect_timeout_s: float
     ) -> Response:
-        if self.paused is not None:
-            await self.paused.wait()
+        if self.resumed is not None:
+            await self.resumed.wait()
         return await super().send(address, request, connect_timeout_s)
 
 
 class EntryNode:
-    """One node's entry side; `crash` loses all it remembers."""
+    """The entry side of a node; `crash` loses its state."""
 
     def __init__(self, cluster: "Cluster", name: str) -> None:
         self.sender = PausableSender()
@@ -183,9 +199,8 @@
             cluster.rng,
             store,
             lambda: 1,
-            BatchClaimWriter(
-                store, max_in_flight=1
-            ),  # So that groups are made.
+            # With a single transaction in flight, claims are batched.
+            BatchClaimWriter(store, max_in_flight=1),
         )
         guard: ClaimGuard = self.claims.guard
         if cluster.guard is not None:
@@ -248,12 +263,23 @@
 
 
 class Cluster:
-    """Two targets, some entry nodes, one store; all from one seed."""
+    """Two targets and a store; entry nodes are added by `node`.
+
+    Args:
+      seed: seed of the random generator.
+      guard: wraps or replaces the guard of each entry node.
+      retries: retry policy of the entry nodes.
+      store_wait_s: how long a call to the store may take (s).
+      repeat_wait_s: how long a duplicate waits for an earlier request with the
+        same key at the same node (s).
+      writes_per_s: rate limit of writes to the store (1/s).
+      rumor_bus: spreads the quarantine; without it there is none.
+    """
 
     def __init__(
         self,
         seed: int,
-        guard: GuardMaker | None = None,
+        guard: GuardFactory | None = None,
         retries: RetryPolicy | None = None,
         store_wait_s: float = 10.0,
         repeat_wait_s: float = 0.0,
