--- a/src/radishwind/claims/claim_registry.py
+++ b/src/radishwind/claims/claim_registry.py
@@ -347,7 +347,7 @@
 def _unchecked_outcome(retry_after_s: float) -> Outcome:
     """Returns the outcome if the store could not be asked about a key.
 
-    It is not `NotRun`. This sending was not dispatched, but an earlier one with
+    It is not `NotRun`. This request was not dispatched, but an earlier one with
     the same key may have run, and for the caller they are the same request.
     """
     return Unknown(
--- a/src/radishwind/claims/tests/test_random_faults.py
+++ b/src/radishwind/claims/tests/test_random_faults.py
@@ -191,7 +191,13 @@
         ({"guard": UncheckedAsNotRun}, "reported as not run"),
         ({"retries": RetryUnknown()}, "more than once"),
     ],
-    ids=["none", "afterwards", "without store", "tells not run", "retries"],
+    ids=[
+        "no claims",
+        "claim after run",
+        "run without claim",
+        "unchecked as not run",
+        "retry unknown",
+    ],
 )
 def test_weakened_variant_is_detected(options, violation):
     violations, _ = _run_sessions(range(1, 41), **options)
