--- a/bench/admission.py
+++ b/bench/admission.py
@@ -28,7 +28,7 @@
 from radishwind.admission import FifoAdmission
 from radishwind.admission import Ticket
 from radishwind.admission.fair_admission import _Flow
-from radishwind.node.target import OVERLAP
+from radishwind.node.target_side import OVERCOMMIT_REQUESTS
 
 SLOTS = 9
 
@@ -218,13 +218,16 @@
     """Returns how to make each policy and its D beyond the slots."""
     policies: dict[str, tuple[_Make, int]] = {
         "FIFO": (FifoAdmission, 0),
-        "SFQ, D = slots + 2 (ours)": (FairAdmission, OVERLAP),
+        "SFQ, D = slots + 2 (ours)": (FairAdmission, OVERCOMMIT_REQUESTS),
         "SFQ, D = slots": (FairAdmission, 0),
     }
     for extra in (1, 4, 9):
         policies[f"SFQ, D = slots + {extra}"] = (FairAdmission, extra)
     for lead_ms in (2, 10, 50, 250):
-        policies[f"SFQ, T = {lead_ms} ms"] = (_lead(lead_ms / 1000), OVERLAP)
+        policies[f"SFQ, T = {lead_ms} ms"] = (
+            _lead(lead_ms / 1000),
+            OVERCOMMIT_REQUESTS,
+        )
     return policies
 
 
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -207,13 +207,13 @@
     ) -> Spent:
         """Runs the load and returns the time that it took."""
         old = await self._prepare(claims.guard, way, repeats)
-        await claims.finished()
+        await claims.wait_drained()
         store.calls.clear()
         self._latencies_s = []
         began, cpu = time.perf_counter(), time.process_time()
         await self._load(claims.guard, way, workers, repeats, old)
         answered_s = time.perf_counter() - began
-        await claims.finished()
+        await claims.wait_drained()
         written_s = time.perf_counter() - began
         return Spent(answered_s, written_s, time.process_time() - cpu)
 
--- a/bench/data_path.py
+++ b/bench/data_path.py
@@ -34,8 +34,8 @@
 from radishwind.membership import Directory
 from radishwind.membership import Member
 from radishwind.membership import NullRumorBus
-from radishwind.node.callers import CallerListener
-from radishwind.node.in_progress import RequestsInProgress
+from radishwind.node.caller_listener import CallerListener
+from radishwind.node.requests_in_progress import RequestsInProgress
 from radishwind.peers import ForwardRunner
 from radishwind.peers import PeerListener
 from radishwind.peers import PeerSigner
--- a/bench/pipeline.py
+++ b/bench/pipeline.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 import anyio
-from tests.support.direct import DirectSender
+from tests.support.in_process_sender import InProcessSender
 
 from bench.data_path import DataPath
 from bench.data_path import make_data_path
@@ -81,8 +81,8 @@
     return _ANSWER
 
 
-def _entry_only(hedges: HedgePolicy) -> tuple[DataPath, DirectSender]:
-    sender = DirectSender()
+def _entry_only(hedges: HedgePolicy) -> tuple[DataPath, InProcessSender]:
+    sender = InProcessSender()
     path = make_data_path(
         _ENTRY,
         (_ENTRY,),
@@ -95,8 +95,8 @@
     return path, sender
 
 
-def _local(hedges: HedgePolicy) -> tuple[DataPath, DirectSender]:
-    sender = DirectSender()
+def _local(hedges: HedgePolicy) -> tuple[DataPath, InProcessSender]:
+    sender = InProcessSender()
     sender.handlers[_SERVER] = _answer
     path = make_data_path(
         _TARGET, (_TARGET,), _SERVER, sender, signed=False, hedges=hedges
@@ -106,8 +106,8 @@
 
 def _forwarded(
     hedges: HedgePolicy, signed: bool
-) -> tuple[DataPath, DirectSender]:
-    sender = DirectSender()
+) -> tuple[DataPath, InProcessSender]:
+    sender = InProcessSender()
     sender.handlers[_SERVER] = _answer
     entry, target = (
         make_data_path(
@@ -119,7 +119,7 @@
     return entry, sender
 
 
-_PATHS: dict[str, Callable[[HedgePolicy], tuple[DataPath, DirectSender]]] = {
+_PATHS: dict[str, Callable[[HedgePolicy], tuple[DataPath, InProcessSender]]] = {
     "entry only": _entry_only,
     "entry and target": _local,
     "entry, forward, target": lambda hedges: _forwarded(hedges, False),
@@ -138,7 +138,7 @@
 
 
 async def _loop(
-    path: DataPath, sender: DirectSender, kind: str, requests: int
+    path: DataPath, sender: InProcessSender, kind: str, requests: int
 ) -> None:
     method = kind.partition(",")[0]
     for _ in range(requests):
--- a/src/radishwind/claims/tests/test_at_most_once_guard.py
+++ b/src/radishwind/claims/tests/test_at_most_once_guard.py
@@ -3,7 +3,7 @@
 import pytest
 from tests.support.claim_cluster import Cluster
 from tests.support.claim_cluster import STORE
-from tests.support.direct import Fault
+from tests.support.in_process_sender import Fault
 
 from radishwind.claims.claim_record import CLAIM_PREFIX
 from radishwind.core import ResultCode
@@ -213,7 +213,7 @@
 
 
 async def test_claim_whose_response_is_lost_is_confirmed_by_a_read(site):
-    site.cluster.sender.next_faults = [None, Fault.ANSWER_LOST]
+    site.cluster.sender.next_faults = [None, Fault.RESPONSE_LOST]
 
     assert (await site.a.send("k", b"x")).status == 200
 
@@ -237,7 +237,7 @@
 
 
 async def test_unconfirmed_claim_is_removed_later(site):
-    lost, refused = Fault.ANSWER_LOST, Fault.REFUSED
+    lost, refused = Fault.RESPONSE_LOST, Fault.REFUSED
     site.cluster.sender.next_faults = [None, lost, refused]
     assert _summary(await site.a.send("k", b"x"))[1] == "unknown"
     assert len(await site.claims()) == 1
--- a/src/radishwind/claims/tests/test_claim_writer.py
+++ b/src/radishwind/claims/tests/test_claim_writer.py
@@ -1,6 +1,6 @@
 import anyio
 import pytest
-from tests.support.direct import DirectSender
+from tests.support.in_process_sender import InProcessSender
 
 from radishwind.claims.claim_writer import BatchClaimWriter
 from radishwind.claims.claim_writer import MAX_IN_FLIGHT
@@ -26,7 +26,7 @@
     """
 
     def __init__(self) -> None:
-        self.sender = DirectSender()
+        self.sender = InProcessSender()
         self.sender.handlers[STORE] = self._handle
         self.standin = StoreStandin(ManualClock())
         self.store = EtcdStore(self.sender, STORE)
--- a/src/radishwind/config/tests/test_change_acceptor.py
+++ b/src/radishwind/config/tests/test_change_acceptor.py
@@ -5,7 +5,7 @@
 from tests.support.configs import ConfigTestbed
 from tests.support.configs import inventory
 from tests.support.configs import STORE
-from tests.support.direct import Fault
+from tests.support.in_process_sender import Fault
 
 from radishwind.config import records
 from radishwind.config.change_acceptor import ChangeStatus
@@ -98,7 +98,7 @@
 @pytest.mark.parametrize("unreadable", [0, 1])
 async def test_a_lost_answer_is_settled_by_reading(unreadable):
     testbed = ConfigTestbed(decision_wait_s=5.0)
-    lost = [None, None, Fault.ANSWER_LOST]
+    lost = [None, None, Fault.RESPONSE_LOST]
     testbed.sender.next_faults = lost + [Fault.REFUSED] * unreadable
     record = await testbed.apply(inventory())
     assert (await testbed.loaded()).change_id == record.change_id
@@ -122,7 +122,12 @@
 
 async def test_a_store_that_stays_away_leaves_the_change_to_be_settled_later():
     testbed = ConfigTestbed()
-    testbed.sender.next_faults = [None, None, Fault.ANSWER_LOST, Fault.REFUSED]
+    testbed.sender.next_faults = [
+        None,
+        None,
+        Fault.RESPONSE_LOST,
+        Fault.REFUSED,
+    ]
     with pytest.raises(ChangeUnsettledError, match="changes show 1-") as info:
         await testbed.apply(inventory())
     change_id = str(info.value).split()[2].rstrip(":")
@@ -155,7 +160,7 @@
 
 async def test_a_lost_answer_of_a_part_means_not_accepted():
     testbed = ConfigTestbed()
-    testbed.sender.next_faults = [None, Fault.ANSWER_LOST]
+    testbed.sender.next_faults = [None, Fault.RESPONSE_LOST]
     with pytest.raises(StoreUnavailableError, match="not accepted"):
         await testbed.apply(inventory())
     assert (await testbed.repository.read_newest()) == (None, 0)
--- a/src/radishwind/config/tests/test_change_acceptor_random.py
+++ b/src/radishwind/config/tests/test_change_acceptor_random.py
@@ -7,7 +7,7 @@
 from tests.support.configs import ConfigTestbed
 from tests.support.configs import inventory
 from tests.support.configs import STORE
-from tests.support.direct import Fault
+from tests.support.in_process_sender import Fault
 
 from radishwind.config.change_acceptor import ChangeStatus
 from radishwind.config.errors import ChangeConflictError
@@ -16,7 +16,7 @@
 
 pytestmark = pytest.mark.anyio
 
-FAULTS = (Fault.ANSWER_LOST, Fault.CUT_BEFORE, Fault.REFUSED)
+FAULTS = (Fault.RESPONSE_LOST, Fault.REQUEST_LOST, Fault.REFUSED)
 
 
 @pytest.fixture
--- a/src/radishwind/http/tests/test_hygiene.py
+++ b/src/radishwind/http/tests/test_hygiene.py
@@ -7,7 +7,7 @@
 from radishwind.http.hygiene import check_request
 from radishwind.http.hygiene import end_to_end
 from radishwind.http.hygiene import origin_path
-from radishwind.node.callers import cleaned
+from radishwind.node.caller_listener import sanitize_request
 
 
 def test_hop_by_hop_fields_and_those_they_name_are_removed():
@@ -61,4 +61,4 @@
         "GET", "/a", (("RADISHWIND-Node-Attempt", "x"), ("Accept", "*/*"))
     )
 
-    assert cleaned(request).headers == (("Accept", "*/*"),)
+    assert sanitize_request(request).headers == (("Accept", "*/*"),)
--- a/src/radishwind/leases/tests/test_lease_holder.py
+++ b/src/radishwind/leases/tests/test_lease_holder.py
@@ -2,8 +2,8 @@
 
 import anyio
 import pytest
-from tests.support.direct import DirectSender
-from tests.support.direct import Fault
+from tests.support.in_process_sender import Fault
+from tests.support.in_process_sender import InProcessSender
 
 from radishwind.core import ManualClock
 from radishwind.http import Address
@@ -30,7 +30,7 @@
     def __init__(self) -> None:
         self.store_clock = ManualClock()
         self.clock = ManualClock()
-        self.sender = DirectSender()
+        self.sender = InProcessSender()
         self.sender.handlers[STORE] = StoreStandin(self.store_clock).handle
         self.store = EtcdStore(self.sender, STORE)
         self.first = self._holder("first")
@@ -130,7 +130,7 @@
 
 
 async def test_lost_answer_to_the_creation_is_resolved_by_a_read(setup):
-    setup.sender.next_faults = [None, Fault.ANSWER_LOST]
+    setup.sender.next_faults = [None, Fault.RESPONSE_LOST]
 
     assert await setup.first.acquire()
 
--- a/src/radishwind/membership/tests/test_contact_registry.py
+++ b/src/radishwind/membership/tests/test_contact_registry.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 import msgspec
 import pytest
-from tests.support.direct import DirectSender
-from tests.support.direct import Fault
+from tests.support.in_process_sender import Fault
+from tests.support.in_process_sender import InProcessSender
 
 from radishwind.core import ManualClock
 from radishwind.http import Address
@@ -45,7 +45,7 @@
 class StoreSetup:
     def __init__(self):
         self.clock = ManualClock()
-        self.sender = DirectSender()
+        self.sender = InProcessSender()
         self.standin = StoreStandin(self.clock)
         self.sender.handlers[STORE] = self.standin.handle
 
@@ -166,7 +166,7 @@
 async def test_write_with_a_lost_reply_is_settled_by_a_read():
     setup = StoreSetup()
     registry = setup.make_registry(1)
-    setup.sender.next_faults = [None, Fault.ANSWER_LOST]
+    setup.sender.next_faults = [None, Fault.RESPONSE_LOST]
 
     result = await registry.register()
 
--- a/src/radishwind/membership/tests/test_fleet_start.py
+++ b/src/radishwind/membership/tests/test_fleet_start.py
@@ -14,7 +14,7 @@
 from radishwind.membership import AdvertisedState
 from radishwind.membership.outgoing_message import MessagePurpose
 from radishwind.membership.records import Liveness
-from radishwind.node.peer_search import MISSING_LOOKS_S
+from radishwind.node.peer_search import MISSING_CONTACT_CHECKS_S
 from radishwind.peers.peer_socket import MAX_DATAGRAM_BYTES
 from radishwind.sidecar.options import GOSSIP
 
@@ -55,7 +55,7 @@
             if is_alone:
                 self.schedule(self.now + 0.15 + self.rng.random() * 0.3, search)
                 return
-            for look_s in MISSING_LOOKS_S:
+            for look_s in MISSING_CONTACT_CHECKS_S:
                 self.schedule(
                     self.now + look_s, lambda: self._join_missing(number)
                 )
--- a/src/radishwind/node/app.py
+++ b/src/radishwind/node/app.py
@@ -20,18 +20,18 @@
 from radishwind.membership import AdvertisedState
 from radishwind.membership.allowlist import InventoryAllowlist
 from radishwind.node.admin import AdminListener
-from radishwind.node.callers import CallerListener
+from radishwind.node.caller_listener import CallerListener
 from radishwind.node.claims import make_claims
 from radishwind.node.config import make_config
 from radishwind.node.config import make_stores
 from radishwind.node.entry import node_chooser
-from radishwind.node.failures import logging_failures
-from radishwind.node.in_progress import RequestsInProgress
+from radishwind.node.error_logging import with_error_logging
 from radishwind.node.membership_tasks import MembershipTasks
 from radishwind.node.metrics import add_metrics
-from radishwind.node.observe import Observation
+from radishwind.node.observation import Observation
 from radishwind.node.peer_security import make_peer_security
-from radishwind.node.target import TargetSide
+from radishwind.node.requests_in_progress import RequestsInProgress
+from radishwind.node.target_side import TargetSide
 from radishwind.peers import ForwardRunner
 from radishwind.peers import HttpPeerClient
 from radishwind.peers import PeerListener
@@ -121,7 +121,7 @@
             target=self._target,
             sender=self._sender,
             signer=self._signer,
-            on_unreachable=self._membership.unreachable,
+            on_unreachable=self._membership.report_unreachable,
         )
         self._entry = EntryPipeline(
             clock=self._clock,
@@ -177,7 +177,7 @@
             listener=self._peers,
             admin=self._admin,
             observation=self._observation,
-            adopted=self._adopted,
+            on_adopted=self._adopted,
         )
         library = self._settings.http_library
         self._servers = [make_server(library) for _ in range(3)]
@@ -188,11 +188,11 @@
             callers, peers, admin = self._servers
             self._claims.start(tasks)
             await peers.start(
-                logging_failures(self._attempts.handle, self._log),
+                with_error_logging(self._attempts.handle, self._log),
                 self._settings.peer_listen,
             )
             await admin.start(
-                logging_failures(self._admin.handle, self._log),
+                with_error_logging(self._admin.handle, self._log),
                 self._settings.admin_listen,
             )
             tasks.start_soon(self._config.run)
@@ -201,7 +201,7 @@
             tasks.start_soon(self._target_side.run)
             tasks.start_soon(self._wait_for_signal)
             await callers.start(
-                logging_failures(self._callers.handle, self._log),
+                with_error_logging(self._callers.handle, self._log),
                 self._settings.caller_listen,
             )
             self._log.info(
@@ -218,19 +218,19 @@
 
     async def _stop(self) -> None:
         """Tells first, then refuses, then finishes what is in progress."""
-        self._membership.announce(AdvertisedState.LEAVING)
-        self._callers.ask_to_close()
-        self._attempts.ask_to_close()
+        self._membership.advertise(AdvertisedState.LEAVING)
+        self._callers.request_connection_close()
+        self._attempts.request_connection_close()
         await anyio.sleep(self._settings.leave_notice_s)
         self._target.refuse_new_work()
         await self._servers[0].stop_listening()
         with anyio.move_on_after(self._settings.stop_grace_s):
             await self._target.wait_drained()
-            await self._claims.finished()
-            await self._callers.finished()
-            await self._attempts.finished()
-            await self._attempts.quiet(_QUIET_S)
-        await self._membership.say_left()
+            await self._claims.wait_drained()
+            await self._callers.wait_idle()
+            await self._attempts.wait_idle()
+            await self._attempts.wait_quiet(_QUIET_S)
+        await self._membership.advertise_left()
         for server in self._servers:
             await server.close(1.0)
 
@@ -245,7 +245,7 @@
         """Tells peers whether the server beside takes new work."""
         if self._stopping.is_set():
             return
-        self._membership.announce(
+        self._membership.advertise(
             AdvertisedState.SERVING if ready else AdvertisedState.DRAINING
         )
 
@@ -264,5 +264,5 @@
 
     def _adopted(self, index: ConfigIndex) -> None:
         self._index = index
-        self._membership.note_revision(index.cfg.revision)
+        self._membership.set_config_revision(index.cfg.revision)
         self._target_side.adopt(index)
--- a/src/radishwind/node/callers.py
+++ b/src/radishwind/node/caller_listener.py
@@ -19,7 +19,7 @@
     async def handle(self, request: Request) -> Response:
         """Answers one caller."""
         try:
-            clean = cleaned(request)
+            clean = sanitize_request(request)
         except RequestRejectedError as exc:
             return problem_response(exc.code, exc.args[0], "not-run")
         response = await self._entry.handle(clean)
@@ -31,7 +31,7 @@
         )
 
 
-def cleaned(request: Request) -> Request:
+def sanitize_request(request: Request) -> Request:
     """Returns `request` with only what may go on to a server.
 
     Raises:
--- a/src/radishwind/node/claims.py
+++ b/src/radishwind/node/claims.py
@@ -40,7 +40,7 @@
         self.guard.start(tasks)
         tasks.start_soon(self.updates.run)
 
-    async def finished(self) -> None:
+    async def wait_drained(self) -> None:
         """Returns once every keyed call has ended and is written."""
         await self.guard.wait_idle()
         await self.updates.wait_drained()
--- a/src/radishwind/node/config.py
+++ b/src/radishwind/node/config.py
@@ -13,7 +13,7 @@
 from radishwind.node.admin import AdminListener
 from radishwind.node.config_admin import ConfigAdmin
 from radishwind.node.config_tasks import ConfigTasks
-from radishwind.node.observe import Observation
+from radishwind.node.observation import Observation
 from radishwind.peers import PeerClient
 from radishwind.peers import PeerListener
 from radishwind.settings import NodeSettings
@@ -82,7 +82,7 @@
     listener: PeerListener,
     admin: AdminListener,
     observation: Observation,
-    adopted: Callable[[ConfigIndex], None],
+    on_adopted: Callable[[ConfigIndex], None],
 ) -> ConfigTasks:
     """Returns the tasks of configuration, with their paths added."""
     tasks = ConfigTasks(
@@ -93,8 +93,8 @@
         directory=directory,
         peers=peers,
         rumor_bus=rumor_bus,
-        adopted=adopted,
-        report=PartLogger("config", clock).info,
+        on_adopted=on_adopted,
+        log=PartLogger("config", clock).info,
     )
     listener.add_control_handler(CONTROL_NAME, tasks.handle_control)
     config_admin = ConfigAdmin(tasks, stores.control, stores.claims)
--- a/src/radishwind/node/config_admin.py
+++ b/src/radishwind/node/config_admin.py
@@ -15,7 +15,7 @@
 from radishwind.node.admin import AdminListener
 from radishwind.node.admin import json_response
 from radishwind.node.config_tasks import ConfigTasks
-from radishwind.node.observe import Observation
+from radishwind.node.observation import Observation
 from radishwind.store import BudgetedStore
 
 #: Members asked for one report; of more the revision heard last is told.
@@ -70,7 +70,7 @@
             "config_change_id": snapshot.change_id,
             "config_refusals": self._tasks.adopter.refusals,
             "config_last_refusal": self._tasks.adopter.last_refusal,
-            "config_watching": self._tasks.watching,
+            "config_watching": self._tasks.is_watching,
             "config_pulls_answered": exchange.pulls_answered,
             "config_pulls_sent": exchange.pulls_sent,
             "config_bytes_received": exchange.bytes_received,
@@ -136,7 +136,7 @@
 
         async def ask(member: Member) -> None:
             async with limit:
-                found[member.name] = await self._tasks.ask(member.address)
+                found[member.name] = await self._tasks.pull(member.address)
 
         async with anyio.create_task_group() as tasks:
             for member in behind[:_MAX_ASKED]:
--- a/src/radishwind/node/config_periods.py
+++ b/src/radishwind/node/config_periods.py
@@ -1,37 +1,40 @@
-"""How often a node's configuration tasks act."""
+"""Intervals at which a node's configuration tasks act."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigPeriods:
-    """How often the tasks act; each time is varied by half of itself.
+    """Intervals of the configuration tasks, each jittered by up to half.
 
     Attributes:
-      told_members: members told of a newly adopted revision by this node.
-      peer_s: between exchanges with a random peer (s).
-      lagging_peer_s: the same while nothing is in force yet, or a newer
-        revision is known of (s).
-      watch_turn_s: how long one watch is kept before the store is read
-        anew (s).
-      short_turn_s: the same where the store no longer tells past changes (s).
-      rank_s: between looks whether this node is to watch (s).
-      read_s: between reads of the store by nodes that don't watch (s).
-      first_read_s: the same while nothing is in force yet (s).
-      first_read_spread_s: over which time nodes that start together spread
-        their first read (s).
-      first_pause_s: the bound of the first pause after the store failed (s).
-      longest_pause_s: the longest pause (s).
+      notified_members: members that a node pulls from, and thereby notifies,
+        after it adopted a revision.
+      pull_period_s: between pulls from a random peer (s).
+      lagging_pull_period_s: the same while a newer revision is known to exist,
+        or none is in force yet (s).
+      watch_duration_s: duration of a watch before the store is read again (s).
+      short_watch_duration_s: the same if the store has compacted the history
+        since the last read (s).
+      rank_check_period_s: between checks whether this node ranks among those
+        that watch the store (s).
+      read_period_s: between store reads by nodes that don't watch (s).
+      initial_read_period_s: the same while no configuration is in force (s).
+      initial_read_spread_s: interval over which nodes that start at the same
+        time spread their first read (s).
+      initial_backoff_s: upper bound of the first pause after a store failure
+        (s).
+      max_backoff_s: upper bound of any such pause (s).
     """
 
-    told_members: int = 3
-    peer_s: float = 5.0
-    lagging_peer_s: float = 0.3
-    watch_turn_s: float = 60.0
-    short_turn_s: float = 2.0
-    rank_s: float = 2.0
-    read_s: float = 300.0
-    first_read_s: float = 10.0
-    first_read_spread_s: float = 0.5
-    first_pause_s: float = 0.2
-    longest_pause_s: float = 10.0
+    notified_members: int = 3
+    pull_period_s: float = 5.0
+    lagging_pull_period_s: float = 0.3
+    watch_duration_s: float = 60.0
+    short_watch_duration_s: float = 2.0
+    rank_check_period_s: float = 2.0
+    read_period_s: float = 300.0
+    initial_read_period_s: float = 10.0
+    initial_read_spread_s: float = 0.5
+    initial_backoff_s: float = 0.2
+    max_backoff_s: float = 10.0
--- a/src/radishwind/node/config_tasks.py
+++ b/src/radishwind/node/config_tasks.py
@@ -31,8 +31,8 @@
 from radishwind.membership.directory import MemberState
 from radishwind.membership.rumor_bus import RumorBus
 from radishwind.node.config_periods import ConfigPeriods
-from radishwind.node.config_store import StoreFollower
-from radishwind.node.peer_security import advertised
+from radishwind.node.peer_security import advertised_address
+from radishwind.node.store_follower import StoreFollower
 from radishwind.outcomes import problem_response
 from radishwind.peers import PeerClient
 from radishwind.peers import PeerError
@@ -81,8 +81,8 @@
         directory: Directory,
         peers: PeerClient,
         rumor_bus: RumorBus,
-        adopted: Callable[[ConfigIndex], None],
-        report: Callable[[str], None],
+        on_adopted: Callable[[ConfigIndex], None],
+        log: Callable[[str], None],
         periods: ConfigPeriods = _USUAL_PERIODS,
     ) -> None:
         """Wires the tasks.
@@ -95,8 +95,8 @@
           directory: the members known.
           peers: sends control messages.
           rumor_bus: spreads the newest revision.
-          adopted: called with each configuration put in force.
-          report: takes a sentence for the log.
+          on_adopted: called with each configuration put in force.
+          log: called with a sentence for the log.
           periods: how often the tasks act.
         """
         self._settings = settings
@@ -104,8 +104,8 @@
         self._rng = rng
         self._directory = directory
         self._rumor_bus = rumor_bus
-        self._on_adopted = adopted
-        self._report = report
+        self._on_adopted = on_adopted
+        self._log = log
         self._periods = periods
         self._send_heard, self._receive_heard = (
             anyio.create_memory_object_stream[tuple[int, Address]](
@@ -123,7 +123,7 @@
             self.adopter,
             peers,
             store,
-            advertised(settings),
+            advertised_address(settings),
             self._heard,
             self._adopted,
         )
@@ -135,15 +135,15 @@
             exchange=self.exchange,
             members=self._members,
             refused=self._refuse,
-            report=report,
+            log=log,
             periods=periods,
         )
         rumor_bus.subscribe(RUMOR_TOPIC, self._take_rumor)
 
     @property
-    def watching(self) -> bool:
+    def is_watching(self) -> bool:
         """Whether it is this node's turn to watch the store."""
-        return self._follower.watching
+        return self._follower.is_watching
 
     async def run(self) -> None:
         """Runs until cancelled."""
@@ -163,7 +163,7 @@
                 ResultCode.PEER_MALFORMED, str(exc), "not-run"
             )
 
-    async def ask(self, address: Address) -> int | None:
+    async def pull(self, address: Address) -> int | None:
         """Asks one peer; returns the revision it told, `None` for no answer."""
         try:
             return (await self.exchange.pull_from(address)).revision
@@ -194,7 +194,7 @@
     def _adopted(self, snapshot: Snapshot, source: Source) -> None:
         self.index = ConfigIndex(snapshot.cfg)
         self._on_adopted(self.index)
-        self._report(f"Revision {snapshot.revision} is in force.")
+        self._log(f"Revision {snapshot.revision} is in force.")
         self._newly_adopted.set()
         if source is not Source.STORE:
             return
@@ -209,7 +209,7 @@
     def _refuse(self, source: Source, exc: RevisionRefusedError) -> None:
         """Notes a refusal; reports it unless it was the last one too."""
         if self.adopter.refuse(source, exc):
-            self._report(f"Refused: {self.adopter.last_refusal}")
+            self._log(f"Refused: {self.adopter.last_refusal}")
 
     def _heard(self, revision: int, address: Address) -> None:
         if revision <= self.adopter.snapshot.revision:
@@ -224,7 +224,7 @@
         try:
             rumor = msgspec.json.decode(value, type=RumorOfRevision)
         except msgspec.MsgspecError as exc:
-            self._report(f"Malformed rumor {key[:40]}: {exc}")
+            self._log(f"Malformed rumor {key[:40]}: {exc}")
             return
         if rumor.revision > self._known_newest:
             self._known_newest = rumor.revision
@@ -233,7 +233,7 @@
     async def _ask_heard(self) -> None:
         async for revision, address in self._receive_heard:
             if revision > self.adopter.snapshot.revision:
-                await self.ask(address)
+                await self.pull(address)
 
     async def _ask_peers(self) -> None:
         """Asks one at random, more often while a newer revision is known.
@@ -246,16 +246,22 @@
             members = self.other_members()
             ahead = [m for m in members if m.config_revision > own]
             if members:
-                await self.ask(self._rng.choice(ahead or members).address)
+                await self.pull(self._rng.choice(ahead or members).address)
             if self.adopter.snapshot.revision < self._known_newest:
-                pause_s = jittered(self._rng, self._periods.lagging_peer_s)
+                pause_s = jittered(
+                    self._rng, self._periods.lagging_pull_period_s
+                )
                 await anyio.sleep(pause_s)
                 continue
             self._lagging = anyio.Event()
-            with anyio.move_on_after(jittered(self._rng, self._periods.peer_s)):
+            with anyio.move_on_after(
+                jittered(self._rng, self._periods.pull_period_s)
+            ):
                 await self._lagging.wait()
                 # Whoever adopted it tells others; most need not ask.
-                pause_s = jittered(self._rng, self._periods.lagging_peer_s)
+                pause_s = jittered(
+                    self._rng, self._periods.lagging_pull_period_s
+                )
                 await anyio.sleep(pause_s)
 
     async def _tell_members(self) -> None:
@@ -264,10 +270,10 @@
             await self._newly_adopted.wait()
             self._newly_adopted = anyio.Event()
             members = self.other_members()
-            count = min(self._periods.told_members, len(members))
+            count = min(self._periods.notified_members, len(members))
             async with anyio.create_task_group() as tasks:
                 for member in self._rng.sample(members, count):
-                    tasks.start_soon(self.ask, member.address)
+                    tasks.start_soon(self.pull, member.address)
 
 
 def _json(content: bytes) -> Response:
--- a/src/radishwind/node/failures.py
+++ b/src/radishwind/node/error_logging.py
@@ -7,7 +7,7 @@
 from radishwind.telemetry.logs import PartLogger
 
 
-def logging_failures(handler: Handler, log: PartLogger) -> Handler:
+def with_error_logging(handler: Handler, log: PartLogger) -> Handler:
     """Returns `handler`, with its unexpected errors logged.
 
     The HTTP library answers them with RW-4007; it has nothing to log by.
--- a/src/radishwind/node/gossip_datagrams.py
+++ b/src/radishwind/node/gossip_datagrams.py
@@ -28,7 +28,7 @@
 Receiver: TypeAlias = Callable[[Message], Message]
 
 #: Takes the other node's address and how long a round trip took (s).
-RoundTripTaker: TypeAlias = Callable[[Address, float], None]
+RoundTripCallback: TypeAlias = Callable[[Address, float], None]
 
 #: Part of its time after which a question without an answer goes by HTTP: a
 #: datagram may be lost where a connection still gets through.
@@ -65,7 +65,7 @@
         rng: random.Random,
         receive: Receiver,
         clock: Clock,
-        round_trip: RoundTripTaker | None = None,
+        round_trip: RoundTripCallback | None = None,
     ) -> None:
         """Takes its channel of `socket`.
 
--- a/src/radishwind/node/membership_tasks.py
+++ b/src/radishwind/node/membership_tasks.py
@@ -32,9 +32,9 @@
 from radishwind.membership.messages import MessageError
 from radishwind.membership.outgoing_message import OutgoingMessage
 from radishwind.node.gossip_datagrams import GossipDatagrams
-from radishwind.node.gossip_datagrams import RoundTripTaker
+from radishwind.node.gossip_datagrams import RoundTripCallback
 from radishwind.node.peer_search import PeerSearch
-from radishwind.node.peer_security import advertised
+from radishwind.node.peer_security import advertised_address
 from radishwind.outcomes import problem_response
 from radishwind.peers import PeerClient
 from radishwind.peers import PeerError
@@ -70,8 +70,8 @@
         options: GossipOptions | None = None,
         discovery: DiscoveryOptions | None = None,
         socket: PeerSocket | None = None,
-        round_trip: RoundTripTaker | None = None,
-        listed: Callable[[StoreEntry], None] | None = None,
+        on_round_trip: RoundTripCallback | None = None,
+        on_listed: Callable[[StoreEntry], None] | None = None,
     ) -> None:
         """Wires membership.
 
@@ -85,8 +85,8 @@
           options: of gossip; by default those of `settings`.
           discovery: of the search for peers; by default those of `settings`.
           socket: carries short messages; by default none goes by datagram.
-          listed: takes each entry that is listed with the contacts.
-          round_trip: takes how long short messages took there and back.
+          on_listed: takes each entry that is listed with the contacts.
+          on_round_trip: takes how long short messages took there and back.
         """
         self._clock = clock
         self._allowlist = allowlist
@@ -116,11 +116,11 @@
         self._finder = ContactRegistry(
             store=store,
             failure_domain=settings.failure_domain,
-            own=advertised(settings),
+            own=advertised_address(settings),
             clock=clock,
             rng=rng,
             options=discovery,
-            on_listed=listed,
+            on_listed=on_listed,
         )
         self._search = PeerSearch(
             settings=settings,
@@ -139,7 +139,7 @@
         self._datagrams: GossipDatagrams | None = None
         if socket is not None:
             self._datagrams = GossipDatagrams(
-                socket, rng, self._received, clock, round_trip
+                socket, rng, self._received, clock, on_round_trip
             )
 
     def listen_on(self, listener: PeerListener) -> None:
@@ -155,15 +155,15 @@
             tasks.start_soon(self._search.run)
             await self._tick_forever()
 
-    def announce(self, announced: AdvertisedState) -> None:
+    def advertise(self, state: AdvertisedState) -> None:
         """Tells everyone that this node drains, leaves or is back."""
-        self._start(self.gossip.advertise(announced, self._now()))
+        self._start(self.gossip.advertise(state, self._now()))
 
-    def serve(self, service: str) -> None:
+    def set_service(self, service: str) -> None:
         """Tells everyone that the server beside now gives `service`."""
         self._start(self.gossip.set_service(service, self._now()))
 
-    async def say_left(self) -> None:
+    async def advertise_left(self) -> None:
         """Tells some peers that this node is gone; the last word."""
         calls = self.gossip.advertise(AdvertisedState.LEFT, self._now())
         with anyio.move_on_after(_LAST_WORD_S):
@@ -171,7 +171,7 @@
                 for call in calls:
                     tasks.start_soon(self._perform, call)
 
-    def unreachable(self, name: str) -> None:
+    def report_unreachable(self, name: str) -> None:
         """Takes a hint: the node of `name` took no connection."""
         self.gossip.probe_soon(name, self._now())
         self._wake()
@@ -185,11 +185,11 @@
         known = len(self.gossip.table.members)
         return max(known, self._allowlist.size())
 
-    def is_alone(self) -> bool:
+    def found_no_peers(self) -> bool:
         """Returns whether the store has told that no other node is there."""
-        return self._search.found_nobody
+        return self._search.found_no_peers
 
-    def note_revision(self, revision: int) -> None:
+    def set_config_revision(self, revision: int) -> None:
         """Tells peers by and by which configuration is in force here."""
         self.gossip.config_revision = revision
 
@@ -343,7 +343,7 @@
     # The wall clock keeps incarnations rising over restarts without a disk;
     # where it went back, peers tell us and we raise ours above.
     incarnation = clock.wall_ms()
-    own: Address = advertised(settings)
+    own: Address = advertised_address(settings)
     return MemberRecord(
         settings.target,
         settings.service,
--- a/src/radishwind/node/metrics.py
+++ b/src/radishwind/node/metrics.py
@@ -2,7 +2,7 @@
 
 from radishwind.entry import EntryPipeline
 from radishwind.node.membership_tasks import MembershipTasks
-from radishwind.node.observe import Observation
+from radishwind.node.observation import Observation
 
 
 def add_metrics(
--- a/src/radishwind/node/peer_search.py
+++ b/src/radishwind/node/peer_search.py
@@ -26,15 +26,15 @@
 #: after the look). In a start of all, those that were not up when they were
 #: asked may be in another group: of 12 nodes that started within 0.8 s nine and
 #: three knew only each other for good (in virtual time).
-MISSING_LOOKS_S = (0.5, 1.0, 2.0, 4.0, 8.0, 16.0)
+MISSING_CONTACT_CHECKS_S = (0.5, 1.0, 2.0, 4.0, 8.0, 16.0)
 
 
 class PeerSearch:
     """Joins the first peers, and again where a node finds itself alone.
 
     Attributes:
-      found_nobody: whether the contacts in the store have once named this node
-        and nobody else; one that comes later finds it there.
+      found_no_peers: whether the store once listed this node as its only
+        contact. A node that starts later finds this one there.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         self._gone_before: frozenset[Address] = frozenset()
         # The contacts of all failure domains, as read last.
         self._contacts: tuple[Address, ...] = ()
-        self.found_nobody = False
+        self.found_no_peers = False
 
     async def run(self) -> None:
         """Looks for peers until cancelled."""
@@ -113,7 +113,7 @@
     def _note_nobody(self) -> None:
         if self._contacts or self._finder.contacts != (self._own,):
             return
-        self.found_nobody = True
+        self.found_no_peers = True
 
     async def _read_and_join(self, *, newest: bool = False) -> bool:
         contacts = await self._finder.read_contacts(newest=newest)
@@ -136,7 +136,7 @@
         """Waits for the time, or until a contact is to be replaced."""
         jitter = 0.5 + self._rng.random()
         began = self._clock.monotonic()
-        missing_looks = [began + s * jitter for s in MISSING_LOOKS_S]
+        missing_looks = [began + s * jitter for s in MISSING_CONTACT_CHECKS_S]
         gone_look = began + GONE_LOOK_S
         while True:
             now = self._clock.monotonic()
--- a/src/radishwind/node/peer_security.py
+++ b/src/radishwind/node/peer_security.py
@@ -16,7 +16,7 @@
 _NONCE_PREFIX_BYTES = 8
 
 
-def advertised(settings: NodeSettings) -> Address:
+def advertised_address(settings: NodeSettings) -> Address:
     """Returns where other nodes reach this one."""
     return settings.peer_address or settings.peer_listen
 
@@ -33,7 +33,7 @@
     keys = settings.peer_key + _keys_of_file(settings.peer_key_file)
     if keys:
         prefix = os.urandom(_NONCE_PREFIX_BYTES).hex()
-        own = advertised(settings)
+        own = advertised_address(settings)
         return (
             PeerSigner(keys[0], clock, prefix),
             PeerVerifier(keys, clock, own),
--- a/src/radishwind/node/in_progress.py
+++ b/src/radishwind/node/requests_in_progress.py
@@ -25,23 +25,23 @@
         self,
         handler: Handler,
         clock: Clock,
-        is_work: Callable[[Request], bool] = lambda request: True,
-        refusal: Callable[[], Response] | None = None,
+        is_counted: Callable[[Request], bool] = lambda request: True,
+        make_refusal: Callable[[], Response] | None = None,
     ) -> None:
         """Stands before a handler.
 
         Args:
           handler: answers the requests.
           clock: times the arrivals.
-          is_work: whether a request is work that a stop waits for.
-          refusal: makes the answer to what comes too late in a stop.
+          is_counted: whether a request is work that a stop waits for.
+          make_refusal: makes the answer to what comes too late in a stop.
         """
         self._handler = handler
         self._clock = clock
-        self._is_work = is_work
+        self._is_counted = is_counted
         self._count = 0
         self._arrived = clock.monotonic()
-        self._refusal = refusal
+        self._make_refusal = make_refusal
         self._closing = False
         self._refusing = False
         self._changed = anyio.Event()
@@ -51,39 +51,39 @@
         """Requests in progress."""
         return self._count
 
-    def ask_to_close(self) -> None:
+    def request_connection_close(self) -> None:
         """Asks senders, with each answer, to use this connection no more."""
         self._closing = True
 
-    def refuse(self) -> None:
+    def refuse_new_requests(self) -> None:
         """Refuses what comes from now on; what is in progress goes on."""
         self._refusing = True
 
-    async def finished(self) -> None:
+    async def wait_idle(self) -> None:
         """Returns once no request is in progress."""
         while self._count:
             self._changed = anyio.Event()
             await self._changed.wait()
 
-    async def quiet(self, for_s: float) -> None:
-        """Returns once no work has arrived for `for_s` (s).
+    async def wait_quiet(self, period_s: float) -> None:
+        """Returns once no work has arrived for `period_s` (s).
 
         Who has not heard of the stop yet still sends. Closing before that
         would cut what was sent and not read, which the sender must take for
         something that may have run.
         """
-        while (wait_s := self._quiet_in_s(for_s)) > 0:  # noqa: ASYNC110
+        while (wait_s := self._quiet_in_s(period_s)) > 0:  # noqa: ASYNC110
             await anyio.sleep(wait_s)
 
-    def _quiet_in_s(self, for_s: float) -> float:
-        return self._arrived + for_s - self._clock.monotonic()
+    def _quiet_in_s(self, period_s: float) -> float:
+        return self._arrived + period_s - self._clock.monotonic()
 
     async def handle(self, request: Request) -> Response:
         """Answers one request."""
-        if not self._is_work(request):
+        if not self._is_counted(request):
             return await self._handler(request)
-        if self._refusing and self._refusal is not None:
-            late = self._refusal()
+        if self._refusing and self._make_refusal is not None:
+            late = self._make_refusal()
             headers = (*late.headers, _CLOSE)
             return Response(late.status, headers, late.body, late.body_bytes)
         self._count += 1
--- a/src/radishwind/node/config_store.py
+++ b/src/radishwind/node/store_follower.py
@@ -27,7 +27,7 @@
     """Watches the store where it is this node's turn, else reads it rarely.
 
     Attributes:
-      watching: whether it is this node's turn to watch the store.
+      is_watching: whether it is this node's turn to watch the store.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         exchange: ConfigExchange,
         members: Callable[[], tuple[Member, ...]],
         refused: Callable[[Source, RevisionRefusedError], None],
-        report: Callable[[str], None],
+        log: Callable[[str], None],
         periods: ConfigPeriods,
     ) -> None:
         """Wires the follower.
@@ -53,7 +53,7 @@
           exchange: reads the store and adopts what is newer there.
           members: returns the members known.
           refused: called with a configuration that can't be adopted.
-          report: takes a sentence for the log.
+          log: called with a sentence for the log.
           periods: how often the tasks act.
         """
         self._settings = settings
@@ -64,11 +64,11 @@
         self._adopter = exchange.adopter
         self._members = members
         self._refused = refused
-        self._report = report
+        self._log = log
         self._periods = periods
         self._turn: anyio.CancelScope | None = None
         self._read_at = clock.monotonic()
-        self.watching = False
+        self.is_watching = False
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
         """Follows the store in `tasks` until they are cancelled."""
@@ -77,12 +77,12 @@
 
     async def _follow(self) -> None:
         await anyio.sleep(
-            self._rng.uniform(0, self._periods.first_read_spread_s)
+            self._rng.uniform(0, self._periods.initial_read_spread_s)
         )
         backoff = Backoff(
             self._rng,
-            self._periods.first_pause_s,
-            self._periods.longest_pause_s,
+            self._periods.initial_backoff_s,
+            self._periods.max_backoff_s,
         )
         while True:
             try:
@@ -95,16 +95,22 @@
                 await anyio.sleep(backoff.record_failure())
 
     async def _follow_once(self) -> None:
-        self.watching = self._is_watcher()
-        if self.watching:
+        self.is_watching = self._is_watcher()
+        if self.is_watching:
             await self._watch_turn()
             return
         fresh = self._adopter.snapshot.revision == 0
-        period_s = self._periods.first_read_s if fresh else self._periods.read_s
+        period_s = (
+            self._periods.initial_read_period_s
+            if fresh
+            else self._periods.read_period_s
+        )
         since_s = self._clock.monotonic() - self._read_at
         if since_s >= jittered(self._rng, period_s):
             await self._read_store()
-        await anyio.sleep(jittered(self._rng, self._periods.rank_s))
+        await anyio.sleep(
+            jittered(self._rng, self._periods.rank_check_period_s)
+        )
 
     def _is_watcher(self) -> bool:
         return is_watcher(
@@ -117,9 +123,9 @@
         """Reads the store, then watches it for one turn."""
         stored_at = await self._read_store()
         try:
-            await self._watch(stored_at + 1, self._periods.watch_turn_s)
+            await self._watch(stored_at + 1, self._periods.watch_duration_s)
         except StoreCompactedError:
-            await self._watch(0, self._periods.short_turn_s)
+            await self._watch(0, self._periods.short_watch_duration_s)
 
     async def _watch(self, from_revision: int, turn_s: float) -> None:
         """Watches for about `turn_s` (s), or until others rank before."""
@@ -129,7 +135,9 @@
 
     async def _end_turn_when_outranked(self) -> None:
         while True:
-            await anyio.sleep(jittered(self._rng, self._periods.rank_s))
+            await anyio.sleep(
+                jittered(self._rng, self._periods.rank_check_period_s)
+            )
             if self._turn is not None and not self._is_watcher():
                 self._turn.cancel()
 
@@ -147,4 +155,4 @@
 
     def _report_refusal(self, before: int) -> None:
         if self._adopter.refusals > before:
-            self._report(f"Refused: {self._adopter.last_refusal}")
+            self._log(f"Refused: {self._adopter.last_refusal}")
--- a/src/radishwind/node/target.py
+++ b/src/radishwind/node/target_side.py
@@ -11,7 +11,7 @@
 from radishwind.http import Sender
 from radishwind.membership import RumorBus
 from radishwind.node.admin import AdminListener
-from radishwind.node.observe import Observation
+from radishwind.node.observation import Observation
 from radishwind.probing import HealthEstimator
 from radishwind.probing import Prober
 from radishwind.quarantine import Quarantine
@@ -22,7 +22,7 @@
 from radishwind.target import TargetPipeline
 
 #: Requests sent beyond the slots (`docs/design/06-admission.md`).
-OVERLAP = 2
+OVERCOMMIT_REQUESTS = 2
 
 
 class TargetSide:
@@ -118,7 +118,7 @@
         limits = AdmissionLimits(
             slots=own.slots if own else 0,
             connections=own.connections if own else 0,
-            overcommit=OVERLAP,
+            overcommit=OVERCOMMIT_REQUESTS,
             max_queued=rules.queue_length,
             max_queue_wait_s=rules.queue_wait_ms / 1000,
             caller_weights=rules.caller_weights,
--- a/src/radishwind/node/tests/test_config_tasks.py
+++ b/src/radishwind/node/tests/test_config_tasks.py
@@ -18,15 +18,15 @@
 pytestmark = pytest.mark.anyio
 
 QUICK = ConfigPeriods(
-    peer_s=0.05,
-    lagging_peer_s=0.01,
-    watch_turn_s=5.0,
-    rank_s=0.02,
-    read_s=600.0,
-    first_read_s=600.0,
-    first_read_spread_s=0.01,
-    first_pause_s=0.005,
-    longest_pause_s=0.05,
+    pull_period_s=0.05,
+    lagging_pull_period_s=0.01,
+    watch_duration_s=5.0,
+    rank_check_period_s=0.02,
+    read_period_s=600.0,
+    initial_read_period_s=600.0,
+    initial_read_spread_s=0.01,
+    initial_backoff_s=0.005,
+    max_backoff_s=0.05,
 )
 DOMAINS = ("dom-a", "dom-b", "dom-c")
 
@@ -140,8 +140,10 @@
         standin = fleet.testbed.standin
         for name in reversed(names):
             fleet.start(tasks, name, "dom-a")
-            await fleet.until(lambda n=name: fleet.nodes[n].watching)
+            await fleet.until(lambda n=name: fleet.nodes[n].is_watching)
         await fleet.until(
-            lambda: [n for n in names if fleet.nodes[n].watching] == names[:2]
+            lambda: (
+                [n for n in names if fleet.nodes[n].is_watching] == names[:2]
+            )
         )
         await fleet.until(lambda: standin.watching == 2)
--- a/src/radishwind/node/tests/test_failures.py
+++ b/src/radishwind/node/tests/test_error_logging.py
@@ -5,7 +5,7 @@
 
 from radishwind.core import ManualClock
 from radishwind.http import Request
-from radishwind.node.failures import logging_failures
+from radishwind.node.error_logging import with_error_logging
 from radishwind.telemetry import PartLogger
 
 pytestmark = pytest.mark.anyio
@@ -16,7 +16,7 @@
         raise KeyError("an idempotency key")
 
     lines = []
-    handle = logging_failures(broken, PartLogger("node", ManualClock()))
+    handle = with_error_logging(broken, PartLogger("node", ManualClock()))
     eliot.add_destinations(lines.append)
     try:
         with pytest.raises(KeyError):
@@ -27,5 +27,5 @@
     line = lines[-1]
     assert line["text"] == "node: A request failed inside the node."
     assert (line["level"], line["kind"]) == ("error", "KeyError")
-    assert line["at"].startswith("test_failures.py:")
+    assert line["at"].startswith("test_error_logging.py:")
     assert "idempotency" not in str(lines)
--- a/src/radishwind/node/tests/test_peer_search.py
+++ b/src/radishwind/node/tests/test_peer_search.py
@@ -4,7 +4,7 @@
 
 import anyio
 import pytest
-from tests.support.direct import DirectSender
+from tests.support.in_process_sender import InProcessSender
 
 from radishwind.core import ManualClock
 from radishwind.http import Address
@@ -15,7 +15,7 @@
 from radishwind.membership.contact_registry import ContactRegistry
 from radishwind.membership.contact_registry import DiscoveryOptions
 from radishwind.node import peer_search
-from radishwind.node.peer_search import MISSING_LOOKS_S
+from radishwind.node.peer_search import MISSING_CONTACT_CHECKS_S
 from radishwind.node.peer_search import PeerSearch
 from radishwind.settings import NodeSettings
 from radishwind.standins.store import StoreStandin
@@ -84,7 +84,7 @@
 @pytest.fixture
 def fleet():
     clock = ManualClock()
-    sender = DirectSender()
+    sender = InProcessSender()
     sender.handlers[STORE] = StoreStandin(clock).handle
     return [Node(number, sender, clock) for number in range(1, 5)]
 
@@ -110,13 +110,13 @@
 
 async def test_who_finds_no_contact_but_itself_is_alone(fleet):
     first, second = fleet[:2]
-    assert not first.search.found_nobody
+    assert not first.search.found_no_peers
 
     await first.search._look()
     await second.search._look()
 
-    assert first.search.found_nobody
-    assert not second.search.found_nobody
+    assert first.search.found_no_peers
+    assert not second.search.found_no_peers
 
 
 async def test_of_two_that_enter_at_once_one_at_most_is_alone(fleet):
@@ -125,7 +125,7 @@
         tasks.start_soon(first.search._look)
         tasks.start_soon(second.search._look)
 
-    assert not (first.search.found_nobody and second.search.found_nobody)
+    assert not (first.search.found_no_peers and second.search.found_no_peers)
 
 
 @pytest.mark.parametrize("call", ["list", "transact", "get"])
@@ -142,7 +142,7 @@
 
     await node.search._look()
 
-    assert not node.search.found_nobody
+    assert not node.search.found_no_peers
 
 
 async def _nobody(*, newest=False):
@@ -213,7 +213,7 @@
     )
 
     assert set(third.joined) == {"10.0.0.1:1"}
-    assert sum(slept) <= 2 * MISSING_LOOKS_S[1]
+    assert sum(slept) <= 2 * MISSING_CONTACT_CHECKS_S[1]
 
 
 async def test_a_search_that_wakes_late_goes_on(third, monkeypatch):
--- a/src/radishwind/node/tests/test_in_progress.py
+++ b/src/radishwind/node/tests/test_requests_in_progress.py
@@ -7,7 +7,7 @@
 from radishwind.core import ManualClock
 from radishwind.http import Request
 from radishwind.http import Response
-from radishwind.node.in_progress import RequestsInProgress
+from radishwind.node.requests_in_progress import RequestsInProgress
 from radishwind.peers.attempts import is_forwarded_attempt
 
 ATTEMPT = Request("GET", "/a", (("Radishwind-Node-Attempt", "[]"),))
@@ -24,7 +24,7 @@
     requests = RequestsInProgress(answer, ManualClock(), is_forwarded_attempt)
     assert (await requests.handle(ATTEMPT)).headers == ()
 
-    requests.ask_to_close()
+    requests.request_connection_close()
 
     assert (await requests.handle(ATTEMPT)).headers == (
         ("Connection", "close"),
@@ -38,7 +38,7 @@
     done = anyio.Event()
 
     async def wait():
-        await requests.quiet(0.01)
+        await requests.wait_quiet(0.01)
         done.set()
 
     async with anyio.create_task_group() as tasks:
@@ -68,5 +68,5 @@
         await anyio.lowlevel.checkpoint()
         assert requests.count == 1
         release.set()
-        await requests.finished()
+        await requests.wait_idle()
     assert requests.count == 0
--- a/src/radishwind/peers/tests/test_security.py
+++ b/src/radishwind/peers/tests/test_security.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 import msgspec
 import pytest
-from tests.support.direct import DirectSender
-from tests.support.targets import make_target
+from tests.support.in_process_sender import InProcessSender
+from tests.support.targets import make_target_pipeline
 
 from radishwind.config import ServiceRules
 from radishwind.core import ManualClock
@@ -60,10 +60,10 @@
     def __init__(self, keys=(OLD,)):
         self.clock = ManualClock()
         self.clock.advance(1.0)
-        self.sender = DirectSender()
+        self.sender = InProcessSender()
         self.ran = []
         self.sender.handlers[SERVER] = self._serve
-        self.target = make_target(
+        self.target = make_target_pipeline(
             "prenota-1", "prenota", self.clock, self.sender, SERVER, 9
         )
         self.listener = PeerListener(
--- a/src/radishwind/probing/tests/test_probing.py
+++ b/src/radishwind/probing/tests/test_probing.py
@@ -2,8 +2,8 @@
 
 import msgspec
 import pytest
-from tests.support.direct import DirectSender
-from tests.support.direct import Fault
+from tests.support.in_process_sender import Fault
+from tests.support.in_process_sender import InProcessSender
 
 from radishwind.admission import AdmissionLimits
 from radishwind.admission import FairAdmission
@@ -86,7 +86,7 @@
     """A prober with a server whose health response is set by the test."""
 
     def __init__(self):
-        self.clock, self.sender = ManualClock(), DirectSender()
+        self.clock, self.sender = ManualClock(), InProcessSender()
         self.clock.advance(100.0)
         self.server = BackendServer("a", None)
         self.server.set_listed(True)
--- a/src/radishwind/quarantine/tests/test_quarantine.py
+++ b/src/radishwind/quarantine/tests/test_quarantine.py
@@ -1,7 +1,7 @@
 """Tests of crash detection, the suspect registry and the quarantine."""
 
 import pytest
-from tests.support.targets import DirectBoard
+from tests.support.targets import SynchronousRumorBus
 
 from radishwind.config.model import ServiceRules
 from radishwind.core import ManualClock
@@ -124,7 +124,7 @@
 
 
 def test_all_nodes_refuse_request_that_crashed_two_targets():
-    clock, rumor_bus = ManualClock(), DirectBoard()
+    clock, rumor_bus = ManualClock(), SynchronousRumorBus()
     nodes = [
         Quarantine(target=name, service="s", clock=clock, rumor_bus=rumor_bus)
         for name in ("a", "b", "c")
@@ -150,7 +150,7 @@
 
 
 def test_malformed_report_is_ignored():
-    rumor_bus = DirectBoard()
+    rumor_bus = SynchronousRumorBus()
     node = Quarantine(
         target="a", service="s", clock=ManualClock(), rumor_bus=rumor_bus
     )
--- a/src/radishwind/sidecar/app.py
+++ b/src/radishwind/sidecar/app.py
@@ -15,9 +15,9 @@
 from radishwind.http.types import Response
 from radishwind.membership.allowlist import OpenAllowlist
 from radishwind.membership.records import AdvertisedState
-from radishwind.node.callers import CallerListener
-from radishwind.node.in_progress import RequestsInProgress
+from radishwind.node.caller_listener import CallerListener
 from radishwind.node.membership_tasks import MembershipTasks
+from radishwind.node.requests_in_progress import RequestsInProgress
 from radishwind.peers.attempts import is_forwarded_attempt
 from radishwind.platform import PlatformDialect
 from radishwind.platform import PlatformStore
@@ -124,8 +124,8 @@
                 DISCOVERY, spread_s=start_spread_s(settings)
             ),
             socket=self._peers.socket,
-            listed=self._peers.listed,
-            round_trip=self._links.took_trip,
+            on_listed=self._peers.listed,
+            on_round_trip=self._links.took_trip,
         )
         self._routes = ActiveRoutes(self._clock)
         self._evacuation = EvacuationState(self._clock)
@@ -182,7 +182,7 @@
             switches=self._switches,
             node_count=self._membership.node_count,
             service=lambda: self._settings.service,
-            on_unreachable=self._membership.unreachable,
+            on_unreachable=self._membership.report_unreachable,
             reports_unsolicited=lambda member: self._loads.reports_unsolicited(
                 member
             ),
@@ -195,7 +195,7 @@
         self._callers = RequestsInProgress(
             self._handle_caller,
             self._clock,
-            refusal=refused_late,
+            make_refusal=refused_late,
         )
         self._peers.wire(
             rng=self._rng,
@@ -317,14 +317,16 @@
             callers=self._callers,
             attempts=self._attempts,
             target=self._target.pipeline,
-            farewell=Farewell(self._say_leaving, self._membership.say_left),
+            farewell=Farewell(
+                self._say_leaving, self._membership.advertise_left
+            ),
         )
         await stop.run(self._servers)
         self._peers.socket.close()
 
     def _say_leaving(self) -> None:
         self._leaving = True
-        self._membership.announce(AdvertisedState.LEAVING)
+        self._membership.advertise(AdvertisedState.LEAVING)
         self._loads.tell()
 
     async def _close_senders(self) -> None:
@@ -353,7 +355,7 @@
         self._log.change("Reloaded the settings.", service=changed.service)
         if (old.server, old.service) != (changed.server, changed.service):
             self._target.server.apply_settings(changed.server, changed.service)
-            self._membership.serve(changed.service)
+            self._membership.set_service(changed.service)
 
     def _ready(self) -> bool:
         return self._routes.cfg is not None and not self._stopping.is_set()
@@ -363,11 +365,11 @@
         if self._leaving:
             return
         if ready:
-            self._membership.serve(self._target.server.service)
+            self._membership.set_service(self._target.server.service)
         announced = (
             AdvertisedState.SERVING if ready else AdvertisedState.DRAINING
         )
-        self._membership.announce(announced)
+        self._membership.advertise(announced)
 
     def _words_left_out(self) -> dict[str, int]:
         return {
@@ -381,5 +383,5 @@
         self._log.warning("An item of the store is left out.", reason=reason)
 
     def _adopted(self, cfg: RouteConfig) -> None:
-        self._membership.note_revision(cfg.version)
+        self._membership.set_config_revision(cfg.version)
         self._target.adopt(cfg)
--- a/src/radishwind/sidecar/listening.py
+++ b/src/radishwind/sidecar/listening.py
@@ -11,7 +11,7 @@
 from radishwind.http.meter import NO_METER
 from radishwind.http.server import Handler
 from radishwind.http.types import Address
-from radishwind.node.failures import logging_failures
+from radishwind.node.error_logging import with_error_logging
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.options import CALLER_IDLE_S
 from radishwind.sidecar.options import CALLERS_AT_ONCE
@@ -78,6 +78,6 @@
     for handler, listen, limits in wanted:
         meter = link if limits is peers else NO_METER
         server = HttptoolsServer(limits, handlers.may_run_ahead, meter)
-        await server.start(logging_failures(handler, log), listen)
+        await server.start(with_error_logging(handler, log), listen)
         servers.append(server)
     return servers
--- a/src/radishwind/sidecar/quotas.py
+++ b/src/radishwind/sidecar/quotas.py
@@ -72,7 +72,7 @@
         self._stale = True
         self._addresses: dict[str, Address] = {}
         self._lender_map = LenderMap(
-            settings.node, clock.monotonic(), membership.is_alone
+            settings.node, clock.monotonic(), membership.found_no_peers
         )
         self.lender = Lender(self._lender_map, self._limits.of, clock)
         self.borrower = Borrower(
@@ -123,7 +123,7 @@
             self._follow(self._membership.gossip, now)
         self.channel.tick()
         for name in self.borrower.unresponsive_lenders(now):
-            self._membership.unreachable(name)
+            self._membership.report_unreachable(name)
 
     def _changed(
         self, old: MemberRecord | None, new: MemberRecord | None
--- a/src/radishwind/sidecar/stop.py
+++ b/src/radishwind/sidecar/stop.py
@@ -20,7 +20,7 @@
 from radishwind.core.codes import ResultCode
 from radishwind.http.server import Server
 from radishwind.http.types import Response
-from radishwind.node.in_progress import RequestsInProgress
+from radishwind.node.requests_in_progress import RequestsInProgress
 from radishwind.outcomes import NotRun
 from radishwind.platform.answers import respond
 from radishwind.sidecar.control import Readiness
@@ -103,7 +103,7 @@
     async def run(self, servers: Sequence[Server]) -> None:
         """Returns once every listener in `servers` is closed."""
         began = self._clock.monotonic()
-        self._callers.ask_to_close()
+        self._callers.request_connection_close()
         told = self._readiness.refusals
         await self._until_callers_gone(began)
         self._log.change(
@@ -114,7 +114,7 @@
         )
         self._farewell.leaving()
         self._target.refuse_new_work()
-        self._attempts.ask_to_close()
+        self._attempts.request_connection_close()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._refuse_late, began)
             await self._finish(began)
@@ -143,17 +143,17 @@
     async def _refuse_late(self, began: float) -> None:
         take_s = self._grace_s * TAKE_PART - self._elapsed_s(began)
         await anyio.sleep(max(0.0, take_s))
-        self._callers.refuse()
+        self._callers.refuse_new_requests()
 
     async def _finish(self, began: float) -> None:
         """Waits for what is in progress, as long as the grace allows."""
         most_s = self._grace_s * CLOSE_PART - _SAY_LEFT_S
         with anyio.move_on_after(max(0.5, most_s - self._elapsed_s(began))):
-            await self._callers.quiet(QUIET_S)
-            await self._callers.finished()
+            await self._callers.wait_quiet(QUIET_S)
+            await self._callers.wait_idle()
             await self._target.wait_drained()
-            await self._attempts.quiet(QUIET_S)
-            await self._attempts.finished()
+            await self._attempts.wait_quiet(QUIET_S)
+            await self._attempts.wait_idle()
 
     def _elapsed_s(self, began: float) -> float:
         return self._clock.monotonic() - began
--- a/src/radishwind/sidecar/tests/test_stop.py
+++ b/src/radishwind/sidecar/tests/test_stop.py
@@ -9,7 +9,7 @@
 from radishwind.core import ManualClock
 from radishwind.http import Request
 from radishwind.http import Response
-from radishwind.node.in_progress import RequestsInProgress
+from radishwind.node.requests_in_progress import RequestsInProgress
 from radishwind.sidecar import stop
 from radishwind.sidecar.control import Readiness
 from radishwind.sidecar.stop import Farewell
@@ -93,7 +93,9 @@
         self.release = anyio.Event()
         self.readiness = Readiness(lambda: False)
         self.callers = RequestsInProgress(
-            self._slow, day.clock, refusal=lambda: Response(503, (), b"late")
+            self._slow,
+            day.clock,
+            make_refusal=lambda: Response(503, (), b"late"),
         )
         self.attempts = RequestsInProgress(self._slow, day.clock)
         self.stop = PlannedStop(
--- a/src/radishwind/sidecar/tests/test_target_side.py
+++ b/src/radishwind/sidecar/tests/test_target_side.py
@@ -3,7 +3,7 @@
 import anyio
 import pytest
 from tests.support.calls import make_call
-from tests.support.direct import DirectSender
+from tests.support.in_process_sender import InProcessSender
 
 from radishwind.core import ManualClock
 from radishwind.core.codes import ResultCode
@@ -69,7 +69,7 @@
 
     def __init__(self, per_s=7.0):
         self.clock = ManualClock()
-        self.sender = DirectSender()
+        self.sender = InProcessSender()
         self.sender.handlers[HERE] = self.answer
         self.go = anyio.Event()
         self.go.set()
--- a/src/radishwind/store/tests/test_etcd_store.py
+++ b/src/radishwind/store/tests/test_etcd_store.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 import msgspec
 import pytest
-from tests.support.direct import DirectSender
-from tests.support.direct import Fault
+from tests.support.in_process_sender import Fault
+from tests.support.in_process_sender import InProcessSender
 
 from radishwind.core import ManualClock
 from radishwind.http import Address
@@ -44,7 +44,7 @@
     def __init__(self, timeout_s=2.0):
         self.clock = ManualClock()
         self.standin = StoreStandin(self.clock)
-        self.sender = DirectSender()
+        self.sender = InProcessSender()
         self.sender.handlers[ADDRESS] = self.standin.handle
         self.store = EtcdStore(self.sender, ADDRESS, timeout_s)
 
@@ -128,8 +128,8 @@
     ("fault", "error", "took_effect"),
     [
         (Fault.REFUSED, StoreUnavailableError, False),
-        (Fault.CUT_BEFORE, StoreAnswerLostError, False),
-        (Fault.ANSWER_LOST, StoreAnswerLostError, True),
+        (Fault.REQUEST_LOST, StoreAnswerLostError, False),
+        (Fault.RESPONSE_LOST, StoreAnswerLostError, True),
     ],
 )
 async def test_failure_is_classified_by_its_possible_effect(
--- a/src/radishwind/target/tests/test_pipeline.py
+++ b/src/radishwind/target/tests/test_pipeline.py
@@ -3,9 +3,9 @@
 import anyio
 import anyio.lowlevel
 import pytest
-from tests.support.direct import DirectSender
-from tests.support.direct import Fault
-from tests.support.targets import make_parts
+from tests.support.in_process_sender import Fault
+from tests.support.in_process_sender import InProcessSender
+from tests.support.targets import make_target_parts
 
 from radishwind.admission import AdmissionLimits
 from radishwind.admission import Ticket
@@ -46,9 +46,11 @@
     """A target pipeline whose server responds as the test sets it."""
 
     def __init__(self, slots=1):
-        self.clock, self.sender = ManualClock(), DirectSender()
+        self.clock, self.sender = ManualClock(), InProcessSender()
         limits = AdmissionLimits(slots, 10, 0, 8, 1.0)
-        parts = make_parts("a", "s", self.clock, self.sender, ADDRESS, limits)
+        parts = make_target_parts(
+            "a", "s", self.clock, self.sender, ADDRESS, limits
+        )
         self.pipeline, self.server = parts.pipeline, parts.server
         self.health, self.quarantine = parts.health, parts.quarantine
         self.admission = parts.admission
@@ -193,7 +195,7 @@
 
 async def test_crash_suspect_runs_alone_until_cleared():
     target = Target(slots=2)
-    target.sender.next_faults = [Fault.ANSWER_LOST, Fault.REFUSED]
+    target.sender.next_faults = [Fault.RESPONSE_LOST, Fault.REFUSED]
     broken, refused = await target.run("/bad"), await target.run("/other")
     assert isinstance(broken, Unknown)
     assert isinstance(refused, NotRun)
--- a/src/radishwind/target/tests/test_registered_server.py
+++ b/src/radishwind/target/tests/test_registered_server.py
@@ -1,9 +1,9 @@
 """Which incarnation of the server is current, and leaving is permanent."""
 
 import pytest
-from tests.support.registered import code
-from tests.support.registered import HERE
-from tests.support.registered import registered
+from tests.support.registered_server import make_registered_server
+from tests.support.registered_server import refusal_code
+from tests.support.registered_server import SERVER_ADDRESS
 
 from radishwind.core import ManualClock
 from radishwind.core.codes import ResultCode
@@ -20,7 +20,13 @@
     warmup_left_s=0.0,
 ):
     return Registration(
-        incarnation, service, HERE, slots, leaving, warmup_left_s, sequence
+        incarnation,
+        service,
+        SERVER_ADDRESS,
+        slots,
+        leaving,
+        warmup_left_s,
+        sequence,
     )
 
 
@@ -31,13 +37,13 @@
 
 @pytest.fixture
 def server(clock):
-    return registered(clock)
+    return make_registered_server(clock)
 
 
 def test_no_requests_before_the_first_heartbeat(server):
-    assert code(server) is ResultCode.SERVER_UNANNOUNCED
+    assert refusal_code(server) is ResultCode.SERVER_UNANNOUNCED
     assert server.register(heartbeat("i-1"))
-    assert code(server) is None
+    assert refusal_code(server) is None
     assert (server.incarnation, server.slots) == ("i-1", 6)
 
 
@@ -55,7 +61,7 @@
 
     server.register(heartbeat("i-1", 2))
 
-    assert code(server) is ResultCode.LEAVING
+    assert refusal_code(server) is ResultCode.LEAVING
 
 
 def test_deregistered_process_gets_no_new_requests(server):
@@ -64,14 +70,14 @@
 
     server.register(heartbeat("i-1", 9))
 
-    assert code(server) is ResultCode.LEAVING
+    assert refusal_code(server) is ResultCode.LEAVING
 
 
 def test_leaving_record_holds_after_a_restart_of_the_node(server):
     server.mark_leaving(ServerProcess("i-1"))
 
     assert not server.register(heartbeat("i-1", 5))
-    assert code(server) is ResultCode.SERVER_UNANNOUNCED
+    assert refusal_code(server) is ResultCode.SERVER_UNANNOUNCED
 
 
 def test_new_incarnation_gets_requests_after_one_that_left(server):
@@ -79,7 +85,7 @@
     server.mark_leaving(ServerProcess("i-1"))
     server.register(heartbeat("i-2"))
 
-    assert code(server) is None
+    assert refusal_code(server) is None
 
 
 def test_answering_incarnation_overrides_heartbeats(server):
@@ -97,18 +103,18 @@
 
     server.record_answering_incarnation("i-1", "i-2")
 
-    assert code(server) is ResultCode.LEAVING
+    assert refusal_code(server) is ResultCode.LEAVING
 
 
 def test_unreachable_server_is_down_until_it_is_reachable(server):
     server.register(heartbeat("i-1"))
 
     server.mark_unreachable()
-    assert code(server) is ResultCode.SERVER_DOWN
+    assert refusal_code(server) is ResultCode.SERVER_DOWN
     assert not server.is_ready
     server.mark_reachable()
 
-    assert code(server) is None
+    assert refusal_code(server) is None
 
 
 def test_cold_server_is_reported_as_cold(server, clock):
--- a/src/radishwind/target/tests/test_server_processes.py
+++ b/src/radishwind/target/tests/test_server_processes.py
@@ -1,9 +1,9 @@
 """A server may restart under the same incarnation."""
 
 import pytest
-from tests.support.registered import code
-from tests.support.registered import HERE
-from tests.support.registered import registered
+from tests.support.registered_server import make_registered_server
+from tests.support.registered_server import refusal_code
+from tests.support.registered_server import SERVER_ADDRESS
 
 from radishwind.core import ManualClock
 from radishwind.core.codes import ResultCode
@@ -18,7 +18,14 @@
     started_ms, sequence=1, leaving=False, incarnation="i-1", warmup_left_s=0.0
 ):
     return Registration(
-        incarnation, "s", HERE, 6, leaving, warmup_left_s, sequence, started_ms
+        incarnation,
+        "s",
+        SERVER_ADDRESS,
+        6,
+        leaving,
+        warmup_left_s,
+        sequence,
+        started_ms,
     )
 
 
@@ -29,17 +36,17 @@
 
 @pytest.fixture
 def server(clock):
-    return registered(clock)
+    return make_registered_server(clock)
 
 
 def test_later_process_is_accepted_after_the_previous_one_left(server):
     server.register(heartbeat(FIRST, 9))
     server.register(heartbeat(FIRST, 10, leaving=True))
-    assert code(server) is ResultCode.LEAVING
+    assert refusal_code(server) is ResultCode.LEAVING
 
     assert server.register(heartbeat(SECOND, 1))
 
-    assert code(server) is None
+    assert refusal_code(server) is None
     assert server.process == ServerProcess("i-1", SECOND)
 
 
@@ -61,7 +68,7 @@
     server.register(heartbeat(FIRST, 6, leaving=leaving))
 
     assert server.process == ServerProcess("i-1", SECOND)
-    assert code(server) is None
+    assert refusal_code(server) is None
 
 
 def test_late_heartbeat_of_an_unknown_earlier_process_is_ignored(server):
@@ -89,7 +96,7 @@
 
     server.register(heartbeat(SECOND, 1, leaving=True))
 
-    assert code(server) is ResultCode.LEAVING
+    assert refusal_code(server) is ResultCode.LEAVING
     assert not server.register(heartbeat(SECOND, 0))
     assert server.register(heartbeat(THIRD, 1))
 
@@ -101,7 +108,7 @@
 
     server.mark_leaving(ServerProcess("i-1"))
 
-    assert code(server) is ResultCode.LEAVING
+    assert refusal_code(server) is ResultCode.LEAVING
     assert server.register(heartbeat(SECOND, 1))
 
 
@@ -146,6 +153,6 @@
 
     server.register(heartbeat(FIRST, 3, leaving=True))
 
-    assert code(server) is ResultCode.LEAVING
+    assert refusal_code(server) is ResultCode.LEAVING
     assert not server.register(heartbeat(FIRST, 4))
     assert server.register(heartbeat(SECOND, 1))
--- a/tests/proofs/failures.py
+++ b/tests/proofs/failures.py
@@ -21,7 +21,7 @@
 from tests.proofs.stage import Stage
 from tests.proofs.stage import Step
 from tests.proofs.stage import Wire
-from tests.support.direct import Fault
+from tests.support.in_process_sender import Fault
 
 Send = Callable[[], Awaitable[None]]
 Failure = Callable[[Stage, str, Send], Awaitable[None]]
@@ -117,7 +117,7 @@
 async def lost_write(stage: Stage, entry: str, send: Send) -> None:
     """The claim is written, and neither that nor a look is answered."""
     stage.store.only_paths = "/v3/kv"
-    stage.store.steps = [Fault.ANSWER_LOST, Fault.REFUSED]
+    stage.store.steps = [Fault.RESPONSE_LOST, Fault.REFUSED]
     await send()
     stage.store.steps, stage.store.only_paths = [], ""
 
@@ -175,9 +175,11 @@
 FAILURES: dict[str, Failure] = {
     "nothing fails": nothing,
     "the target's node is killed before": _at_nodes(Fault.REFUSED),
-    "the connection is cut before it is handled": _at_nodes(Fault.CUT_BEFORE),
-    "the connection is cut after it was handled": _at_nodes(Fault.ANSWER_LOST),
-    "the server's connection is cut": _at_servers(Fault.ANSWER_LOST),
+    "the connection is cut before it is handled": _at_nodes(Fault.REQUEST_LOST),
+    "the connection is cut after it was handled": _at_nodes(
+        Fault.RESPONSE_LOST
+    ),
+    "the server's connection is cut": _at_servers(Fault.RESPONSE_LOST),
     "the entry node is killed meanwhile": kill_entry,
     "the entry node freezes past the deadline": _freeze(LATE_S),
     "the server is a straggler": _at_servers(_straggle),
--- a/tests/proofs/stage.py
+++ b/tests/proofs/stage.py
@@ -25,8 +25,8 @@
 from tests.support.claim_cluster import Cluster
 from tests.support.claim_cluster import EntryNode
 from tests.support.claim_cluster import STORE
-from tests.support.direct import Fault
-from tests.support.targets import DirectBoard
+from tests.support.in_process_sender import Fault
+from tests.support.targets import SynchronousRumorBus
 
 #: Past every deadline of a call, and past the lease of a claim (s).
 LATE_S = 10.0
@@ -64,7 +64,7 @@
         if step is Fault.REFUSED:
             self.note("takes no connection")
             raise ConnectFailedError(f"{self.name}: refused")
-        if step is Fault.CUT_BEFORE:
+        if step is Fault.REQUEST_LOST:
             self.note("cut before it is handled")
             raise ExchangeBrokenError(f"{self.name}: cut")
         if isinstance(step, Response):
@@ -73,7 +73,7 @@
         if callable(step):
             return await step(self, request)
         response = await self.deliver(request)
-        if step is Fault.ANSWER_LOST:
+        if step is Fault.RESPONSE_LOST:
             self.note("its answer is lost")
             raise ExchangeBrokenError(f"{self.name}: answer lost")
         return response
@@ -109,7 +109,7 @@
     """
 
     def __init__(self, **options) -> None:
-        self.cluster = Cluster(1, rumor_bus=DirectBoard(), **options)
+        self.cluster = Cluster(1, rumor_bus=SynchronousRumorBus(), **options)
         self.lines: list[str] = []
         self.broken: list[str] = []
         self.done = 0
--- a/tests/proofs/test_measuring.py
+++ b/tests/proofs/test_measuring.py
@@ -24,8 +24,8 @@
 from radishwind.probing.prober import POLL_INTERVAL_S
 from radishwind.probing.prober import PROBE_TIMEOUT_S
 from radishwind.target.backend_server import Announcement
-from tests.support.direct import DirectSender
-from tests.support.targets import make_parts
+from tests.support.in_process_sender import InProcessSender
+from tests.support.targets import make_target_parts
 
 scenarios("measuring.feature")
 
@@ -45,10 +45,10 @@
     """A prober and a server in a named trouble."""
 
     def __init__(self) -> None:
-        self.clock, self.sender = ManualClock(), DirectSender()
+        self.clock, self.sender = ManualClock(), InProcessSender()
         self.clock.advance(100.0)
         limits = AdmissionLimits(SLOTS, 250, 0, 10, 1.0)
-        self.parts = make_parts(
+        self.parts = make_target_parts(
             *("a", "s", self.clock, self.sender, SERVER, limits)
         )
         self.sender.handlers[SERVER] = self._handle
--- a/tests/support/claim_cluster.py
+++ b/tests/support/claim_cluster.py
@@ -49,8 +49,8 @@
 from radishwind.store import EtcdStore
 from radishwind.store import Store
 from radishwind.target import TargetPipeline
-from tests.support.direct import DirectSender
-from tests.support.targets import make_target
+from tests.support.in_process_sender import InProcessSender
+from tests.support.targets import make_target_pipeline
 
 STORE = Address("10.0.0.1", 2379)
 RULES = ServiceRules(deadline_ms=2_000, max_deadline_ms=5_000)
@@ -157,7 +157,7 @@
         return self._members
 
 
-class PausableSender(DirectSender):
+class PausableSender(InProcessSender):
     """Delays requests while the sending process is paused.
 
     Attributes:
@@ -295,7 +295,7 @@
         self.repeat_wait_s = repeat_wait_s
         self.writes_per_s = writes_per_s
         self.index = ConfigIndex(CONFIG)
-        self.sender = DirectSender()
+        self.sender = InProcessSender()
         self.handlers = self.sender.handlers
         self.store = FaultyStore(self.clock, self.rng)
         self.handlers[STORE] = self.store.handle
@@ -310,7 +310,7 @@
     def _add_target(self, number: int) -> Member:
         name = f"prenota-{number}"
         server, peer = (Address(f"10.0.1.{number}", p) for p in (80, 81))
-        target = make_target(
+        target = make_target_pipeline(
             *(name, "prenota", self.clock, self.sender, server, 100),
             self.rumor_bus,
         )
--- a/tests/support/configs.py
+++ b/tests/support/configs.py
@@ -38,7 +38,7 @@
 from radishwind.standins.store import StoreStandin
 from radishwind.store import EtcdStore
 from radishwind.store.gateway import encode_bytes
-from tests.support.direct import DirectSender
+from tests.support.in_process_sender import InProcessSender
 
 STORE = Address("127.0.0.1", 1)
 _ROOT = encode_bytes(ROOT_KEY.encode()).encode()
@@ -74,7 +74,7 @@
     def __init__(self, seed: int = 1, decision_wait_s: float = 0.0) -> None:
         self.clock = ManualClock()
         self.standin = StoreStandin(self.clock)
-        self.sender = DirectSender()
+        self.sender = InProcessSender()
         self.sender.handlers[STORE] = self._handle
         self.on_swap: Handler = self.standin.handle
         self.store = EtcdStore(self.sender, STORE, timeout_s=0.2)
@@ -201,7 +201,7 @@
             directory=self._directory,
             peers=HttpPeerClient(self.testbed.sender),
             rumor_bus=NullRumorBus(),
-            adopted=lambda index: None,
-            report=self.reports.append,
+            on_adopted=lambda index: None,
+            log=self.reports.append,
             periods=self._periods,
         )
--- a/tests/support/direct.py
+++ b/tests/support/in_process_sender.py
@@ -21,12 +21,12 @@
     """What goes wrong with one exchange, or with all until cleared."""
 
     REFUSED = "no connection is made"
-    CUT_BEFORE = "the connection breaks before the request is handled"
-    ANSWER_LOST = "the request is handled and its answer is lost"
+    REQUEST_LOST = "the connection breaks before the request is handled"
+    RESPONSE_LOST = "the request is handled and its answer is lost"
     HANGS = "the request is never answered"
 
 
-class DirectSender(Sender):
+class InProcessSender(Sender):
     """Sends to handlers by address; counts what was sent."""
 
     def __init__(self) -> None:
@@ -45,12 +45,12 @@
         handler = self.handlers.get(address)
         if handler is None or fault is Fault.REFUSED:
             raise ConnectFailedError(f"{address}: refused")
-        if fault is Fault.CUT_BEFORE:
+        if fault is Fault.REQUEST_LOST:
             raise ExchangeBrokenError(f"{address}: cut before it was handled")
         if fault is Fault.HANGS:
             await anyio.sleep_forever()
         response = await handler(request)
-        if fault is Fault.ANSWER_LOST:
+        if fault is Fault.RESPONSE_LOST:
             raise ExchangeBrokenError(f"{address}: answer lost")
         return response
 
--- a/tests/support/registered.py
+++ b/tests/support/registered_server.py
@@ -6,15 +6,15 @@
 from radishwind.target.registered_server import RegisteredServer
 
 #: Where it receives requests.
-HERE = Address("10.0.0.1", 80)
+SERVER_ADDRESS = Address("10.0.0.1", 80)
 
 
-def registered(clock: ManualClock) -> RegisteredServer:
+def make_registered_server(clock: ManualClock) -> RegisteredServer:
     """Returns a server of which nothing was heard yet."""
-    return RegisteredServer("t", "s", HERE, clock, lambda ready: None)
+    return RegisteredServer("t", "s", SERVER_ADDRESS, clock, lambda ready: None)
 
 
-def code(server: RegisteredServer) -> ResultCode | None:
+def refusal_code(server: RegisteredServer) -> ResultCode | None:
     """Returns why nothing is sent to the server; `None` if it gets work."""
     refused = server.refusal()
     return refused.code if refused else None
--- a/tests/support/targets.py
+++ b/tests/support/targets.py
@@ -18,7 +18,7 @@
 from radishwind.target import TargetPipeline
 
 
-class DirectBoard(RumorBus):
+class SynchronousRumorBus(RumorBus):
     """Hands each fact to every subscriber at once."""
 
     def __init__(self) -> None:
@@ -48,7 +48,7 @@
     quarantine: Quarantine
 
 
-def make_target(
+def make_target_pipeline(
     name: str,
     service: str,
     clock: Clock,
@@ -59,12 +59,12 @@
 ) -> TargetPipeline:
     """Returns the pipeline of a target that the inventory lists."""
     limits = AdmissionLimits(slots, slots, max_queued=10, max_queue_wait_s=1.0)
-    return make_parts(
+    return make_target_parts(
         name, service, clock, sender, server, limits, rumor_bus
     ).pipeline
 
 
-def make_parts(
+def make_target_parts(
     name: str,
     service: str,
     clock: Clock,
