--- a/src/radishwind/claims/claim_registry.py
+++ b/src/radishwind/claims/claim_registry.py
@@ -274,7 +274,7 @@
         Nothing may be dispatched under it.
         """
         self._updates.mark_undispatched(record.nonce)
-        self._updates.remove_unconfirmed(store_key, record.nonce)
+        self._updates.enqueue_removal(store_key, record.nonce)
 
     async def _lease_id(self, ttl_s: int) -> int:
         """Returns the ID of a lease of at least `ttl_s`, granted if needed."""
--- a/src/radishwind/claims/claim_update_queue.py
+++ b/src/radishwind/claims/claim_update_queue.py
@@ -148,7 +148,7 @@
             self.dropped_count += 1
         self._wake.set()
 
-    def remove_unconfirmed(self, store_key: str, nonce: str) -> None:
+    def enqueue_removal(self, store_key: str, nonce: str) -> None:
         """Queues the removal of a claim that may have been written."""
         expires_at = self._clock.monotonic() + LATE_WRITE_S
         self._unconfirmed.append(UnconfirmedClaim(store_key, nonce, expires_at))
--- a/src/radishwind/claims/tests/test_claim_writer.py
+++ b/src/radishwind/claims/tests/test_claim_writer.py
@@ -52,12 +52,12 @@
         else:
             self.results[key] = result.succeeded
 
-    async def run(self, keys: list[str], canceled_count: int = 0) -> int:
+    async def run(self, keys: list[str], cancelled_count: int = 0) -> int:
         """Writes `keys` concurrently; returns the number of calls sent.
 
         Args:
           keys: the keys to write.
-          canceled_count: number of further writes, which are canceled while
+          cancelled_count: number of further writes, which are cancelled while
             they wait.
         """
         async with anyio.create_task_group() as tasks:
@@ -65,7 +65,7 @@
             async with anyio.create_task_group() as writes:
                 for key in keys:
                     writes.start_soon(self.write, key)
-                for number in range(canceled_count):
+                for number in range(cancelled_count):
                     writes.start_soon(self._cancel_write, number)
                 await anyio.wait_all_tasks_blocked()
                 self.proceed.set()
@@ -124,8 +124,8 @@
     assert results.count(True) == 1
 
 
-async def test_claim_canceled_while_it_is_pending_is_never_written(setup):
-    await setup.run(_keys(MAX_IN_FLIGHT + 3), canceled_count=2)
+async def test_claim_cancelled_while_it_is_pending_is_never_written(setup):
+    await setup.run(_keys(MAX_IN_FLIGHT + 3), cancelled_count=2)
 
     assert await setup.store.list("given-up") == ()
     assert len(setup.results) == MAX_IN_FLIGHT + 3
