--- a/src/radishwind/peers/forward_runner.py
+++ b/src/radishwind/peers/forward_runner.py
@@ -51,6 +51,18 @@
         traffic: PeerTraffic | None = None,
         sizes: RouteSizes | None = None,
     ) -> None:
+        """Creates the runner.
+
+        Args:
+          node_name: name of this node.
+          clock: the clock.
+          target: runs the attempts at the local target.
+          sender: sends the attempts to other nodes.
+          signer: signs the attempts; `None` if no key is configured.
+          on_unreachable: called if the node of a target cannot be connected to.
+          traffic: counts messages and bytes sent to other nodes.
+          sizes: learns the body sizes by route.
+        """
         self._node_name = node_name
         self._clock = clock
         self._target = target
--- a/src/radishwind/peers/keyring.py
+++ b/src/radishwind/peers/keyring.py
@@ -47,7 +47,10 @@
         self.is_signing_paused = False
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Registers a listener for a missing, outdated or updated secret."""
+        """Registers a listener for changes of the secret.
+
+        It is called when a secret is missing, possibly outdated, or updated.
+        """
         self._listeners.append(listener)
 
     def set_has_accounts(self, has_accounts: bool, *, with_grace: bool) -> None:
--- a/src/radishwind/peers/peer_traffic.py
+++ b/src/radishwind/peers/peer_traffic.py
@@ -1,7 +1,7 @@
 """Counts the traffic between nodes, by failure domain, cause and route.
 
-Each message is counted by the node that sends it. Responses are counted by the
-node that sent the request, together with it. The sums over all nodes therefore
+Each message is counted by the node that sends it, except for responses, which
+are counted by the node that sent the request. The sums over all nodes therefore
 count nothing twice. A head counts as the length of its header fields, a body as
 its declared length.
 """
--- a/src/radishwind/peers/security.py
+++ b/src/radishwind/peers/security.py
@@ -143,7 +143,7 @@
         return True
 
     def rotate_if_due(self, now_ms: int) -> None:
-        """Starts a new generation if the current one outlasted the window."""
+        """Starts a new generation if the current one exceeds the window."""
         generation_ms = int((WINDOW_PAST_S + WINDOW_FUTURE_S) * 1000)
         if now_ms - self._generation_start_ms <= generation_ms:
             return
