--- a/src/radishwind/config/files.py
+++ b/src/radishwind/config/files.py
@@ -1,4 +1,4 @@
-"""Reads the operators' files; each is accepted whole or refused whole."""
+"""Reads the operators' files; each is accepted or refused as a whole."""
 
 import json
 from typing import Any
@@ -10,12 +10,13 @@
 from radishwind.config import consistency
 from radishwind.config.model import Inventory
 from radishwind.config.model import Rules
+from radishwind.config.validation import DuplicateKeysObject
 from radishwind.config.validation import FileFault
 from radishwind.config.validation import FileInvalidError
 from radishwind.config.validation import find_model_faults
-from radishwind.config.validation import RepeatedKeys
 
-#: The largest file read (bytes): some fifteen times the design size.
+#: Maximum size of a file (bytes): about 15 times that of the largest
+#: deployment designed for.
 MAX_FILE_BYTES = 16 * 1024 * 1024
 
 _T = TypeVar("_T")
@@ -25,7 +26,7 @@
     """Returns the inventory in `content`.
 
     Raises:
-      FileInvalidError: it has faults; it lists all of them.
+      FileInvalidError: the file has faults; the error lists all of them.
     """
     document = _decode(content)
     faults = find_model_faults(Inventory, document)
@@ -36,10 +37,12 @@
 
 
 def read_rules(content: bytes) -> Rules:
-    """Returns the rules in `content`, each service's completed by `defaults`.
+    """Returns the rules in `content`, with defaults filled in.
+
+    Fields that a service leaves out are taken from the `defaults` of the file.
 
     Raises:
-      FileInvalidError: they have faults; it lists all of them.
+      FileInvalidError: the file has faults; the error lists all of them.
     """
     document = _decode(content)
     faults = find_model_faults(Rules, document)
@@ -57,10 +60,15 @@
 def check_together(
     inventory: Inventory, rules: Rules, changed: str = "rules"
 ) -> None:
-    """Checks an inventory and rules against each other.
+    """Checks that an inventory and rules are consistent with each other.
+
+    Args:
+      inventory: the inventory.
+      rules: the rules.
+      changed: which of the two is being changed, for the places of faults.
 
     Raises:
-      FileInvalidError: they don't fit.
+      FileInvalidError: they are not consistent.
     """
     faults = consistency.find_cross_faults(
         msgspec.to_builtins(inventory), msgspec.to_builtins(rules), changed
@@ -70,7 +78,10 @@
 
 
 def write_file(value: Inventory | Rules) -> bytes:
-    """Returns `value` as an operator's file, two spaces a level."""
+    """Returns `value` as the content of an operator's file.
+
+    The JSON is indented by two spaces for each level.
+    """
     encoded = msgspec.json.encode(value)
     return msgspec.json.format(encoded, indent=2) + b"\n"
 
@@ -82,7 +93,7 @@
     try:
         return json.loads(
             content.decode("utf-8"),
-            object_pairs_hook=_object,
+            object_pairs_hook=_make_object,
             parse_constant=_refuse_constant,
         )
     except (ValueError, RecursionError) as exc:
@@ -97,15 +108,15 @@
         raise FileInvalidError([FileFault("", str(exc))]) from exc
 
 
-def _object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    plain = dict(pairs)
-    if len(plain) == len(pairs):
-        return plain
-    found = RepeatedKeys(plain)
+def _make_object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    unique = dict(pairs)
+    if len(unique) == len(pairs):
+        return unique
+    found = DuplicateKeysObject(unique)
     keys = [key for key, _ in pairs]
-    found.repeated = tuple(sorted({k for k in keys if keys.count(k) > 1}))
+    found.duplicates = tuple(sorted({k for k in keys if keys.count(k) > 1}))
     return found
 
 
 def _refuse_constant(name: str) -> NoReturn:
-    raise ValueError(f"{name}, which is no number of JSON")
+    raise ValueError(f"{name}, which is not a JSON number")
--- a/src/radishwind/config/integrity.py
+++ b/src/radishwind/config/integrity.py
@@ -1,8 +1,8 @@
-"""A quick check of a whole configuration, for nodes.
+"""A fast check of a complete configuration, for nodes.
 
-Operators' files are checked with every fault and its place before they are
-accepted. A node checks again what it relies on, on each adoption, and must
-not hold up requests for it; so this is a second, small check on the models.
+Operators' files are checked before they are accepted, and all faults are listed
+with their places. A node checks again on each adoption what it relies on. This
+must not delay requests, so it is a second, smaller check on the models.
 """
 
 import operator
@@ -17,16 +17,16 @@
 
 
 def find_first_fault(cfg: Configuration) -> str:
-    """Returns the first thing that is wrong; empty if nothing is."""
+    """Returns the first fault found; empty if there is none."""
     inventory = cfg.inventory
     checks = (_names, _failure_domains, _services, _routes)
     for check in checks:
         fault = check(inventory)
         if fault:
             return fault
-    strange = cfg.rules.services.keys() - {s.name for s in inventory.services}
-    if strange:
-        return f"rules of services not listed: {sorted(strange)[:3]}"
+    unknown = cfg.rules.services.keys() - {s.name for s in inventory.services}
+    if unknown:
+        return f"rules of services not listed: {sorted(unknown)[:3]}"
     return ""
 
 
@@ -64,5 +64,7 @@
         for host in service.hosts or ("",):
             for prefix in prefixes:
                 if taken.setdefault((host, prefix), name) != name:
-                    return f"service {name} has a route of another"
+                    return (
+                        f"service {name} has the same route as another service"
+                    )
     return ""
--- a/src/radishwind/config/tests/test_files.py
+++ b/src/radishwind/config/tests/test_files.py
@@ -1,4 +1,4 @@
-"""Operators' files: every fault with its place, nothing half applied."""
+"""Tests for operators' files: all faults are listed, none applied in part."""
 
 import json
 import pathlib
@@ -43,7 +43,7 @@
     return [str(fault) for fault in info.value.faults]
 
 
-def test_every_fault_is_listed_with_its_place():
+def test_all_faults_are_listed_with_their_places():
     doc = inventory()
     doc["targets"][3]["slots"] = 0
     doc["targets"][2] = {"name": "s-0", "service": "nobody", "slotz": 1}
@@ -56,13 +56,11 @@
         "targets[2].slots: expected a value, got none",
         "targets[3].slots: expected 1 to 10000, got 0",
         "links[0].one_way_ms: expected 0 to 10000, got '1'",
-        "targets[2].name: expected a name of its own, got 's-0' as in "
-        "targets[0]",
+        "targets[2].name: expected a unique name, got 's-0' as in targets[0]",
         "targets[2].service: expected a service listed above, got 'nobody'",
         "links[0]: expected two failure domains, got 'a' twice",
         "links: expected a link between a and b, got none",
-        "services[1]: expected a route of its own, got '/s' (host any) as "
-        "'s' has",
+        "services[1]: expected a unique route, got '/s' (host any) as 's' has",
     ]
 
 
@@ -72,20 +70,23 @@
         (b"", "expected JSON"),
         (b"[]", "expected an object, got []"),
         (b'{"targets": 3}', "targets: expected a list, got 3"),
-        (b'{"targets": [], "targets": []}', "key 'targets' stands twice"),
+        (
+            b'{"targets": [], "targets": []}',
+            "key 'targets' occurs more than once",
+        ),
         (b'{"links":[{"a":"a","b":"b","one_way_ms":NaN}]}', "NaN"),
         (b"[" * 100_000, "expected JSON"),
         (b"\xff\xfe", "expected JSON"),
         (b" " * (16 * 1024 * 1024 + 1), "expected at most"),
     ],
 )
-def test_a_malformed_file_is_refused(content, text):
+def test_malformed_file_is_refused(content, text):
     with pytest.raises(FileInvalidError, match=r".*") as info:
         read_inventory(content)
     assert text in str(info.value)
 
 
-def test_rules_take_missing_fields_from_the_defaults_of_the_file():
+def test_missing_fields_of_rules_are_taken_from_the_defaults():
     rules = read_rules(
         b'{"defaults": {"deadline_ms": 700, "queue_length": 5},'
         b' "services": {"s": {"queue_length": 6}}}'
@@ -95,7 +96,7 @@
     assert rules.for_service("other").queue_length == 5
 
 
-def test_contradictions_of_rules_are_faults():
+def test_contradictory_rules_are_refused():
     doc = {
         "defaults": {"max_deadline_ms": 1000, "deadline_ms": 900},
         "services": {"s": {"deadline_ms": 1001, "retry_share": 1.5}},
@@ -107,7 +108,7 @@
     ]
 
 
-def test_rules_of_a_service_that_is_not_listed_are_refused():
+def test_rules_of_unlisted_service_are_refused():
     listed = read_inventory(json.dumps(inventory()).encode())
     rules = read_rules(b'{"services": {"gone": {}}}')
     with pytest.raises(FileInvalidError, match=r"services\.gone"):
@@ -115,7 +116,7 @@
 
 
 @pytest.mark.parametrize("folder", ["onda", "desai", "quickstart"])
-def test_examples_are_accepted_and_written_back_the_same(folder):
+def test_examples_are_accepted_and_written_back_unchanged(folder):
     listed = read_inventory((EXAMPLES / folder / "inventory.json").read_bytes())
     assert read_inventory(write_file(listed)) == listed
     rules_file = EXAMPLES / folder / "rules.json"
@@ -136,7 +137,7 @@
         ("links", {"a": "a", "b": "x", "one_way_ms": 1}),
     ],
 )
-def test_a_node_finds_what_the_check_of_files_finds(kind, entry):
+def test_check_of_nodes_finds_what_the_check_of_files_finds(kind, entry):
     doc = inventory()
     doc[kind].append(entry)
     assert faults(read_inventory, doc)
@@ -144,7 +145,7 @@
     assert find_first_fault(Configuration(inventory=listed))
 
 
-def outcome(read, content):
+def try_read(read, content):
     try:
         return read(content), ()
     except FileInvalidError as exc:
@@ -163,13 +164,13 @@
 
 
 @given(st.data())
-def test_a_damaged_inventory_is_refused_whole_or_read_whole(data):
+def test_corrupted_inventory_is_refused_or_read_as_a_whole(data):
     doc = inventory()
     kind = data.draw(st.sampled_from(sorted(doc)))
     entry = data.draw(st.sampled_from(doc[kind]))
     entry[data.draw(st.sampled_from([*entry, "other"]))] = data.draw(_value)
     content = json.dumps(doc).encode()
-    listed, found = outcome(read_inventory, content)
+    listed, found = try_read(read_inventory, content)
     assert (listed is None) is bool(found)
     if listed is not None:
         assert find_first_fault(Configuration(inventory=listed)) == ""
@@ -180,5 +181,5 @@
 @given(st.binary(max_size=80) | _value.map(lambda v: json.dumps(v).encode()))
 def test_any_content_is_read_or_refused_with_faults(content):
     for read in (read_inventory, read_rules):
-        accepted, found = outcome(read, content)
+        accepted, found = try_read(read, content)
         assert (accepted is None) is bool(found)
--- a/src/radishwind/config/validation.py
+++ b/src/radishwind/config/validation.py
@@ -1,4 +1,4 @@
-"""Checks a decoded JSON document against a model and lists every fault."""
+"""Validates a decoded JSON document against a model, listing all faults."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -12,15 +12,16 @@
 from radishwind.core.codes import ResultCode
 from radishwind.core.errors import RadishwindError
 
-_SHOWN_CHARS = 60
+_MAX_REPR_CHARS = 60
 
 
 class FileFault(msgspec.Struct, frozen=True):
-    """One thing wrong in an operator's file.
+    """A fault in an operator's file.
 
     Attributes:
-      place: where, for example `targets[3].slots`; empty for the whole.
-      text: what was expected and what was got.
+      place: path of the faulty value, for example `targets[3].slots`; empty
+        for the whole file.
+      text: what was expected, and what was found.
     """
 
     place: str
@@ -31,10 +32,10 @@
 
 
 class FileInvalidError(RadishwindError):
-    """An operator's file is refused whole.
+    """An operator's file is refused as a whole.
 
     Attributes:
-      faults: everything wrong with it, in order of place.
+      faults: all faults of the file, in the order in which they were found.
     """
 
     code = ResultCode.FILE_INVALID
@@ -45,29 +46,29 @@
         self.faults = tuple(faults)
 
 
-class RepeatedKeys(dict[str, Any]):
-    """An object of a file that has a key more than once.
+class DuplicateKeysObject(dict[str, Any]):
+    """A JSON object in which keys occur more than once.
 
     Attributes:
-      repeated: those keys.
+      duplicates: the keys that do.
     """
 
-    repeated: tuple[str, ...] = ()
+    duplicates: tuple[str, ...] = ()
 
 
 def find_model_faults(model: type, value: Any) -> list[FileFault]:
-    """Returns every way in which `value` is not of the form of `model`."""
+    """Returns all faults of `value` with respect to `model`."""
     faults: list[FileFault] = []
     _check(inspect.type_info(model), value, "", faults, "")
     return faults
 
 
-def shown(value: Any) -> str:
-    """Returns `value` as text for a message, shortened."""
+def short_repr(value: Any) -> str:
+    """Returns the representation of `value`, shortened, for a message."""
     text = repr(value)
-    if len(text) <= _SHOWN_CHARS:
+    if len(text) <= _MAX_REPR_CHARS:
         return text
-    return text[:_SHOWN_CHARS] + "..."
+    return text[:_MAX_REPR_CHARS] + "..."
 
 
 def _check(
@@ -87,10 +88,12 @@
     check(kind, value, place, faults, expected)
 
 
-def _fault(
+def _add_fault(
     faults: list[FileFault], place: str, expected: str, got: Any
 ) -> None:
-    faults.append(FileFault(place, f"expected {expected}, got {shown(got)}"))
+    faults.append(
+        FileFault(place, f"expected {expected}, got {short_repr(got)}")
+    )
 
 
 def _check_struct(
@@ -101,10 +104,10 @@
     expected: str,
 ) -> None:
     if not isinstance(value, dict):
-        _fault(faults, place, "an object", value)
+        _add_fault(faults, place, "an object", value)
         return
     fields = {field.encode_name: field for field in kind.fields}
-    _note_keys(value, fields, place, faults)
+    _check_keys(value, fields, place, faults)
     for name, field in fields.items():
         inner = f"{place}.{name}" if place else name
         if name in value:
@@ -113,19 +116,21 @@
             faults.append(FileFault(inner, "expected a value, got none"))
 
 
-def _note_keys(
+def _check_keys(
     value: dict[str, Any],
     fields: dict[str, inspect.Field],
     place: str,
     faults: list[FileFault],
 ) -> None:
-    if isinstance(value, RepeatedKeys):
-        for key in value.repeated:
-            faults.append(FileFault(place, f"key {shown(key)} stands twice"))
+    if isinstance(value, DuplicateKeysObject):
+        for key in value.duplicates:
+            faults.append(
+                FileFault(place, f"key {short_repr(key)} occurs more than once")
+            )
     for key in value:
         if key not in fields:
             known = ", ".join(sorted(fields))
-            text = f"unknown key {shown(key)}, expected one of {known}"
+            text = f"unknown key {short_repr(key)}, expected one of {known}"
             faults.append(FileFault(place, text))
 
 
@@ -137,10 +142,10 @@
     expected: str,
 ) -> None:
     if not isinstance(value, list):
-        _fault(faults, place, "a list", value)
+        _add_fault(faults, place, "a list", value)
         return
-    for number, item in enumerate(value):
-        _check(kind.item_type, item, f"{place}[{number}]", faults, "")
+    for index, item in enumerate(value):
+        _check(kind.item_type, item, f"{place}[{index}]", faults, "")
 
 
 def _check_dict(
@@ -151,11 +156,13 @@
     expected: str,
 ) -> None:
     if not isinstance(value, dict):
-        _fault(faults, place, "an object", value)
+        _add_fault(faults, place, "an object", value)
         return
-    if isinstance(value, RepeatedKeys):
-        for key in value.repeated:
-            faults.append(FileFault(place, f"key {shown(key)} stands twice"))
+    if isinstance(value, DuplicateKeysObject):
+        for key in value.duplicates:
+            faults.append(
+                FileFault(place, f"key {short_repr(key)} occurs more than once")
+            )
     for key, item in value.items():
         _check(kind.key_type, key, f"{place} (key)", faults, "")
         _check(kind.value_type, item, f"{place}.{key[:80]}", faults, "")
@@ -168,14 +175,14 @@
     faults: list[FileFault],
     expected: str,
 ) -> None:
-    most = kind.max_length
-    expected = expected or f"printable text of at most {most} characters"
-    too_long = isinstance(value, str) and most and len(value) > most
+    max_length = kind.max_length
+    expected = expected or f"printable text of at most {max_length} characters"
+    too_long = isinstance(value, str) and max_length and len(value) > max_length
     if not isinstance(value, str) or too_long or not value.isprintable():
-        _fault(faults, place, expected, value)
+        _add_fault(faults, place, expected, value)
         return
     if kind.pattern is not None and not re.search(kind.pattern, value):
-        _fault(faults, place, expected, value)
+        _add_fault(faults, place, expected, value)
 
 
 def _check_number(
@@ -185,21 +192,21 @@
     faults: list[FileFault],
     expected: str,
 ) -> None:
-    whole = isinstance(kind, inspect.IntType)
+    is_integer = isinstance(kind, inspect.IntType)
     expected = f"{kind.ge} to {kind.le}"
     if kind.ge is None or kind.le is None:
-        expected = "a whole number" if whole else "a number"
-    types = int if whole else (int, float)
+        expected = "a whole number" if is_integer else "a number"
+    types = int if is_integer else (int, float)
     if isinstance(value, bool) or not isinstance(value, types):
-        _fault(faults, place, expected, value)
+        _add_fault(faults, place, expected, value)
         return
     if isinstance(value, float) and not math.isfinite(value):
-        _fault(faults, place, expected, value)
+        _add_fault(faults, place, expected, value)
         return
     too_low = kind.ge is not None and value < kind.ge
     too_high = kind.le is not None and value > kind.le
     if too_low or too_high:
-        _fault(faults, place, expected, value)
+        _add_fault(faults, place, expected, value)
 
 
 def _check_bool(
@@ -210,7 +217,7 @@
     expected: str,
 ) -> None:
     if not isinstance(value, bool):
-        _fault(faults, place, "true or false", value)
+        _add_fault(faults, place, "true or false", value)
 
 
 _CHECKS: dict[type, Callable[..., None]] = {
