--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -121,11 +121,11 @@
     testbed = ConfigTestbed()
     await testbed.apply(inventory)
     await testbed.apply(rules)
-    before = await testbed.loaded()
+    before = await testbed.load_newest()
     counted = dict(testbed.standin.calls)
     await testbed.apply(changed)
     calls = {k: v - counted.get(k, 0) for k, v in testbed.standin.calls.items()}
-    return testbed, [before, await testbed.loaded()], calls
+    return testbed, [before, await testbed.load_newest()], calls
 
 
 def sizes_row(
@@ -135,8 +135,8 @@
     before, after = snapshots
     encoded = [len(encode_part(part)) for part in after.parts.values()]
     inventory_file = write_file(after.cfg.inventory)
-    offer = _offer(after, before)
-    whole = _offer(after, Snapshot())
+    reply = _reply(after, before)
+    whole = _reply(after, Snapshot())
     return {
         "services": size[0],
         "targets": size[1],
@@ -149,7 +149,7 @@
         "root after a change of one target": len(
             testbed.value(records.ROOT_KEY)
         ),
-        "difference from a peer": len(msgspec.json.encode(offer)),
+        "difference from a peer": len(msgspec.json.encode(reply)),
         "first answer to a new node": len(msgspec.json.encode(whole)),
     }
 
@@ -165,10 +165,10 @@
     encoded = {name: encode_part(part) for name, part in after.parts.items()}
     record = after.record
     assert record is not None
-    offer = msgspec.json.encode(_offer(after, before))
+    reply = msgspec.json.encode(_reply(after, before))
 
     def take_difference() -> None:
-        SnapshotBuilder(before, decode_reply(offer)).build()
+        SnapshotBuilder(before, decode_reply(reply)).build()
 
     return {
         "targets": size[1],
@@ -207,7 +207,7 @@
     return held / 1e6
 
 
-def _offer(after: Snapshot, held: Snapshot) -> Any:
+def _reply(after: Snapshot, held: Snapshot) -> Any:
     adopter = Adopter()
     adopter.adopt(after)
     return PullResponder(adopter).respond(Pull(held.revision, held.change_id))
@@ -220,7 +220,7 @@
 
     async def accept_and_fail(request: Request) -> Response:
         response = await testbed.standin.handle(request)
-        await fleet.until(lambda: revision in fleet.revisions())
+        await fleet.wait_until(lambda: revision in fleet.revisions())
         testbed.standin.set_faults(StoreFaults(down="refuse"))
         return response
 
@@ -256,7 +256,7 @@
     testbed.sender.sent.clear()
     start = time.perf_counter()
     await testbed.apply(changed)
-    await fleet.in_force(revision)
+    await fleet.wait_in_force(revision)
     took_s = time.perf_counter() - start
     asked_after, received_after = fleet.totals()
     return ChangeCost(
@@ -279,12 +279,14 @@
         for number in range(nodes):
             fleet.start(tasks, f"n-{number:04d}", f"domain-{number % DOMAINS}")
         await testbed.apply(made_inventory(services, nodes))
-        await fleet.in_force(1)
-        await fleet.until(lambda: testbed.standin.watching == watches)
+        await fleet.wait_in_force(1)
+        await fleet.wait_until(lambda: testbed.standin.watching == watches)
         for revision in range(2, 2 + changes):
             if store_fails:
                 testbed.standin.set_faults(StoreFaults())
-                await fleet.until(lambda: testbed.standin.watching == watches)
+                await fleet.wait_until(
+                    lambda: testbed.standin.watching == watches
+                )
                 fail_once_told(testbed, fleet, revision)
             changed = made_inventory(services, nodes, revision)
             costs.append(await change_cost(testbed, fleet, changed, revision))
--- a/src/radishwind/config/__init__.py
+++ b/src/radishwind/config/__init__.py
@@ -1,7 +1,7 @@
-"""What operators accept: the inventory, the rules, and their revision.
+"""The configuration that operators apply: inventory, rules and revision.
 
-`model` holds the values; every node routes by one `Configuration`, adopted
-whole and replaced only by one of a higher revision.
+Every node routes by one `Configuration`. A node adopts it as a whole, and
+replaces it only by one of a higher revision.
 """
 
 from radishwind.config.model import Configuration
--- a/src/radishwind/config/adopter.py
+++ b/src/radishwind/config/adopter.py
@@ -1,4 +1,4 @@
-"""Decides which configuration a node has in force; pure."""
+"""Decides which configuration a node has in force, without any I/O."""
 
 import enum
 
@@ -7,14 +7,14 @@
 
 
 class Source(enum.StrEnum):
-    """Where a record was seen."""
+    """Where a configuration was received from."""
 
     STORE = "store"
     PEER = "peer"
 
 
 class Verdict(enum.Enum):
-    """What to do about a record."""
+    """How a revision relates to the one in force, and what to do."""
 
     NEWER = "read it whole and adopt it"
     SAME = "it is in force"
@@ -23,31 +23,31 @@
 
 
 class Adopter:
-    """Holds the configuration in force; it only ever moves forward.
+    """Holds the configuration in force, whose revision only rises.
 
     Attributes:
       snapshot: the configuration in force.
-      refusals: how many records or configurations were refused.
-      last_refusal: why the last one was; empty while none was.
+      refusals: number of refused records and configurations.
+      last_refusal: reason of the last refusal; empty if there was none.
     """
 
     def __init__(self) -> None:
         self.snapshot = Snapshot()
         self.refusals = 0
         self.last_refusal = ""
-        self._reported: tuple[str, str] | None = None
+        self._last_reported: tuple[str, str] | None = None
 
     def classify(
         self, revision: int, change_id: str, source: Source, held: int
     ) -> Verdict:
-        """Returns what to do about the newest revision seen somewhere.
+        """Returns how the newest revision of a source relates to the own one.
 
         Args:
-          revision: it; 0 if there is none.
-          change_id: the change that made it.
-          source: where it was seen.
-          held: the revision in force when the reading began, since a newer
-            one may have been adopted while an answer was on its way.
+          revision: newest revision of the source; 0 if it has none.
+          change_id: ID of the change that produced it.
+          source: where it was read.
+          held: revision in force when the read began, since a newer one may
+            have been adopted while the response was in transit.
         """
         own = self.snapshot
         if revision > own.revision:
@@ -63,29 +63,33 @@
         return Verdict.REFUSED
 
     def adopt(self, snapshot: Snapshot) -> bool:
-        """Puts `snapshot` in force if its revision is higher."""
+        """Puts `snapshot` in force if its revision is higher.
+
+        Returns:
+          Whether it was adopted.
+        """
         if snapshot.revision <= self.snapshot.revision:
             return False
         self.snapshot = snapshot
         return True
 
     def refuse(self, source: Source, exc: RevisionRefusedError) -> bool:
-        """Notes a configuration that was not whole or malformed.
+        """Records that a configuration was incomplete or malformed.
 
         Returns:
-          Whether this is news; the same refusal again is not.
+          Whether the refusal is new; false if it repeats the last one.
         """
         before = self.refusals
         self._refuse(source, "", str(exc))
         return self.refusals > before
 
-    def _refuse(self, source: Source, change_id: str, why: str) -> None:
-        refusal = (source, change_id + why)
-        if refusal == self._reported:
+    def _refuse(self, source: Source, change_id: str, reason: str) -> None:
+        refusal = (source, change_id + reason)
+        if refusal == self._last_reported:
             return
-        self._reported = refusal
+        self._last_reported = refusal
         self.refusals += 1
         self.last_refusal = (
-            f"change {change_id or '(none)'} from the {source}: {why}; "
+            f"change {change_id or '(none)'} from the {source}: {reason}; "
             f"in force is {self.snapshot.change_id or '(none)'}"
         )
--- a/src/radishwind/config/change_acceptor.py
+++ b/src/radishwind/config/change_acceptor.py
@@ -1,4 +1,4 @@
-"""Accepting a change: parts first, then one compare-and-swap of the root."""
+"""Accepts changes: writes the parts, then replaces the root atomically."""
 
 from collections.abc import Mapping
 from collections.abc import Sequence
@@ -11,8 +11,8 @@
 
 from radishwind.config import records
 from radishwind.config.cleanup import delete_keys
-from radishwind.config.cleanup import tidy
-from radishwind.config.diff import differences
+from radishwind.config.cleanup import delete_replaced
+from radishwind.config.diff import describe_differences
 from radishwind.config.errors import ChangeConflictError
 from radishwind.config.errors import ChangeUnsettledError
 from radishwind.config.files import check_together
@@ -38,26 +38,27 @@
 from radishwind.store import StoreError
 from radishwind.store import StoreUnavailableError
 
-#: Bounds of one transaction: the store's own are 128 operations and 1 MB.
+#: Limits of one transaction; the store allows 128 operations and 1 MB.
 MAX_PUTS = 100
 MAX_PUT_BYTES = 512 * 1024
 
-#: A part must stay below the 1 MB that the store takes for a value.
+#: Maximum size of a part; the store accepts values of up to 1 MB.
 MAX_PART_BYTES = 1_000_000
 
-#: Lines of a change kept with it.
-KEPT_LINES = 50
-#: Parts up to this sum (bytes) are told with the record itself.
-INLINE_BYTES = 64 * 1024
+#: Number of description lines that are stored with a change.
+MAX_KEPT_LINES = 50
+#: Changed parts of up to this total size are included in the root itself.
+MAX_INLINE_BYTES = 64 * 1024
 
-_SHOWN_CHANGES = 20
+_MAX_LISTED_CHANGES = 20
 
-_FIRST_PAUSE_S = 0.1
-_LONGEST_PAUSE_S = 1.0
+#: Bounds of the pause between reads of the status of a change (s).
+_INITIAL_PAUSE_S = 0.1
+_MAX_PAUSE_S = 1.0
 
 
 class ChangeStatus(enum.Enum):
-    """What became of a change."""
+    """Whether a change was accepted."""
 
     ACCEPTED = "accepted"
     REJECTED = "not accepted, and never will be"
@@ -67,14 +68,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """What an operator wants.
+    """A change that an operator requests.
 
     Attributes:
       content: the new inventory, the new rules, or both at once.
-      operator: who wants it.
-      base: the revision it was made on; `None` for the newest.
-      above: the new revision shall be higher than this one too; for a store
-        that was restored from an old copy.
+      operator: name of the operator.
+      base: revision on which the change is based; `None` for the newest.
+      above: revision that the new one must exceed as well; for a store that
+        was restored from an old copy.
     """
 
     content: Inventory | Rules | Configuration
@@ -84,7 +85,11 @@
 
 
 class ChangeAcceptor:
-    """Accepts changes for operators."""
+    """Accepts the changes of operators.
+
+    All parts are written first. A change is accepted when the compare-and-swap
+    of the root succeeds; without it, the parts have no effect.
+    """
 
     def __init__(
         self,
@@ -93,6 +98,15 @@
         rng: random.Random,
         decision_wait_s: float = 10.0,
     ) -> None:
+        """Creates the acceptor.
+
+        Args:
+          store: the store.
+          clock: the clock.
+          rng: random source of change IDs and pauses.
+          decision_wait_s: time for which the status of a change is read
+            after the response to its compare-and-swap was lost (s).
+        """
         self._store = store
         self._repository = ConfigRepository(store)
         self._clock = clock
@@ -103,12 +117,13 @@
         """Makes `change` the newest configuration.
 
         Returns:
-          The accepted change; `None` where nothing differs.
+          The accepted change; `None` if nothing differs.
 
         Raises:
-          FileInvalidError: inventory and rules don't fit each other.
-          ChangeConflictError: another change came first.
-          ChangeUnsettledError: it can't be told whether it was accepted.
+          FileInvalidError: inventory and rules are not consistent, or a part
+            is too large.
+          ChangeConflictError: another change was accepted first.
+          ChangeUnsettledError: it is not known whether it was accepted.
           StoreError: the store failed; the change had no effect.
         """
         base, stored_at = await self._read_base()
@@ -119,14 +134,14 @@
             return None
         await self._write_parts(record, snapshot)
         await self._swap(_root(record, snapshot), base, stored_at)
-        await tidy(self._store, record, snapshot.refs)
+        await delete_replaced(self._store, record, snapshot.refs)
         return record
 
     async def read_status(self, change_id: str) -> ChangeStatus:
-        """Tells by reading whether a change was accepted.
+        """Reads from the store whether a change was accepted.
 
         Raises:
-          ValueError: `change_id` is none.
+          ValueError: `change_id` is not a change ID.
           StoreError: the store failed.
         """
         revision = records.parse_revision(change_id)
@@ -156,17 +171,22 @@
     def _prepare(
         self, change: Change, base: Snapshot
     ) -> tuple[ChangeRecord | None, Snapshot]:
-        """Returns the record and the new configuration; `None` if the same."""
-        inventory, rules, what = _merged(base.cfg, change.content)
+        """Returns the record and the new configuration.
+
+        The record is `None` if nothing differs from `base`.
+        """
+        inventory, rules, what = _merge(base.cfg, change.content)
         check_together(inventory, rules, what)
-        lines = differences(
+        lines = describe_differences(
             (base.cfg.inventory, base.cfg.rules), (inventory, rules)
         )
-        level = base.record is not None and base.revision >= change.above
-        if not lines and level:
+        is_high_enough = (
+            base.record is not None and base.revision >= change.above
+        )
+        if not lines and is_high_enough:
             return None, base
         revision = max(base.revision, change.above) + 1
-        change_id = records.change_id(revision, self._rng.getrandbits(64))
+        change_id = records.make_change_id(revision, self._rng.getrandbits(64))
         parts = split_into_parts(inventory, rules)
         _check_sizes(parts)
         changed = [n for n, p in parts.items() if base.parts.get(n) != p]
@@ -179,11 +199,11 @@
             operator=change.operator,
             at=self._clock.now(),
             what=what,
-            lines=lines[:KEPT_LINES],
-            more_lines=max(0, len(lines) - KEPT_LINES),
+            lines=lines[:MAX_KEPT_LINES],
+            more_lines=max(0, len(lines) - MAX_KEPT_LINES),
             changed=tuple(PartRef(name, change_id) for name in changed),
             replaced=_replaced_parts(base, refs),
-            digest=records.digest(refs),
+            digest=records.manifest_digest(refs),
         )
         cfg = Configuration(revision, change_id, inventory, rules)
         return record, Snapshot(record, refs, parts, cfg)
@@ -201,22 +221,22 @@
             for batch in _batches(puts):
                 await self._store.transact((), batch)
         except StoreAnswerLostError as exc:
-            # The root was not touched, so nothing is accepted, whatever
-            # became of these keys, which no other change can name.
+            # The root is unchanged, so nothing is accepted, whether or not
+            # these keys were written; no other change can refer to them.
             raise StoreUnavailableError(f"change not accepted: {exc}") from exc
 
     async def _swap(self, root: Root, base: Snapshot, stored_at: int) -> None:
         record = root.record
-        kept = Put(
+        history_put = Put(
             records.change_key(record.revision), records.encode_record(record)
         )
         try:
             result = await self._store.transact(
                 (Compare(records.ROOT_KEY, stored_at),),
-                (Put(records.ROOT_KEY, msgspec.json.encode(root)), kept),
+                (Put(records.ROOT_KEY, msgspec.json.encode(root)), history_put),
             )
         except StoreAnswerLostError as exc:
-            accepted = await self._settle_lost(record, exc)
+            accepted = await self._resolve_lost_response(record, exc)
         else:
             accepted = result.succeeded
         if accepted:
@@ -225,21 +245,28 @@
         await delete_keys(self._store, [*keys, _manifest_key(record)])
         raise await self._conflict(base.revision)
 
-    async def _settle_lost(
+    async def _resolve_lost_response(
         self, record: ChangeRecord, cause: StoreAnswerLostError
     ) -> bool:
-        """Reads until the change is seen or superseded; never writes."""
-        backoff = Backoff(self._rng, _FIRST_PAUSE_S, _LONGEST_PAUSE_S)
-        until = self._clock.monotonic() + self._decision_wait_s
+        """Reads until the change is found accepted or superseded; never writes.
+
+        Returns:
+          Whether the change was accepted.
+
+        Raises:
+          ChangeUnsettledError: it is still unknown after `decision_wait_s`.
+        """
+        backoff = Backoff(self._rng, _INITIAL_PAUSE_S, _MAX_PAUSE_S)
+        deadline = self._clock.monotonic() + self._decision_wait_s
         while True:
             try:
-                settlement = await self.read_status(record.change_id)
+                status = await self.read_status(record.change_id)
             except StoreError:
-                settlement = ChangeStatus.UNDECIDED
-            if settlement is not ChangeStatus.UNDECIDED:
-                return settlement is ChangeStatus.ACCEPTED
+                status = ChangeStatus.UNDECIDED
+            if status is not ChangeStatus.UNDECIDED:
+                return status is ChangeStatus.ACCEPTED
             pause_s = backoff.record_failure()
-            if self._clock.monotonic() + pause_s > until:
+            if self._clock.monotonic() + pause_s > deadline:
                 raise ChangeUnsettledError(
                     f"change {record.change_id}: {cause}. Settle it later by "
                     f"`radishwind changes show {record.change_id}`"
@@ -247,7 +274,7 @@
             await anyio.sleep(pause_s)
 
     async def _conflict(self, base: int) -> ChangeConflictError:
-        """Returns the conflict, with what changed since `base` if readable."""
+        """Returns the conflict, with the changes since `base` if readable."""
         try:
             return await self._conflict_with_changes(base)
         except StoreError as exc:
@@ -262,7 +289,7 @@
             return ChangeConflictError(f"base {base}: the store has none")
         newest = root.record
         since = await self._repository.read_changes_after(
-            base, newest, _SHOWN_CHANGES
+            base, newest, _MAX_LISTED_CHANGES
         )
         text = "\n".join(describe_change(r) for r in since) or "  none kept"
         return ChangeConflictError(
@@ -272,7 +299,7 @@
 
 
 def describe_change(record: ChangeRecord) -> str:
-    """Returns a change as text for operators, several lines."""
+    """Returns a description of a change for operators, in several lines."""
     head = (
         f"revision {record.revision}, change {record.change_id}, "
         f"{record.what} by {record.operator} "
@@ -287,7 +314,7 @@
 def _replaced_parts(
     base: Snapshot, refs: Mapping[str, str]
 ) -> tuple[PartRef, ...]:
-    """Returns the parts of `base` that `refs` lacks or has anew."""
+    """Returns the parts of `base` that `refs` lacks or has in a new version."""
     return tuple(
         PartRef(name, version)
         for name, version in base.refs.items()
@@ -295,10 +322,10 @@
     )
 
 
-def _merged(
+def _merge(
     cfg: Configuration, content: Inventory | Rules | Configuration
 ) -> tuple[Inventory, Rules, str]:
-    """Returns the new inventory and rules, and which of them are new."""
+    """Returns the resulting inventory and rules, and which of them changed."""
     if isinstance(content, Configuration):
         return content.inventory, content.rules, "inventory and rules"
     if isinstance(content, Inventory):
@@ -310,8 +337,7 @@
     faults = [
         FileFault(
             name,
-            f"expected at most {MAX_PART_BYTES} bytes as kept in the store, "
-            f"got {size}",
+            f"expected at most {MAX_PART_BYTES} bytes as stored, got {size}",
         )
         for name, size in ((n, len(encode_part(p))) for n, p in parts.items())
         if size > MAX_PART_BYTES
@@ -321,12 +347,12 @@
 
 
 def _root(record: ChangeRecord, snapshot: Snapshot) -> Root:
-    """Returns the root value; it carries the parts if they are small."""
+    """Returns the root value, which includes the changed parts if small."""
     encoded = {
         ref.name: msgspec.Raw(encode_part(snapshot.parts[ref.name]))
         for ref in record.changed
     }
-    if sum(len(bytes(raw)) for raw in encoded.values()) > INLINE_BYTES:
+    if sum(len(bytes(raw)) for raw in encoded.values()) > MAX_INLINE_BYTES:
         return Root(record)
     return Root(record, encoded)
 
@@ -336,7 +362,7 @@
 
 
 def _batches(puts: Sequence[Put]) -> list[list[Put]]:
-    """Returns `puts` in as few transactions as the bounds allow."""
+    """Groups `puts` into as few transactions as the limits allow."""
     batches: list[list[Put]] = [[]]
     size = 0
     for put in puts:
--- a/src/radishwind/config/cleanup.py
+++ b/src/radishwind/config/cleanup.py
@@ -1,7 +1,7 @@
-"""Removes from the store what no node will read any more.
+"""Deletes keys from the store that no node will read any more.
 
-Nothing here matters for correctness: a part removed too early is read anew in
-its newer version, one left behind is removed by a later sweep.
+Correctness does not depend on it: a node that misses a part deleted too early
+reads the newer version, and a key left behind is deleted by a later sweep.
 """
 
 from collections.abc import Mapping
@@ -16,21 +16,21 @@
 from radishwind.store import Store
 from radishwind.store import StoreError
 
-#: Accepted changes from one sweep to the next.
-SWEEP_EVERY = 256
+#: Number of accepted changes between sweeps.
+SWEEP_INTERVAL_CHANGES = 256
 
-_MAX_DELETES = 100
+_MAX_DELETES_PER_BATCH = 100
 
 
-async def tidy(
+async def delete_replaced(
     store: Store, record: ChangeRecord, refs: Mapping[str, str]
 ) -> None:
-    """Removes what fell out of use by the accepted change `record`.
+    """Deletes keys whose retention ends with the accepted change `record`.
 
     Args:
       store: the store.
       record: the change just accepted.
-      refs: the version of each part in force since.
+      refs: version of each part after the change.
     """
     with contextlib.suppress(StoreError, RevisionRefusedError):
         old = await ConfigRepository(store).read_change(
@@ -38,23 +38,25 @@
         )
         keys = []
         if record.revision > records.KEPT_CHANGES:
-            forgotten = record.revision - records.KEPT_CHANGES
-            keys.append(records.change_key(forgotten))
+            expired = record.revision - records.KEPT_CHANGES
+            keys.append(records.change_key(expired))
         if old is not None:
             keys += [records.part_key(ref) for ref in old.replaced]
             keys.append(records.MANIFESTS_PREFIX + old.base_change_id)
         await delete_keys(store, keys)
-        if record.revision % SWEEP_EVERY == 0:
-            await sweep(store, record.revision, refs)
+        if record.revision % SWEEP_INTERVAL_CHANGES == 0:
+            await delete_orphans(store, record.revision, refs)
 
 
-async def sweep(store: Store, revision: int, refs: Mapping[str, str]) -> None:
-    """Removes parts and manifests that failed changes left behind.
+async def delete_orphans(
+    store: Store, revision: int, refs: Mapping[str, str]
+) -> None:
+    """Deletes parts and manifests that failed changes left behind.
 
     Args:
       store: the store.
       revision: the newest revision.
-      refs: the version of each part in it.
+      refs: version of each part in it.
     """
     keys = []
     for entry in await store.list(records.PARTS_PREFIX):
@@ -65,19 +67,19 @@
         version = entry.key.removeprefix(records.MANIFESTS_PREFIX)
         keys.append((version, entry.key))
     limit = revision - records.KEPT_PART_REVISIONS
-    await delete_keys(store, [key for v, key in keys if _at_most(v, limit)])
+    await delete_keys(store, [key for v, key in keys if _is_at_most(v, limit)])
 
 
 async def delete_keys(store: Store, keys: Sequence[str]) -> None:
-    """Removes `keys`; leaves the rest to a later sweep if the store fails."""
+    """Deletes `keys`; if the store fails, a later sweep deletes the rest."""
     with contextlib.suppress(StoreError):
-        for start in range(0, len(keys), _MAX_DELETES):
-            batch = keys[start : start + _MAX_DELETES]
+        for start in range(0, len(keys), _MAX_DELETES_PER_BATCH):
+            batch = keys[start : start + _MAX_DELETES_PER_BATCH]
             await store.transact((), [Delete(key) for key in batch])
 
 
-def _at_most(version: str, revision: int) -> bool:
-    """Returns whether `version` is a change id up to `revision`."""
+def _is_at_most(version: str, revision: int) -> bool:
+    """Returns whether `version` is a change ID of at most `revision`."""
     try:
         return records.parse_revision(version) <= revision
     except ValueError:
--- a/src/radishwind/config/config_exchange.py
+++ b/src/radishwind/config/config_exchange.py
@@ -1,4 +1,4 @@
-"""Gets newer configurations from peers and from the store."""
+"""Fetches newer configurations from peers and from the store."""
 
 from collections.abc import Callable
 import random
@@ -24,25 +24,26 @@
 from radishwind.store import Store
 from radishwind.store import WatchEvent
 
-#: The control path between nodes.
+#: Name of the control path on the peer listener.
 CONTROL_NAME = "config"
 
 _CALL_TIMEOUT_S = 2.0
 
-#: Answers asked of one peer for one configuration; a part each at worst.
-_MAX_ANSWERS = 2_000
+#: Maximum number of pulls from one peer for one configuration; in the worst
+#: case, each reply has a single part.
+_MAX_PULLS = 2_000
 
-#: Parts asked for at once.
-_MAX_WANTED = 256
+#: Maximum number of parts in one pull.
+_MAX_WANTED_PARTS = 256
 
 
 class ConfigExchange:
-    """Asks peers and the store, and answers peers.
+    """Pulls configurations from peers and the store, and answers peers.
 
     Attributes:
       adopter: holds the configuration in force.
-      pulls_answered: pulls answered.
-      pulls_sent: pulls sent.
+      pulls_answered: number of pulls answered.
+      pulls_sent: number of pulls sent.
       bytes_received: bytes of configuration messages received from peers.
     """
 
@@ -55,16 +56,15 @@
         on_newer_revision: Callable[[int, Address], None],
         on_adopted: Callable[[Snapshot, Source], None],
     ) -> None:
-        """Wires the exchange.
+        """Creates the exchange.
 
         Args:
           adopter: holds the configuration in force.
-          peers: sends to other nodes.
+          peers: calls other nodes.
           store: the store.
-          own_address: this node's peer listener.
+          own_address: address of this node's peer listener.
           on_newer_revision: called when a peer reports a higher revision.
-          on_adopted: called with each configuration put in force, and where it
-            came from.
+          on_adopted: called with each adopted configuration and its source.
         """
         self.adopter = adopter
         self.pulls_answered = 0
@@ -75,13 +75,13 @@
         self._own_address = own_address
         self._on_newer_revision = on_newer_revision
         self._on_adopted = on_adopted
-        self._offers = PullResponder(adopter)
+        self._responder = PullResponder(adopter)
 
     def handle_pull(self, content: bytes) -> bytes:
-        """Answers the pull of a peer.
+        """Returns the encoded reply to an encoded pull of a peer.
 
         Raises:
-          RevisionRefusedError: it is malformed.
+          RevisionRefusedError: the pull is malformed.
         """
         pull = decode_pull(content)
         self.pulls_answered += 1
@@ -93,58 +93,59 @@
                 )
             except ValueError as exc:
                 raise RevisionRefusedError(f"address: {exc}") from exc
-        return msgspec.json.encode(self._offers.respond(pull))
+        return msgspec.json.encode(self._responder.respond(pull))
 
     async def pull_from(self, address: Address) -> PullReply:
-        """Asks one peer; adopts what it has if that is newer.
+        """Pulls from one peer; adopts its configuration if newer.
 
         Returns:
-          Its first answer.
+          The first reply of the peer.
 
         Raises:
-          PeerError: it gave no answer.
-          RevisionRefusedError: what it gave can't be adopted.
+          PeerError: the peer did not reply.
+          RevisionRefusedError: its configuration can't be adopted.
         """
         held = self.adopter.snapshot
-        offer = await self._pull(address, Pull(held.revision, held.change_id))
+        reply = await self._pull(address, Pull(held.revision, held.change_id))
         verdict = self.adopter.classify(
-            offer.revision, offer.change_id, Source.PEER, held.revision
+            reply.revision, reply.change_id, Source.PEER, held.revision
         )
-        if verdict is not Verdict.NEWER or offer.record is None:
-            return offer
-        snapshot = await self._catch_up(address, held, offer)
+        if verdict is not Verdict.NEWER or reply.record is None:
+            return reply
+        snapshot = await self._catch_up(address, held, reply)
         if snapshot is not None:
             self._adopt(snapshot, Source.PEER)
-        return offer
+        return reply
 
     async def read_store(self) -> int:
-        """Reads the store; adopts what it has if that is newer.
+        """Reads the store; adopts its configuration if newer.
 
         Returns:
-          The store's revision of the newest record; 0 if there is none.
+          The store revision of the root; 0 if there is none.
 
         Raises:
           StoreError: the store failed.
-          RevisionRefusedError: what it has can't be adopted.
+          RevisionRefusedError: its configuration can't be adopted.
         """
         held = self.adopter.snapshot
         root, stored_at = await self._repository.read_newest()
-        await self._take_root(root, held)
+        await self._apply_root(root, held)
         return stored_at
 
     async def apply_event(self, event: WatchEvent) -> None:
-        """Adopts what a watch of the root told, if that is newer.
+        """Adopts the configuration of a watch event of the root, if newer.
 
         Raises:
-          StoreError: more had to be read, and the store failed.
-          RevisionRefusedError: it can't be adopted.
+          StoreError: the event was not sufficient, and a read of the store
+            failed.
+          RevisionRefusedError: the configuration can't be adopted.
         """
         root = None
         if event.entry is not None:
             root = records.decode_root(event.entry.value)
-        await self._take_root(root, self.adopter.snapshot)
+        await self._apply_root(root, self.adopter.snapshot)
 
-    async def _take_root(self, root: Root | None, held: Snapshot) -> None:
+    async def _apply_root(self, root: Root | None, held: Snapshot) -> None:
         revision = root.record.revision if root else 0
         change_id = root.record.change_id if root else ""
         verdict = self.adopter.classify(
@@ -155,30 +156,30 @@
             self._adopt(snapshot, Source.STORE)
 
     async def _catch_up(
-        self, address: Address, held: Snapshot, offer: PullReply
+        self, address: Address, held: Snapshot, reply: PullReply
     ) -> Snapshot | None:
-        """Returns what the peer offers; `None` if it moved on meanwhile."""
+        """Returns the peer's configuration; `None` if it changed meanwhile."""
         try:
-            catch = SnapshotBuilder(held, offer)
+            builder = SnapshotBuilder(held, reply)
         except RevisionRefusedError:
-            # The difference doesn't fit what is held, as after changes on
-            # two copies of the store; the whole does.
-            offer = await self._pull(address, Pull(0, ""))
-            catch = SnapshotBuilder(held, offer)
-        for _ in range(_MAX_ANSWERS):
-            missing = catch.missing_parts()[:_MAX_WANTED]
+            # The difference does not apply to the own configuration, for
+            # example after changes on two copies of the store. Pull all parts.
+            reply = await self._pull(address, Pull(0, ""))
+            builder = SnapshotBuilder(held, reply)
+        for _ in range(_MAX_PULLS):
+            missing = builder.missing_parts()[:_MAX_WANTED_PARTS]
             if not missing:
-                return catch.build()
+                return builder.build()
             pull = Pull(held.revision, held.change_id, want=missing)
-            if not catch.add_parts(await self._pull(address, pull)):
+            if not builder.add_parts(await self._pull(address, pull)):
                 return None
         return None
 
     async def _pull(self, address: Address, pull: Pull) -> PullReply:
         self.pulls_sent += 1
-        told = msgspec.structs.replace(pull, address=str(self._own_address))
+        message = msgspec.structs.replace(pull, address=str(self._own_address))
         content = await self._peers.call(
-            address, CONTROL_NAME, msgspec.json.encode(told), _CALL_TIMEOUT_S
+            address, CONTROL_NAME, msgspec.json.encode(message), _CALL_TIMEOUT_S
         )
         self.bytes_received += len(content)
         return decode_reply(content)
@@ -189,5 +190,5 @@
 
 
 def jittered(rng: random.Random, period_s: float) -> float:
-    """Returns a time around `period_s` (s), from half to one and a half."""
+    """Returns a random time from 0.5 to 1.5 times `period_s` (s)."""
     return period_s * rng.uniform(0.5, 1.5)
--- a/src/radishwind/config/diff.py
+++ b/src/radishwind/config/diff.py
@@ -1,4 +1,4 @@
-"""What differs between two configurations, a line each for operators."""
+"""Describes the differences between two configurations for operators."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -9,7 +9,7 @@
 from radishwind.config.model import Rules
 
 
-def differences(
+def describe_differences(
     old: tuple[Inventory, Rules], new: tuple[Inventory, Rules]
 ) -> tuple[str, ...]:
     """Returns a line for each entry added, removed or changed."""
@@ -21,7 +21,7 @@
         elif name not in before:
             lines.append(f"+ {name}")
         else:
-            lines.extend(_changes(name, before[name], after[name]))
+            lines.extend(_changed_fields(name, before[name], after[name]))
     return tuple(lines)
 
 
@@ -41,23 +41,23 @@
     return entries
 
 
-def _changes(
+def _changed_fields(
     name: str, before: msgspec.Struct, after: msgspec.Struct
 ) -> list[str]:
     if before == after:
         return []
-    old, new = _fields(before), _fields(after)
+    old, new = _as_mapping(before), _as_mapping(after)
     return [
-        f"{name}: {field} {_text(old[field])} -> {_text(new[field])}"
+        f"{name}: {field} {_shorten(old[field])} -> {_shorten(new[field])}"
         for field in old
         if old[field] != new[field]
     ]
 
 
-def _fields(entry: msgspec.Struct) -> Mapping[str, Any]:
+def _as_mapping(entry: msgspec.Struct) -> Mapping[str, Any]:
     return msgspec.structs.asdict(entry)
 
 
-def _text(value: Any) -> str:
+def _shorten(value: Any) -> str:
     text = msgspec.json.encode(value).decode()
     return text if len(text) <= 80 else text[:77] + "..."
--- a/src/radishwind/config/errors.py
+++ b/src/radishwind/config/errors.py
@@ -1,26 +1,30 @@
-"""Errors of configurations that are refused or changes that lost."""
+"""Errors of refused configurations and of changes not accepted."""
 
 from radishwind.core.codes import ResultCode
 from radishwind.core.errors import RadishwindError
 
 
 class ConfigError(RadishwindError):
-    """A configuration or a change of it has a problem."""
+    """Base of the errors of configurations and their changes."""
 
 
 class RevisionRefusedError(ConfigError):
-    """A configuration is not adopted: lower, other, not whole or malformed."""
+    """A configuration is not adopted.
+
+    Its revision is lower, another change produced the same revision, or it is
+    incomplete or malformed.
+    """
 
     code = ResultCode.REVISION_REFUSED
 
 
 class ChangeConflictError(ConfigError):
-    """Another change was accepted first; this one had no effect."""
+    """Another change was accepted before this one, which had no effect."""
 
     code = ResultCode.CHANGE_CONFLICT
 
 
 class ChangeUnsettledError(ConfigError):
-    """It can't be told yet whether the change was accepted."""
+    """It is not known yet whether the change was accepted."""
 
     code = ResultCode.CHANGE_UNSETTLED
--- a/src/radishwind/config/index.py
+++ b/src/radishwind/config/index.py
@@ -1,4 +1,4 @@
-"""Look-ups over one configuration, made once when it is adopted."""
+"""Index of a configuration, built once when it is adopted."""
 
 from radishwind.config.model import Configuration
 from radishwind.config.model import Service
@@ -6,7 +6,7 @@
 
 
 class ConfigIndex:
-    """Answers the data path's questions on a configuration quickly."""
+    """Look-up tables over a configuration for use in the data path."""
 
     def __init__(self, cfg: Configuration) -> None:
         self.cfg = cfg
@@ -17,7 +17,7 @@
         self._latency_s = _latencies(cfg)
 
     def service_for(self, host: str, path: str) -> str | None:
-        """Returns the service that `host` and `path` name, if any."""
+        """Returns the service to which `host` and `path` are routed, if any."""
         name = host.rpartition(":")[0] or host
         for prefix, hosts, service in self._routes:
             if hosts and name not in hosts:
@@ -27,14 +27,14 @@
         return None
 
     def one_way_s(self, a: str, b: str) -> float:
-        """Returns the latency one way between two failure domains (s)."""
+        """Returns the one-way latency between two failure domains (s)."""
         return self._latency_s.get((a, b), 0.0)
 
 
 def _routes(
     services: tuple[Service, ...],
 ) -> list[tuple[str, frozenset[str], str]]:
-    """Returns (prefix, hosts, service), the most specific first."""
+    """Returns tuples (prefix, hosts, service), the most specific first."""
     routes = [
         (prefix, frozenset(service.hosts), service.name)
         for service in services
@@ -52,7 +52,10 @@
 
 
 def path_is_under(path: str, prefix: str) -> bool:
-    """Returns whether `path` is `prefix` or below it, by whole segments."""
+    """Returns whether `path` equals `prefix` or is below it.
+
+    Only whole path segments are compared.
+    """
     if not path.startswith(prefix):
         return False
     rest = path[len(prefix) :]
--- a/src/radishwind/config/model.py
+++ b/src/radishwind/config/model.py
@@ -1,8 +1,8 @@
-"""The operators' inventory and rules as frozen values.
+"""Frozen values that hold the operators' inventory and rules.
 
-They are read from JSON files and kept in the store as JSON; unknown keys are
-refused. Durations are in seconds or milliseconds as the names say; shares are
-fractions of one.
+They are read from JSON files and stored as JSON; unknown keys are refused.
+Durations are in seconds or milliseconds, as the suffixes of the names state.
+Shares are fractions between 0 and 1.
 """
 
 from typing import Annotated
@@ -45,15 +45,15 @@
 
 
 class _Model(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A frozen value read from JSON; unknown keys are refused."""
+    """Base of the frozen values; unknown keys are refused."""
 
 
 class FailureDomain(_Model, frozen=True):
-    """Instances that fail together.
+    """A group of instances that can fail together.
 
     Attributes:
-      name: unique, for example `genova-a`.
-      region: the region it lies in.
+      name: unique name, for example `genova-a`.
+      region: region of the failure domain.
     """
 
     name: Name
@@ -61,15 +61,15 @@
 
 
 class Service(_Model, frozen=True):
-    """Targets that give the same answers.
+    """A group of interchangeable targets.
 
     Attributes:
-      name: unique, for example `prenota`.
-      owner: the team to call.
-      hosts: values of the Host field (without port) that mean this service;
-        empty for any host.
-      path_prefixes: request paths that mean this service; the longest match
-        over all services wins. `/NAME` where none is given.
+      name: unique name, for example `prenota`.
+      owner: the responsible team.
+      hosts: values of the Host field (without port) that are routed to this
+        service; empty for any host.
+      path_prefixes: request paths that are routed to this service; the longest
+        match over all services wins. Defaults to `/NAME`.
     """
 
     name: Name
@@ -79,14 +79,14 @@
 
 
 class Target(_Model, frozen=True):
-    """One backend server as the asset register lists it.
+    """A backend server as listed in the asset register.
 
     Attributes:
-      name: unique; the server's node announces itself by it.
-      service: the service it gives.
-      failure_domain: where it stands.
-      slots: requests it runs at once.
-      connections: connections it accepts.
+      name: unique name, by which the server's node announces itself.
+      service: service that the server provides.
+      failure_domain: failure domain of the server.
+      slots: number of requests that it runs concurrently.
+      connections: number of connections that it accepts.
     """
 
     name: Name
@@ -100,9 +100,9 @@
     """The latency between two failure domains.
 
     Attributes:
-      a: one failure domain.
-      b: the other.
-      one_way_ms: latency one way (ms).
+      a: the first failure domain.
+      b: the second failure domain.
+      one_way_ms: one-way latency (ms).
     """
 
     a: Name
@@ -111,7 +111,7 @@
 
 
 class Inventory(_Model, frozen=True):
-    """All that the asset register lists."""
+    """The content of the asset register."""
 
     failure_domains: tuple[FailureDomain, ...] = ()
     services: tuple[Service, ...] = ()
@@ -120,24 +120,26 @@
 
 
 class ServiceRules(_Model, frozen=True):
-    """How requests of one service are treated.
+    """How requests of one service are handled.
 
     Attributes:
-      idempotent_methods: methods that may run more than once.
-      idempotent_paths: path prefixes that may run more than once, whatever
-        the method.
-      deadline_ms: what a request gets when it names no deadline (ms).
-      max_deadline_ms: the most a request may ask for (ms).
-      queue_length: requests that may wait at one target.
-      queue_wait_ms: the longest a request waits for a slot (ms).
-      retry_share: retries as a share of first attempts.
-      hedge_share: hedges as a share of first attempts; 0 for none.
-      probe_share: probing time as a share of slot time.
-      caller_weights: share of a target's queue by caller; 1 where not named.
-      claim_ttl_s: how long an idempotency key is remembered (s).
-      latency_objective_ms: the answer time objective (ms).
-      latency_target: share of requests that meet it.
-      success_target: share of requests that are answered.
+      idempotent_methods: methods whose requests may run more than once.
+      idempotent_paths: path prefixes whose requests may run more than once,
+        with any method.
+      deadline_ms: deadline of a request that states none (ms).
+      max_deadline_ms: maximum deadline that a request may state (ms).
+      queue_length: maximum number of requests queued at one target.
+      queue_wait_ms: maximum time that a request waits for a slot (ms).
+      retry_share: retry budget as a fraction of first attempts.
+      hedge_share: hedge budget as a fraction of first attempts; 0 disables
+        hedged requests.
+      probe_share: probing time as a fraction of slot time.
+      caller_weights: weight of a caller in a target's queue, by caller; 1 for
+        callers not listed.
+      claim_ttl_s: time for which an idempotency key is remembered (s).
+      latency_objective_ms: response time objective (ms).
+      latency_target: fraction of requests that should meet the objective.
+      success_target: fraction of requests that should succeed.
     """
 
     idempotent_methods: tuple[Method, ...] = ("GET", "HEAD", "OPTIONS")
@@ -160,16 +162,17 @@
     """The rules of every service.
 
     Attributes:
-      defaults: for a service that has none. In a file, a field that a service
-        leaves out is taken from here; kept are the whole rules.
-      services: the rules of a service by its name.
+      defaults: rules of services that are not listed. In a file, fields that
+        a service leaves out are taken from the defaults; what is stored are
+        the completed rules.
+      services: rules of a service, by its name.
     """
 
     defaults: ServiceRules = ServiceRules()
     services: dict[Name, ServiceRules] = {}
 
     def for_service(self, name: str) -> ServiceRules:
-        """Returns the rules of the service `name`."""
+        """Returns the rules of service `name`."""
         return self.services.get(name, self.defaults)
 
 
@@ -177,8 +180,8 @@
     """An accepted configuration.
 
     Attributes:
-      revision: grows by one with each accepted change; 0 before the first.
-      change_id: names the change that made it, unique.
+      revision: rises with each accepted change; 0 before the first.
+      change_id: unique ID of the change that produced it.
       inventory: the inventory.
       rules: the rules.
     """
--- a/src/radishwind/config/parts.py
+++ b/src/radishwind/config/parts.py
@@ -1,8 +1,9 @@
-"""Cuts a configuration into parts and puts it together again.
+"""Splits a configuration into parts and assembles it from them.
 
-One part holds what is common, and one each service with its targets and rules,
-so that a change of one target rewrites and sends one small part, and no value
-grows with the number of services.
+The common part holds what belongs to no single service; each service has a part
+of its own with its targets and rules. Thus a change of one target rewrites and
+sends only one small part, and the size of a part does not depend on the number
+of services.
 """
 
 from collections.abc import Mapping
@@ -23,19 +24,19 @@
 from radishwind.config.model import ServiceRules
 from radishwind.config.model import Target
 from radishwind.config.records import ChangeRecord
-from radishwind.config.records import digest
+from radishwind.config.records import manifest_digest
 
 COMMON = "common"
 SERVICE_PREFIX = "service/"
 
 
 class CommonPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What belongs to no single service.
+    """The content of a configuration that belongs to no single service.
 
     Attributes:
-      failure_domains: all of them, by name.
-      links: all of them, by names.
-      defaults: the rules of services without any.
+      failure_domains: all failure domains, sorted by name.
+      links: all links, sorted by the names of their ends.
+      defaults: rules of services without rules of their own.
     """
 
     failure_domains: tuple[FailureDomain, ...]
@@ -44,7 +45,7 @@
 
 
 class ServicePart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A service with its targets, by name, and its rules if it has any."""
+    """A service with its targets, sorted by name, and its rules if any."""
 
     service: Service
     targets: tuple[Target, ...]
@@ -59,13 +60,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Snapshot:
-    """A whole configuration with the parts that it is made of.
+    """A complete configuration with its parts.
 
     Attributes:
-      record: the change that made it; `None` before the first.
-      refs: the version of each part by its name.
-      parts: the parts by name.
-      cfg: the configuration.
+      record: the change that produced it; `None` before the first.
+      refs: version of each part, by name.
+      parts: parts by name.
+      cfg: the assembled configuration.
     """
 
     record: ChangeRecord | None = None
@@ -75,17 +76,17 @@
 
     @property
     def revision(self) -> int:
-        """The revision; 0 before the first."""
+        """Revision of the configuration; 0 before the first change."""
         return self.cfg.revision
 
     @property
     def change_id(self) -> str:
-        """The id of the change that made it; empty before the first."""
+        """ID of the change that produced it; empty before the first change."""
         return self.cfg.change_id
 
 
 def split_into_parts(inventory: Inventory, rules: Rules) -> dict[str, Part]:
-    """Returns the parts of a configuration by name, in canonical order."""
+    """Returns the parts of a configuration by name, with sorted content."""
     targets: dict[str, list[Target]] = {}
     for target in sorted(inventory.targets, key=lambda t: t.name):
         targets.setdefault(target.service, []).append(target)
@@ -106,15 +107,15 @@
 
 
 def encode_part(part: Part) -> bytes:
-    """Returns a part as kept and sent."""
+    """Returns `part` encoded as JSON."""
     return msgspec.json.encode(part)
 
 
 def decode_part(name: str, content: bytes) -> Part:
-    """Returns the part `name` from what is kept.
+    """Returns the part `name` encoded in `content`.
 
     Raises:
-      RevisionRefusedError: it is malformed or another part.
+      RevisionRefusedError: `content` is malformed or a different part.
     """
     try:
         if name == COMMON:
@@ -123,11 +124,11 @@
     except (msgspec.MsgspecError, RecursionError) as exc:
         raise RevisionRefusedError(f"part {name[:80]}: {exc}") from exc
     found = part.service.name
-    strays = [t.name for t in part.targets if t.service != found]
-    if name != SERVICE_PREFIX + found or strays:
+    foreign = [t.name for t in part.targets if t.service != found]
+    if name != SERVICE_PREFIX + found or foreign:
         raise RevisionRefusedError(
             f"part {name[:80]}: expected that service and its targets, "
-            f"got {found} and {strays[:3]}"
+            f"got {found} and {foreign[:3]}"
         )
     return part
 
@@ -135,15 +136,15 @@
 def assemble(
     record: ChangeRecord, refs: Mapping[str, str], parts: Mapping[str, Part]
 ) -> Snapshot:
-    """Returns the whole configuration, checked.
+    """Returns the complete configuration after checking it.
 
     Args:
-      record: the change that made it.
-      refs: the version of each part.
-      parts: at least these parts, in these versions.
+      record: the change that produced it.
+      refs: version of each part, by name.
+      parts: parts by name; at least those in `refs`, in these versions.
 
     Raises:
-      RevisionRefusedError: it isn't whole, or has faults.
+      RevisionRefusedError: parts are missing, or the configuration is invalid.
     """
     missing = [name for name in refs if name not in parts]
     if missing or COMMON not in refs:
@@ -151,15 +152,15 @@
             f"revision {record.revision}: expected all parts, "
             f"{len(missing)} missing, among them {missing[:3]}"
         )
-    if digest(refs) != record.digest:
+    if manifest_digest(refs) != record.digest:
         raise RevisionRefusedError(
-            f"revision {record.revision}: the parts named are not those "
-            "of its record"
+            f"revision {record.revision}: the part versions do not match "
+            "the digest of its record"
         )
-    held = {name: parts[name] for name in sorted(refs)}
-    cfg = _join(record, held)
+    used = {name: parts[name] for name in sorted(refs)}
+    cfg = _join(record, used)
     _check(cfg)
-    return Snapshot(record, dict(refs), held, cfg)
+    return Snapshot(record, dict(refs), used, cfg)
 
 
 def _join(record: ChangeRecord, parts: Mapping[str, Part]) -> Configuration:
--- a/src/radishwind/config/pull.py
+++ b/src/radishwind/config/pull.py
@@ -1,8 +1,8 @@
-"""Messages by which nodes pass the newest configuration on to each other.
+"""Messages by which nodes pull the newest configuration from each other.
 
-A node that lacks a configuration asks a peer for it. It gets the record, the
-versions of the parts that changed since its own revision, and as many of those
-parts as fit; it asks for the rest by version.
+A node that lacks a configuration sends a `Pull` to a peer. The `PullReply` has
+the record, the versions of the parts that changed since the node's revision,
+and as many of those parts as fit; the node pulls the others by version.
 """
 
 from collections.abc import Iterable
@@ -22,21 +22,22 @@
 from radishwind.config.records import ChangeRecord
 from radishwind.config.records import PartRef
 
-#: Parts in one answer (bytes of JSON), unless a single one is larger.
-ANSWER_BYTES = 192 * 1024
+#: Maximum total size of the parts in a reply (bytes of JSON), unless a single
+#: part is larger.
+MAX_REPLY_PARTS_BYTES = 192 * 1024
 
-#: A message longer than this (bytes) is refused; a part has at most 1 MB.
+#: Longer messages are refused; a part has at most 1 MB.
 MAX_MESSAGE_BYTES = 2 * 1024 * 1024
 
 
 class Pull(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Asks a peer for what is newer; tells what the sender has.
+    """Requests what is newer than the configuration of the sender.
 
     Attributes:
-      revision: the revision in force at the sender.
-      change_id: the change that made it.
-      address: the sender's peer listener, HOST:PORT.
-      want: parts asked for by version; empty to ask for the record.
+      revision: revision in force at the sender.
+      change_id: ID of the change that produced it.
+      address: address of the sender's peer listener, HOST:PORT.
+      want: part versions requested; empty to request the record.
     """
 
     revision: int
@@ -46,16 +47,16 @@
 
 
 class PullReply(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The answer to a `Pull`.
+    """The reply to a `Pull`.
 
     Attributes:
-      revision: the revision in force here.
-      change_id: the change that made it.
-      record: that change, where the asking node is behind.
-      whole: whether `changed` names every part, not only those changed.
-      changed: versions of parts that the asking node lacks.
-      gone: names of parts that are no more.
-      parts: some of those parts by name.
+      revision: revision in force at the replying node.
+      change_id: ID of the change that produced it.
+      record: that change, if the requesting node is behind.
+      whole: whether `changed` lists all parts, not only changed ones.
+      changed: part versions that the requesting node lacks.
+      gone: names of parts that no longer exist.
+      parts: some of the changed or requested parts, by name.
     """
 
     revision: int
@@ -70,135 +71,141 @@
 _T = TypeVar("_T")
 
 _pull_decoder = msgspec.json.Decoder(Pull)
-_offer_decoder = msgspec.json.Decoder(PullReply)
+_reply_decoder = msgspec.json.Decoder(PullReply)
 
 
 def decode_pull(content: bytes) -> Pull:
-    """Returns the question in `content`.
+    """Returns the pull encoded in `content`.
 
     Raises:
-      RevisionRefusedError: it is none.
+      RevisionRefusedError: `content` is not a valid pull.
     """
     return _decode(_pull_decoder, content)
 
 
 def decode_reply(content: bytes) -> PullReply:
-    """Returns the answer in `content`.
+    """Returns the reply encoded in `content`.
 
     Raises:
-      RevisionRefusedError: it is none.
+      RevisionRefusedError: `content` is not a valid reply.
     """
-    return _decode(_offer_decoder, content)
+    return _decode(_reply_decoder, content)
 
 
 class PullResponder:
     """Answers pulls from the configuration in force.
 
-    It remembers which parts went away at which revision, so that a node a few
-    revisions behind gets a difference and not the whole.
+    It records at which revision parts were removed, so that a node that is a
+    few revisions behind gets only the difference.
     """
 
     def __init__(self, adopter: Adopter) -> None:
         self._adopter = adopter
-        self._gone: dict[str, int] = {}
-        self._gone_since = 0
-        self._seen = adopter.snapshot
+        self._removed_at: dict[str, int] = {}
+        self._removals_since = 0
+        self._last_snapshot = adopter.snapshot
 
     def respond(self, pull: Pull) -> PullReply:
-        """Returns the answer to `pull`."""
+        """Returns the reply to `pull`."""
         own = self._adopter.snapshot
-        self._follow(own)
-        plain = PullReply(own.revision, own.change_id)
+        self._record_removals(own)
+        reply = PullReply(own.revision, own.change_id)
         if own.record is None or own.revision < pull.revision:
-            return plain
+            return reply
         if pull.want:
             refs = [r for r in pull.want if own.refs.get(r.name) == r.version]
             return msgspec.structs.replace(
-                plain, parts=_encoded(own.parts, refs)
+                reply, parts=_encode_parts(own.parts, refs)
             )
         if own.revision == pull.revision:
-            return plain
+            return reply
         return self._difference(own, pull)
 
     def _difference(self, own: Snapshot, pull: Pull) -> PullReply:
-        whole = pull.revision == 0 or pull.revision < self._gone_since
+        is_whole = pull.revision == 0 or pull.revision < self._removals_since
         changed = tuple(
             PartRef(name, version)
             for name, version in own.refs.items()
-            if whole or records.parse_revision(version) > pull.revision
+            if is_whole or records.parse_revision(version) > pull.revision
         )
-        gone = [n for n, at in self._gone.items() if at > pull.revision]
+        gone = [n for n, at in self._removed_at.items() if at > pull.revision]
         return PullReply(
             own.revision,
             own.change_id,
             own.record,
-            whole,
+            is_whole,
             changed,
-            () if whole else tuple(gone),
-            _encoded(own.parts, changed),
+            () if is_whole else tuple(gone),
+            _encode_parts(own.parts, changed),
         )
 
-    def _follow(self, own: Snapshot) -> None:
-        """Notes the parts that went away since the last look."""
-        if own is self._seen:
+    def _record_removals(self, own: Snapshot) -> None:
+        """Records the parts that were removed since the last call."""
+        if own is self._last_snapshot:
             return
-        if self._seen.record is None:
-            self._gone_since = own.revision
-        for name in self._seen.refs.keys() - own.refs.keys():
-            self._gone[name] = own.revision
+        if self._last_snapshot.record is None:
+            self._removals_since = own.revision
+        for name in self._last_snapshot.refs.keys() - own.refs.keys():
+            self._removed_at[name] = own.revision
         for name in own.refs:
-            self._gone.pop(name, None)
-        self._seen = own
+            self._removed_at.pop(name, None)
+        self._last_snapshot = own
 
 
 class SnapshotBuilder:
-    """Collects the parts of one newer configuration from a peer's answers.
+    """Collects the parts of a newer configuration from a peer's replies.
 
     Attributes:
-      record: the record of the configuration.
+      record: the change that produced the configuration.
     """
 
-    def __init__(self, held: Snapshot, offer: PullReply) -> None:
-        """Starts from the first answer.
+    def __init__(self, held: Snapshot, reply: PullReply) -> None:
+        """Starts from the first reply.
 
         Args:
-          held: the configuration in force here.
-          offer: an answer that carries a record.
+          held: the configuration in force on this node.
+          reply: a reply with a record.
 
         Raises:
-          RevisionRefusedError: the answer contradicts itself.
+          RevisionRefusedError: the reply is not consistent, or does not apply
+            to `held`.
         """
-        record = offer.record
+        record = reply.record
         if record is None or record.revision <= held.revision:
             raise RevisionRefusedError("expected a record of a newer revision")
-        self.record = records.checked(record)
-        self._refs = {} if offer.whole else dict(held.refs)
-        for name in offer.gone:
+        self.record = records.check_change_id(record)
+        self._refs = {} if reply.whole else dict(held.refs)
+        for name in reply.gone:
             self._refs.pop(name, None)
-        self._refs |= {ref.name: ref.version for ref in offer.changed}
-        if records.digest(self._refs) != record.digest:
-            raise RevisionRefusedError("the parts named are not the record's")
+        self._refs |= {ref.name: ref.version for ref in reply.changed}
+        if records.manifest_digest(self._refs) != record.digest:
+            raise RevisionRefusedError(
+                "the part versions do not match the digest of the record"
+            )
         self._parts: dict[str, Part] = {
             name: held.parts[name]
             for name, version in self._refs.items()
             if held.refs.get(name) == version
         }
-        self.add_parts(offer)
+        self.add_parts(reply)
+
+    def add_parts(self, reply: PullReply) -> bool:
+        """Adds the parts of a reply.
 
-    def add_parts(self, offer: PullReply) -> bool:
-        """Takes the parts of an answer; returns whether any was lacking.
+        Returns:
+          Whether the reply had a part that was missing.
 
         Raises:
           RevisionRefusedError: a part is malformed.
         """
         before = len(self._parts)
-        for name, raw in offer.parts.items():
+        for name, raw in reply.parts.items():
             if name in self._refs and name not in self._parts:
                 self._parts[name] = decode_part(name, bytes(raw))
         return len(self._parts) > before
 
     def missing_parts(self) -> tuple[PartRef, ...]:
-        """Returns the parts still to ask for."""
+        """Returns the part versions that are still missing."""
         return tuple(
             PartRef(name, version)
             for name, version in self._refs.items()
@@ -206,24 +213,24 @@
         )
 
     def build(self) -> Snapshot:
-        """Returns the configuration.
+        """Returns the complete configuration.
 
         Raises:
-          RevisionRefusedError: it isn't whole or has faults.
+          RevisionRefusedError: parts are missing, or it is invalid.
         """
         return assemble(self.record, self._refs, self._parts)
 
 
-def _encoded(
+def _encode_parts(
     parts: Mapping[str, Part], refs: Iterable[PartRef]
 ) -> dict[str, msgspec.Raw]:
-    """Returns the first of the parts, as many as fit one answer."""
+    """Returns the first parts of `refs`, as many as fit in one reply."""
     encoded: dict[str, msgspec.Raw] = {}
     size = 0
     for ref in refs:
         raw = encode_part(parts[ref.name])
         size += len(raw)
-        if encoded and size > ANSWER_BYTES:
+        if encoded and size > MAX_REPLY_PARTS_BYTES:
             break
         encoded[ref.name] = msgspec.Raw(raw)
     return encoded
--- a/src/radishwind/config/records.py
+++ b/src/radishwind/config/records.py
@@ -1,8 +1,9 @@
-"""What is kept in the store for a configuration, and its keys.
+"""Records that hold a configuration in the store, and their keys.
 
-A small record of the newest accepted change is swapped by compare-and-swap. It
-names what it changed; a manifest names every part with its version. A part is
-written before under a key of its own version and never changed.
+The root key holds a small record of the newest accepted change, and is replaced
+by compare-and-swap. The record lists the parts that were changed; a manifest
+lists all parts with their versions. Each version of a part has its own key; it
+is written before the root and never modified.
 """
 
 from collections.abc import Mapping
@@ -20,10 +21,10 @@
 MANIFESTS_PREFIX = PREFIX + "manifests/"
 PARTS_PREFIX = PREFIX + "parts/"
 
-#: Revisions for which replaced parts and manifests stay readable, for nodes
-#: that are in the middle of reading them.
+#: Number of revisions for which replaced parts and manifests are kept, for
+#: nodes that are still reading them.
 KEPT_PART_REVISIONS = 16
-#: Accepted changes that `changes show` can tell of.
+#: Number of accepted changes that are kept for `changes show`.
 KEPT_CHANGES = 1000
 
 _REVISION_DIGITS = 12
@@ -34,11 +35,11 @@
 
 
 class PartRef(msgspec.Struct, frozen=True, array_like=True):
-    """One version of one part.
+    """Reference to one version of a part.
 
     Attributes:
       name: `common` or `service/NAME`.
-      version: the id of the change that wrote it.
+      version: ID of the change that wrote it.
     """
 
     name: str
@@ -49,17 +50,17 @@
     """An accepted change.
 
     Attributes:
-      revision: the configuration's revision that it made.
-      change_id: unique; starts with the revision.
-      base_change_id: the change it was made on; empty for the first.
-      operator: who made it.
-      at: when it was made by the operator's clock, UTC.
+      revision: revision of the configuration that the change produced.
+      change_id: unique ID; starts with the revision.
+      base_change_id: ID of the change it is based on; empty for the first.
+      operator: the operator who made the change.
+      at: time of the change by the operator's clock (UTC).
       what: `inventory`, `rules`, or `inventory and rules`.
-      lines: what it changed, a line each, the first ones of many.
-      more_lines: how many lines were left out.
-      changed: the parts it wrote.
-      replaced: the parts that were in force before it and no longer are.
-      digest: of the manifest.
+      lines: descriptions of the differences; only the first if there are many.
+      more_lines: number of lines that were left out.
+      changed: parts that the change wrote.
+      replaced: parts of the base that are no longer in force.
+      digest: digest of the manifest.
     """
 
     revision: Annotated[int, msgspec.Meta(ge=1, lt=10**_REVISION_DIGITS)]
@@ -79,9 +80,9 @@
     """The value of the root key.
 
     Attributes:
-      record: the newest accepted change.
-      parts: the parts it wrote, where they are small: a watch then tells all
-        that is new, also if the store fails right after.
+      record: record of the newest accepted change.
+      parts: the parts that the change wrote, if they are small, so that a watch
+        event carries the whole change even if the store fails right after.
     """
 
     record: ChangeRecord
@@ -93,16 +94,16 @@
 _manifest_decoder = msgspec.json.Decoder(tuple[PartRef, ...])
 
 
-def change_id(revision: int, random_bits: int) -> str:
-    """Returns the id of a change that would make `revision`."""
+def make_change_id(revision: int, random_bits: int) -> str:
+    """Returns the ID of a change that would produce `revision`."""
     return f"{revision}-{random_bits:016x}"
 
 
 def parse_revision(version: str) -> int:
-    """Returns the revision that a change id starts with.
+    """Returns the revision with which a change ID starts.
 
     Raises:
-      ValueError: it is no change id.
+      ValueError: `version` is not a change ID.
     """
     revision, dash, rest = version.partition("-")
     if not (revision.isascii() and revision.isdigit() and dash and rest):
@@ -111,76 +112,76 @@
 
 
 def change_key(revision: int) -> str:
-    """Returns the key under which the change of `revision` is kept."""
+    """Returns the key of the change that produced `revision`."""
     return f"{CHANGES_PREFIX}{revision:0{_REVISION_DIGITS}d}"
 
 
 def part_key(ref: PartRef) -> str:
-    """Returns the key of a version of a part."""
+    """Returns the key of a part version."""
     return f"{PARTS_PREFIX}{ref.name}/{ref.version}"
 
 
 def parse_part_key(key: str) -> PartRef:
-    """Returns the version of a part that `key` is of."""
+    """Returns the part version that is stored under `key`."""
     name, _, version = key.removeprefix(PARTS_PREFIX).rpartition("/")
     return PartRef(name, version)
 
 
 def encode_record(record: ChangeRecord) -> bytes:
-    """Returns a record as kept and sent."""
+    """Returns `record` encoded as JSON."""
     return msgspec.json.encode(record)
 
 
 def decode_record(content: bytes) -> ChangeRecord:
-    """Returns the record in `content`.
+    """Returns the record encoded in `content`.
 
     Raises:
-      RevisionRefusedError: it is none.
+      RevisionRefusedError: `content` is not a valid record.
     """
     try:
-        return checked(_record_decoder.decode(content))
+        return check_change_id(_record_decoder.decode(content))
     except (msgspec.MsgspecError, RecursionError) as exc:
         raise RevisionRefusedError(f"malformed record: {exc}") from exc
 
 
 def decode_root(content: bytes) -> Root:
-    """Returns the value of the root key in `content`.
+    """Returns the root value encoded in `content`.
 
     Raises:
-      RevisionRefusedError: it is none.
+      RevisionRefusedError: `content` is not a valid root.
     """
     try:
         root = _root_decoder.decode(content)
     except (msgspec.MsgspecError, RecursionError) as exc:
         raise RevisionRefusedError(f"malformed root: {exc}") from exc
-    checked(root.record)
+    check_change_id(root.record)
     return root
 
 
-def checked(record: ChangeRecord) -> ChangeRecord:
-    """Returns `record` if its change id is of its revision.
+def check_change_id(record: ChangeRecord) -> ChangeRecord:
+    """Returns `record` after checking that its ID matches its revision.
 
     Raises:
-      RevisionRefusedError: it is not.
+      RevisionRefusedError: they don't match.
     """
     if parse_revision(record.change_id) == record.revision:
         return record
     raise RevisionRefusedError(
-        f"expected a change id of revision {record.revision}, "
+        f"expected a change ID of revision {record.revision}, "
         f"got {record.change_id}"
     )
 
 
 def encode_manifest(refs: Mapping[str, str]) -> bytes:
-    """Returns the versions of all parts as kept, in order of name."""
+    """Returns the manifest for the part versions `refs`, sorted by name."""
     return msgspec.json.encode(sorted(refs.items()))
 
 
 def decode_manifest(content: bytes) -> dict[str, str]:
-    """Returns the version of each part by its name.
+    """Returns the version of each part, by name.
 
     Raises:
-      RevisionRefusedError: it is no manifest.
+      RevisionRefusedError: `content` is not a valid manifest.
     """
     try:
         refs = _manifest_decoder.decode(content)
@@ -189,16 +190,18 @@
     return {ref.name: ref.version for ref in refs}
 
 
-def digest(refs: Mapping[str, str]) -> str:
-    """Returns a digest of the versions of all parts."""
+def manifest_digest(refs: Mapping[str, str]) -> str:
+    """Returns the digest of the manifest for the part versions `refs`."""
     return xxhash.xxh3_128_hexdigest(encode_manifest(refs))
 
 
-def advanced(refs: Mapping[str, str], record: ChangeRecord) -> dict[str, str]:
-    """Returns the versions of all parts after one change.
+def apply_change(
+    refs: Mapping[str, str], record: ChangeRecord
+) -> dict[str, str]:
+    """Returns the part versions after a change.
 
     Args:
-      refs: the versions before it.
+      refs: part versions before the change, by name.
       record: the change.
     """
     after = dict(refs)
--- a/src/radishwind/config/reports.py
+++ b/src/radishwind/config/reports.py
@@ -1,4 +1,4 @@
-"""What a node's admin listener tells of configuration."""
+"""Reports on configuration that a node's admin listener returns."""
 
 import msgspec
 
@@ -10,7 +10,7 @@
 
 
 class ConfigInForce(msgspec.Struct, frozen=True):
-    """The configuration a node has in force."""
+    """The configuration in force on a node."""
 
     revision: int
     change_id: str
@@ -19,17 +19,17 @@
 
 
 class FleetReport(msgspec.Struct, frozen=True):
-    """Where a configuration is in force, as one node sees it.
+    """Which nodes have adopted a configuration, as seen by one node.
 
     Attributes:
-      revision: the revision in force at the node asked.
-      change_id: the change that made it.
-      members: nodes known, the one asked included.
-      in_force: how many of them have it, or a newer one.
-      lagging: the names of up to 100 that have an older one.
-      silent: the names of up to 100 that gave no answer.
-      unlisted: up to 100 that announced themselves but are not in the
-        inventory; they get no requests.
+      revision: revision in force on the reporting node.
+      change_id: ID of the change that produced it.
+      members: number of known nodes, including the reporting node.
+      in_force: number of nodes with this revision or a newer one.
+      lagging: names of up to 100 nodes with an older revision.
+      silent: names of up to 100 nodes that did not respond.
+      unlisted: names of up to 100 nodes that announced themselves but are not
+        in the inventory; they get no requests.
     """
 
     revision: int
--- a/src/radishwind/config/repository.py
+++ b/src/radishwind/config/repository.py
@@ -1,4 +1,4 @@
-"""Reads configurations and their history from the store."""
+"""Reads configurations and their change history from the store."""
 
 from collections.abc import Mapping
 
@@ -13,28 +13,33 @@
 from radishwind.config.records import Root
 from radishwind.store import Store
 
-#: More missing parts than this are read by listing them in pages.
-_SINGLE_READS = 8
+#: If more parts than this are missing, all parts are listed in pages instead of
+#: being read one by one.
+_MAX_SINGLE_READS = 8
 
 
 class ConfigRepository:
-    """The configuration in the store, for reading."""
+    """Read access to the configuration in the store."""
 
     def __init__(self, store: Store) -> None:
         self._store = store
 
     async def read_newest(self) -> tuple[Root | None, int]:
-        """Returns the root and its store revision (0 if there is none)."""
+        """Returns the root and its store revision; 0 if there is none."""
         entry = await self._store.get(records.ROOT_KEY)
         if entry is None:
             return None, 0
         return records.decode_root(entry.value), entry.mod_revision
 
     async def load(self, root: Root, held: Snapshot) -> Snapshot:
-        """Returns the configuration of `root`; reads what `held` lacks.
+        """Returns the configuration of `root`, reading the parts `held` lacks.
+
+        Args:
+          root: the root read before.
+          held: a configuration whose parts are already known.
 
         Raises:
-          RevisionRefusedError: it can't be read whole.
+          RevisionRefusedError: it is incomplete or invalid.
           StoreError: the store failed.
         """
         record = root.record
@@ -51,43 +56,49 @@
         return assemble(record, refs, parts)
 
     async def read_change(self, revision: int) -> ChangeRecord | None:
-        """Returns the accepted change that made `revision`, if kept."""
+        """Returns the accepted change that produced `revision`, if kept."""
         entry = await self._store.get(records.change_key(revision))
         return None if entry is None else records.decode_record(entry.value)
 
     async def read_changes_after(
         self, revision: int, newest: ChangeRecord, limit: int
     ) -> tuple[ChangeRecord, ...]:
-        """Returns the last changes above `revision`, the newest first."""
-        found = [newest] if newest.revision > revision else []
+        """Returns the last changes after `revision`, the newest first.
+
+        Args:
+          revision: the revision after which changes are wanted.
+          newest: the newest accepted change.
+          limit: maximum number of changes.
+        """
+        changes = [newest] if newest.revision > revision else []
         oldest = max(revision, newest.revision - limit)
         for number in range(newest.revision - 1, oldest, -1):
             record = await self.read_change(number)
             if record is not None:
-                found.append(record)
-        return tuple(found)
+                changes.append(record)
+        return tuple(changes)
 
     async def _refs(
         self, record: ChangeRecord, held: Snapshot
     ) -> Mapping[str, str]:
         if held.change_id and held.change_id == record.base_change_id:
-            return records.advanced(held.refs, record)
+            return records.apply_change(held.refs, record)
         key = records.MANIFESTS_PREFIX + record.change_id
         entry = await self._store.get(key)
         if entry is None:
             raise RevisionRefusedError(
-                f"revision {record.revision}: its manifest is not there"
+                f"revision {record.revision}: its manifest is missing"
             )
         return records.decode_manifest(entry.value)
 
     async def _read_parts(self, refs: list[PartRef]) -> dict[str, Part]:
-        """Returns the parts that are there; `assemble` finds what lacks."""
+        """Returns the parts that exist; `assemble` detects missing ones."""
         wanted = {records.part_key(ref): ref.name for ref in refs}
-        if len(refs) > _SINGLE_READS:
+        if len(refs) > _MAX_SINGLE_READS:
             entries = await self._store.list(records.PARTS_PREFIX)
         else:
-            got = [await self._store.get(key) for key in wanted]
-            entries = tuple(entry for entry in got if entry is not None)
+            found = [await self._store.get(key) for key in wanted]
+            entries = tuple(entry for entry in found if entry is not None)
         return {
             wanted[entry.key]: decode_part(wanted[entry.key], entry.value)
             for entry in entries
--- a/src/radishwind/config/tests/test_change_acceptor_random.py
+++ b/src/radishwind/config/tests/test_change_acceptor_random.py
@@ -1,4 +1,4 @@
-"""Operators who race through a store with faults, by printed seeds."""
+"""Randomized test of racing operators on a store with faults."""
 
 import random
 
@@ -25,11 +25,11 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-async def test_each_accepted_change_has_one_revision_and_stays(seed):
+async def test_each_accepted_change_has_one_revision_and_is_kept(seed):
     rng = random.Random(seed)
     shared = ConfigTestbed()
     await shared.apply(inventory())
-    accepted, unsettled, slots = [], [], iter(range(10, 1000))
+    accepted, undecided, slots = [], [], iter(range(10, 1000))
 
     async def operate(name):
         testbed = ConfigTestbed(seed=rng.getrandbits(32))
@@ -45,14 +45,14 @@
                     await testbed.apply(inventory(slots=next(slots)), name)
                 )
             except ChangeUnsettledError as exc:
-                unsettled.append(str(exc).split()[2].rstrip(":"))
+                undecided.append(str(exc).split()[2].rstrip(":"))
             except (ChangeConflictError, StoreUnavailableError):
                 continue
 
     async with anyio.create_task_group() as tasks:
         for number in range(4):
             tasks.start_soon(operate, f"op-{number}")
-    newest = await shared.loaded()
+    newest = await shared.load_newest()
     history = [
         await shared.repository.read_change(r + 1)
         for r in range(newest.revision)
@@ -62,7 +62,7 @@
     bases = [r.base_change_id for r in history]
     assert bases == ["", *(r.change_id for r in history[:-1])]
     assert {r.change_id for r in accepted} <= kept
-    for change_id in unsettled:
-        took_effect = await shared.acceptor.read_status(change_id)
-        assert (took_effect is ChangeStatus.ACCEPTED) is (change_id in kept)
+    for change_id in undecided:
+        status = await shared.acceptor.read_status(change_id)
+        assert (status is ChangeStatus.ACCEPTED) is (change_id in kept)
     assert newest.cfg.inventory.targets[0].slots != 9 or newest.revision == 1
--- a/src/radishwind/config/tests/test_pull.py
+++ b/src/radishwind/config/tests/test_pull.py
@@ -1,4 +1,4 @@
-"""What a node adopts, and what peers pass on."""
+"""Tests for what a node adopts, and for pulls between peers."""
 
 import dataclasses
 import random
@@ -30,46 +30,46 @@
 
 
 def history(*inventories):
-    """Returns the snapshots that accepting `inventories` leads to."""
-    found = []
+    """Returns the snapshots after accepting each of `inventories`."""
+    snapshots = []
 
     async def run():
         testbed = ConfigTestbed()
         for content in inventories:
             await testbed.apply(content)
-            found.append(await testbed.loaded())
+            snapshots.append(await testbed.load_newest())
 
     anyio.run(run)
-    return found
+    return snapshots
 
 
-def passed_on(offers, held):
-    """Returns what a node at `held` gets, and the bytes it received."""
+def pull_all(responder, held):
+    """Returns what a node at `held` pulls, and the bytes it received."""
     size = 0
 
-    def ask(pull):
+    def send(pull):
         nonlocal size
-        offer = offers.respond(decode_pull(msgspec.json.encode(pull)))
-        size += len(msgspec.json.encode(offer))
-        return decode_reply(msgspec.json.encode(offer))
-
-    catch = SnapshotBuilder(held, ask(Pull(held.revision, held.change_id)))
-    while missing := catch.missing_parts():
-        assert catch.add_parts(
-            ask(Pull(held.revision, held.change_id, "", missing))
+        reply = responder.respond(decode_pull(msgspec.json.encode(pull)))
+        size += len(msgspec.json.encode(reply))
+        return decode_reply(msgspec.json.encode(reply))
+
+    builder = SnapshotBuilder(held, send(Pull(held.revision, held.change_id)))
+    while missing := builder.missing_parts():
+        assert builder.add_parts(
+            send(Pull(held.revision, held.change_id, "", missing))
         )
-    return catch.build(), size
+    return builder.build(), size
 
 
-def holding(snapshot):
+def adopter_at(snapshot):
     adopter = Adopter()
     adopter.adopt(snapshot)
     return adopter
 
 
-def test_only_a_higher_revision_is_adopted():
+def test_only_higher_revision_is_adopted():
     first, second = history(inventory(), inventory(slots=4))
-    adopter = holding(second)
+    adopter = adopter_at(second)
     assert not adopter.adopt(first)
     assert not adopter.adopt(second)
     assert adopter.snapshot is second
@@ -87,8 +87,8 @@
         (1, "1-b", Source.STORE, 1, Verdict.OLDER),
     ],
 )
-def test_a_revision_is_classified(revision, change_id, source, held, verdict):
-    adopter = holding(history(inventory(), inventory(slots=4))[1])
+def test_revision_is_classified(revision, change_id, source, held, verdict):
+    adopter = adopter_at(history(inventory(), inventory(slots=4))[1])
     if change_id == "own":
         change_id = adopter.snapshot.change_id
     for _ in range(3):
@@ -96,69 +96,69 @@
     assert adopter.refusals == (1 if verdict is Verdict.REFUSED else 0)
 
 
-def test_a_node_one_revision_behind_gets_only_the_part_that_changed():
+def test_node_one_revision_behind_gets_only_the_changed_part():
     old, new = history(inventory(100, 8), inventory(100, 8, slots=4))
-    got, size = passed_on(PullResponder(holding(new)), old)
+    got, size = pull_all(PullResponder(adopter_at(new)), old)
     assert got.cfg == new.cfg
     assert size < 2_500
 
 
-def test_a_new_node_gets_the_whole_in_several_answers():
+def test_new_node_gets_all_parts_in_several_replies():
     (new,) = history(inventory(400, 8))
-    got, size = passed_on(PullResponder(holding(new)), Snapshot())
+    got, size = pull_all(PullResponder(adopter_at(new)), Snapshot())
     assert got.cfg == new.cfg
     assert size > 300_000
 
 
-def test_services_that_went_away_are_gone_at_nodes_that_lag():
+def test_removed_services_are_removed_on_lagging_nodes():
     steps = history(inventory(5), inventory(4), inventory(3), inventory(6))
-    adopter = holding(steps[0])
-    offers = PullResponder(adopter)
+    adopter = adopter_at(steps[0])
+    responder = PullResponder(adopter)
     for later in steps[1:]:
         adopter.adopt(later)
-        offers.respond(Pull(0, ""))
+        responder.respond(Pull(0, ""))
         for held in steps[:3]:
             if held.revision < later.revision:
-                assert passed_on(offers, held)[0].cfg == later.cfg
+                assert pull_all(responder, held)[0].cfg == later.cfg
 
 
-def test_nothing_is_offered_to_a_node_that_is_ahead_or_level():
+def test_node_that_is_ahead_gets_no_record():
     old, new = history(inventory(), inventory(slots=4))
-    offer = PullResponder(holding(old)).respond(
+    reply = PullResponder(adopter_at(old)).respond(
         Pull(new.revision, new.change_id)
     )
-    assert (offer.revision, offer.record, offer.changed) == (1, None, ())
+    assert (reply.revision, reply.record, reply.changed) == (1, None, ())
 
 
-def test_a_difference_that_does_not_fit_is_refused():
+def test_difference_that_does_not_apply_is_refused():
     old, new = history(inventory(), inventory(slots=4))
     other = dataclasses.replace(
         old, refs={**old.refs, "common": "1-" + "0" * 16}
     )
-    offer = PullResponder(holding(new)).respond(Pull(1, ""))
+    reply = PullResponder(adopter_at(new)).respond(Pull(1, ""))
     with pytest.raises(RevisionRefusedError):
-        SnapshotBuilder(other, offer)
+        SnapshotBuilder(other, reply)
 
 
 @settings(max_examples=60)
 @given(seed=st.integers(0, 2**32))
-def test_any_revision_leads_to_any_later_one(seed):
+def test_node_at_any_revision_can_pull_any_later_one(seed):
     rng = random.Random(seed)
     snapshots = [Snapshot()]
     for revision in range(1, 8):
-        snapshots.append(_following(snapshots[-1], revision, rng))
+        snapshots.append(_next_snapshot(snapshots[-1], revision, rng))
     adopter = Adopter()
-    offers = PullResponder(adopter)
+    responder = PullResponder(adopter)
     for newest in snapshots[1:]:
         adopter.adopt(newest)
         held = rng.choice(snapshots[: newest.revision])
-        assert passed_on(offers, held)[0].cfg == newest.cfg
+        assert pull_all(responder, held)[0].cfg == newest.cfg
 
 
-def _following(base, revision, rng):
+def _next_snapshot(base, revision, rng):
     content = inventory(rng.randint(1, 6), rng.randint(1, 3), rng.randint(1, 9))
     parts = split_into_parts(content, base.cfg.rules)
-    change_id = records.change_id(revision, rng.getrandbits(64))
+    change_id = records.make_change_id(revision, rng.getrandbits(64))
     refs = {
         n: base.refs[n] if base.parts.get(n) == p else change_id
         for n, p in parts.items()
@@ -176,9 +176,9 @@
         replaced=tuple(
             PartRef(n, v) for n, v in base.refs.items() if refs.get(n) != v
         ),
-        digest=records.digest(refs),
+        digest=records.manifest_digest(refs),
     )
-    assert records.advanced(base.refs, record) == refs
+    assert records.apply_change(base.refs, record) == refs
     return assemble(record, refs, parts)
 
 
@@ -186,15 +186,15 @@
 
 
 @given(st.data())
-def test_a_damaged_answer_is_refused_or_gives_the_same_configuration(data):
-    offer = PullResponder(holding(_NEWEST)).respond(Pull(0, ""))
-    content = bytearray(msgspec.json.encode(offer))
+def test_corrupted_reply_is_refused_or_gives_a_complete_configuration(data):
+    reply = PullResponder(adopter_at(_NEWEST)).respond(Pull(0, ""))
+    content = bytearray(msgspec.json.encode(reply))
     for _ in range(data.draw(st.integers(1, 3))):
-        at = data.draw(st.integers(0, len(content) - 1))
-        content[at] = data.draw(st.integers(32, 126))
+        index = data.draw(st.integers(0, len(content) - 1))
+        content[index] = data.draw(st.integers(32, 126))
     try:
-        catch = SnapshotBuilder(Snapshot(), decode_reply(bytes(content)))
-        snapshot = catch.build()
+        builder = SnapshotBuilder(Snapshot(), decode_reply(bytes(content)))
+        snapshot = builder.build()
     except RevisionRefusedError:
         return
     assert snapshot.revision >= 1
--- a/src/radishwind/config/watchers.py
+++ b/src/radishwind/config/watchers.py
@@ -1,4 +1,4 @@
-"""Which nodes of a failure domain keep a watch on the store."""
+"""Selects the nodes of a failure domain that watch the store."""
 
 from collections.abc import Iterable
 
@@ -6,7 +6,7 @@
 from radishwind.membership.directory import MemberState
 from radishwind.membership.ranking import ranks_among_first
 
-#: Two, so that one may be restarted unnoticed; more only cost store calls.
+#: Two, so that one may be restarted without effect; more only cost store calls.
 WATCHERS_PER_DOMAIN = 2
 
 
@@ -16,18 +16,18 @@
     members: Iterable[Member],
     count: int = WATCHERS_PER_DOMAIN,
 ) -> bool:
-    """Returns whether this node is among the first of its failure domain.
+    """Returns whether this node is one of the watchers of its failure domain.
 
-    Nodes are ranked by a hash of their name, so that the work falls on no
-    service more than on another. Nodes that see different members may both
-    watch, or for a moment none: that costs a call, or the wait for the slow
-    poll, and nothing else. A node that knows nobody watches by itself.
+    Nodes are ranked by a hash of their name, so that the load does not depend
+    on the service. If nodes see different members, too many of them may watch,
+    or for a moment none; this costs a store call, or a delay until the slow
+    poll, and nothing else. A node that knows no other nodes watches.
 
     Args:
-      own_name: this node's name.
-      failure_domain: where it stands.
-      members: the members known, this node among them or not.
-      count: how many watch.
+      own_name: name of this node.
+      failure_domain: failure domain of this node.
+      members: known members, with or without this node.
+      count: number of watchers.
     """
     names = {
         member.name
--- a/src/radishwind/node/tests/test_config_tasks.py
+++ b/src/radishwind/node/tests/test_config_tasks.py
@@ -50,28 +50,28 @@
     async with running(30) as (fleet, _):
         testbed = fleet.testbed
         await testbed.apply(inventory())
-        await fleet.in_force(1)
-        await fleet.until(lambda: testbed.standin.watching == 6)
+        await fleet.wait_in_force(1)
+        await fleet.wait_until(lambda: testbed.standin.watching == 6)
 
         async def accept_and_fail(request):
             response = await testbed.standin.handle(request)
-            await fleet.until(lambda: 2 in fleet.revisions())
+            await fleet.wait_until(lambda: 2 in fleet.revisions())
             testbed.standin.set_faults(StoreFaults(down="refuse"))
             return response
 
         testbed.on_swap = accept_and_fail
         assert (await testbed.apply(inventory(slots=4))).revision == 2
-        await fleet.in_force(2)
+        await fleet.wait_in_force(2)
 
 
 async def test_few_nodes_read_and_watch_the_store():
     async with running(30) as (fleet, _):
         await fleet.testbed.apply(inventory())
-        await fleet.in_force(1)
-        await fleet.until(lambda: fleet.testbed.standin.watching == 6)
+        await fleet.wait_in_force(1)
+        await fleet.wait_until(lambda: fleet.testbed.standin.watching == 6)
         before = dict(fleet.testbed.standin.calls)
         await fleet.testbed.apply(inventory(slots=4))
-        await fleet.in_force(2)
+        await fleet.wait_in_force(2)
         after = fleet.testbed.standin.calls
         # The operator's program reads the root, manifest and parts; the
         # watches told the nodes all that is new.
@@ -82,12 +82,12 @@
 async def test_a_node_started_in_an_outage_gets_the_newest_from_its_peers():
     async with running(5) as (fleet, tasks):
         await fleet.testbed.apply(inventory())
-        await fleet.in_force(1)
+        await fleet.wait_in_force(1)
         await fleet.testbed.apply(inventory(slots=4))
-        await fleet.in_force(2)
+        await fleet.wait_in_force(2)
         fleet.testbed.standin.set_faults(StoreFaults(down="refuse"))
         fleet.start(tasks, "svc-0000-9", "dom-a")
-        await fleet.in_force(2)
+        await fleet.wait_in_force(2)
 
 
 async def test_a_store_restored_from_an_old_copy_turns_no_node_back():
@@ -96,33 +96,37 @@
         await testbed.apply(inventory())
         old = (await testbed.store.get(ROOT_KEY)).value
         await testbed.apply(inventory(slots=4))
-        await fleet.in_force(2)
+        await fleet.wait_in_force(2)
         await testbed.store.transact((), (Put(ROOT_KEY, old),))
-        await fleet.until(lambda: any("lower" in r for r in fleet.reports))
+        await fleet.wait_until(lambda: any("lower" in r for r in fleet.reports))
         fleet.start(tasks, "svc-0000-9", "dom-a")
-        await fleet.in_force(2)
+        await fleet.wait_in_force(2)
         assert await testbed.apply(inventory(slots=5))
-        await fleet.until(lambda: any("another" in r for r in fleet.reports))
+        await fleet.wait_until(
+            lambda: any("another" in r for r in fleet.reports)
+        )
         assert fleet.revisions() == {2}
         slots = {
             n.index.targets["svc-0000-0"].slots for n in fleet.nodes.values()
         }
         assert slots == {4}
         await testbed.apply(inventory(slots=6), above=2)
-        await fleet.in_force(3)
+        await fleet.wait_in_force(3)
 
 
 async def test_malformed_values_in_the_store_end_no_node():
     testbed = ConfigTestbed()
     async with running(3, testbed) as (fleet, _):
         await testbed.apply(inventory())
-        await fleet.in_force(1)
+        await fleet.wait_in_force(1)
         good = (await testbed.store.get(ROOT_KEY)).value
         await testbed.store.transact((), (Put(ROOT_KEY, b'{"record": "x"'),))
-        await fleet.until(lambda: any("malformed" in r for r in fleet.reports))
+        await fleet.wait_until(
+            lambda: any("malformed" in r for r in fleet.reports)
+        )
         await testbed.store.transact((), (Put(ROOT_KEY, good),))
         await testbed.apply(inventory(slots=4))
-        await fleet.in_force(2)
+        await fleet.wait_in_force(2)
 
 
 async def test_malformed_pulls_are_answered_with_an_error():
@@ -140,10 +144,10 @@
         standin = fleet.testbed.standin
         for name in reversed(names):
             fleet.start(tasks, name, "dom-a")
-            await fleet.until(lambda n=name: fleet.nodes[n].is_watching)
-        await fleet.until(
+            await fleet.wait_until(lambda n=name: fleet.nodes[n].is_watching)
+        await fleet.wait_until(
             lambda: (
                 [n for n in names if fleet.nodes[n].is_watching] == names[:2]
             )
         )
-        await fleet.until(lambda: standin.watching == 2)
+        await fleet.wait_until(lambda: standin.watching == 2)
--- a/tests/proofs/test_configuration.py
+++ b/tests/proofs/test_configuration.py
@@ -151,13 +151,13 @@
                 return await self.testbed.repository.load(root, held)
             except StoreError:
                 return None
-        offers = PullResponder(self.rng.choice(self.nodes))
+        responder = PullResponder(self.rng.choice(self.nodes))
         pull = Pull(held.revision, held.change_id)
         pull = decode_pull(msgspec.json.encode(pull))
-        offer = decode_reply(msgspec.json.encode(offers.respond(pull)))
-        if offer.record is None or offer.revision <= held.revision:
+        reply = decode_reply(msgspec.json.encode(responder.respond(pull)))
+        if reply.record is None or reply.revision <= held.revision:
             return None
-        return SnapshotBuilder(held, offer).build()
+        return SnapshotBuilder(held, reply).build()
 
     def _deliver_late(self) -> None:
         self.rng.shuffle(self.late)
--- a/tests/support/configs.py
+++ b/tests/support/configs.py
@@ -1,4 +1,7 @@
-"""Configurations for tests, and operators who accept them in this process."""
+"""Configurations for tests, and a store and nodes that hold them.
+
+Everything runs in the process of the test.
+"""
 
 import base64
 from collections.abc import Callable
@@ -45,7 +48,13 @@
 
 
 def inventory(services: int = 3, targets: int = 2, slots: int = 9) -> Inventory:
-    """Returns an inventory; `slots` are those of the first target."""
+    """Returns an inventory.
+
+    Args:
+      services: number of services.
+      targets: number of targets of each service.
+      slots: slots of the first target; the others have 9.
+    """
     domains = ("dom-a", "dom-b", "dom-c")
     return Inventory(
         tuple(FailureDomain(name) for name in domains),
@@ -69,7 +78,7 @@
 
 
 class ConfigTestbed:
-    """A store's stand-in, and an operator's program beside it."""
+    """A stand-in of the store, and an operator that applies changes to it."""
 
     def __init__(self, seed: int = 1, decision_wait_s: float = 0.0) -> None:
         self.clock = ManualClock()
@@ -84,11 +93,14 @@
         )
 
     async def _handle(self, request: Request) -> Response:
-        """Lets other tasks run; hands the swap of the root to `on_swap`."""
+        """Passes the compare-and-swap of the root to `on_swap`.
+
+        Lets other tasks run first.
+        """
         await anyio.lowlevel.checkpoint()
         body = await whole_body(request.body)
-        swap = request.path == "/v3/kv/txn" and _ROOT in body
-        handle = self.on_swap if swap else self.standin.handle
+        is_swap = request.path == "/v3/kv/txn" and _ROOT in body
+        handle = self.on_swap if is_swap else self.standin.handle
         return await handle(request)
 
     async def apply(
@@ -102,39 +114,41 @@
             Change(content, operator, base, above)
         )
 
-    async def loaded(self) -> Snapshot:
+    async def load_newest(self) -> Snapshot:
         root, _ = await self.repository.read_newest()
         assert root is not None
         return await self.repository.load(root, Snapshot())
 
     def value(self, key: str) -> bytes:
-        """Returns what the store holds under `key`."""
-        held = self.standin.state._values[key.encode()]
-        return base64.b64decode(held.value)
+        """Returns the value of `key` in the store."""
+        entry = self.standin.state._values[key.encode()]
+        return base64.b64decode(entry.value)
 
     def keys(self, prefix: str) -> list[str]:
-        held = self.standin.state._values
-        return sorted(k.decode() for k in held if k.decode().startswith(prefix))
+        values = self.standin.state._values
+        return sorted(
+            k.decode() for k in values if k.decode().startswith(prefix)
+        )
 
     def paths(self) -> list[str]:
         return [request.path for _, request in self.sender.sent]
 
 
 class FixedDirectory(Directory):
-    """The members it is given."""
+    """A directory with a fixed set of members."""
 
     def __init__(self) -> None:
-        self.known: tuple[Member, ...] = ()
+        self.all_members: tuple[Member, ...] = ()
 
     def eligible_members(self, service: str) -> tuple[Member, ...]:
-        return tuple(m for m in self.known if m.service == service)
+        return tuple(m for m in self.all_members if m.service == service)
 
     def members(self) -> tuple[Member, ...]:
-        return self.known
+        return self.all_members
 
 
 class ConfigFleet:
-    """The configuration tasks of many nodes in this process."""
+    """The configuration tasks of many nodes."""
 
     def __init__(self, testbed: ConfigTestbed, periods: ConfigPeriods) -> None:
         self.testbed = testbed
@@ -145,12 +159,12 @@
         self._directory = FixedDirectory()
 
     def start(self, tasks: anyio.abc.TaskGroup, name: str, domain: str) -> None:
-        """Starts a node; the others know it at once."""
+        """Starts a node, which the others know at once."""
         number = len(self.nodes) + 10
         address = Address(f"10.0.{number // 250}.{number % 250}", 1)
         member = Member(name, "svc-0000", domain, address)
-        known = [m for m in self._directory.known if m.name != name]
-        self._directory.known = (*known, member)
+        others = [m for m in self._directory.all_members if m.name != name]
+        self._directory.all_members = (*others, member)
         node = self._node(name, domain, address, number)
         self.nodes[name] = node
         self.testbed.sender.handlers[address] = node.handle_control
@@ -170,19 +184,19 @@
         return {n.adopter.snapshot.revision for n in self.nodes.values()}
 
     def totals(self) -> tuple[int, int]:
-        """Returns the questions asked and bytes received by all nodes."""
+        """Returns the pulls sent and bytes received by all nodes."""
         exchanges = [node.exchange for node in self.nodes.values()]
-        asked = sum(e.pulls_sent for e in exchanges)
-        return asked, sum(e.bytes_received for e in exchanges)
+        pulls = sum(e.pulls_sent for e in exchanges)
+        return pulls, sum(e.bytes_received for e in exchanges)
 
-    async def until(self, condition: Callable[[], bool]) -> None:
-        """Waits until `condition` holds; fails after a long time."""
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
+        """Waits until `condition` holds; fails after 20 s."""
         with anyio.fail_after(20):
             while not condition():
                 await anyio.lowlevel.checkpoint()
 
-    async def in_force(self, revision: int) -> None:
-        await self.until(lambda: self.revisions() == {revision})
+    async def wait_in_force(self, revision: int) -> None:
+        await self.wait_until(lambda: self.revisions() == {revision})
 
     def _node(
         self, name: str, domain: str, address: Address, seed: int
