--- a/src/radishwind/cli/experiment.py
+++ b/src/radishwind/cli/experiment.py
@@ -37,12 +37,12 @@
     from radishwind.experiment import play
     from radishwind.experiment.report import as_table
     from radishwind.experiment.report import Report
-    from radishwind.sidecar.switches import without as switches_without
+    from radishwind.sidecar.switches import parse_switches
 
     scenario = load_scenario(file)
     reports: dict[str, Report] = {}
     for names in ["", *(without or ())]:
-        switches = switches_without(names)
+        switches = parse_switches(names)
         for each in seed or [scenario.seed]:
             label = f"without {names}" if names else "all on"
             label += f", seed {each}"
--- a/src/radishwind/experiment/nodes.py
+++ b/src/radishwind/experiment/nodes.py
@@ -26,7 +26,7 @@
 from radishwind.routing.chooser import LoadReport
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.entry_side import EntrySide
-from radishwind.sidecar.loads import LOOK_PERIOD_S
+from radishwind.sidecar.load_report_exchange import LOAD_CHECK_INTERVAL_S
 from radishwind.sidecar.switches import Switches
 from radishwind.sidecar.target_side import SidecarTarget
 from radishwind.target.registered_server import Registration
@@ -107,12 +107,12 @@
             dialect=PlatformDialect(),
             rumor_bus=NullRumorBus(),
             learns_for_others=lambda: True,
-            ready_changed=lambda ready: None,
+            on_ready_changed=lambda ready: None,
             switches=switches,
         )
         routes = ActiveRoutes(clock)
         self.evacuation = EvacuationState(clock)
-        self.evacuation.subscribe(self.target.follow_emptied)
+        self.evacuation.subscribe(self.target.apply_evacuation)
         routes.subscribe(self.target.adopt)
         routes.adopt(cfg, b"", "scenario")
         self.entry = EntrySide(
@@ -144,7 +144,7 @@
         """Runs the node's tasks until it is stopped."""
         with self._scope:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self.target.keeper.run)
+                tasks.start_soon(self.target.load_poller.run)
                 tasks.start_soon(self.entry.pipeline.run_hedges)
 
     def stop(self) -> None:
@@ -182,13 +182,13 @@
         self._order = 0
         self._start = int(clock.monotonic() * 1000)
         self._over = False
-        node.target.pulse.subscribe(self.tell)
+        node.target.load_monitor.subscribe(self.tell)
 
     async def run(self) -> None:
         """Looks for changes that no figure of the server brought."""
         while not self._over:
             self.tell()
-            await anyio.sleep(LOOK_PERIOD_S)
+            await anyio.sleep(LOAD_CHECK_INTERVAL_S)
 
     def stop(self) -> None:
         """Tells nothing more."""
--- a/src/radishwind/experiment/tests/test_play.py
+++ b/src/radishwind/experiment/tests/test_play.py
@@ -16,7 +16,7 @@
 from radishwind.experiment.scenario import PowerLoss
 from radishwind.experiment.scenario import Scenario
 from radishwind.experiment.scenario import ServiceModel
-from radishwind.sidecar.switches import without
+from radishwind.sidecar.switches import parse_switches
 
 EXAMPLES = pathlib.Path(__file__).parents[4] / "examples" / "experiments"
 
@@ -122,7 +122,7 @@
 
 
 def test_a_mechanism_can_be_switched_off():
-    assert play(CALM, without("hedges,room")).credit > 0.98
+    assert play(CALM, parse_switches("hedges,room")).credit > 0.98
 
 
 def test_room_left_at_servers_that_slow_down_when_nearly_full():
@@ -153,7 +153,7 @@
             length_s=8.0,
             seed=seed,
         )
-        before = play(scenario, without("room"))
+        before = play(scenario, parse_switches("room"))
         after = play(scenario)
         gains.append(after.credit - before.credit)
         worst_gains.append(after.worst - before.worst)
--- a/src/radishwind/sidecar/__main__.py
+++ b/src/radishwind/sidecar/__main__.py
@@ -1,10 +1,10 @@
 """Runs a node by its settings file: `python -m radishwind.sidecar`."""
 
-from radishwind.sidecar.imports import heed_signals_until_started
-from radishwind.sidecar.imports import spare_imports
+from radishwind.sidecar.startup import install_startup_signal_handlers
+from radishwind.sidecar.startup import skip_unneeded_imports
 
-heed_signals_until_started()
-spare_imports()
+install_startup_signal_handlers()
+skip_unneeded_imports()
 
 from radishwind.sidecar.program import main  # noqa: E402
 
--- a/src/radishwind/sidecar/app.py
+++ b/src/radishwind/sidecar/app.py
@@ -28,10 +28,13 @@
 from radishwind.sidecar.control import Readiness
 from radishwind.sidecar.control_side import ControlSide
 from radishwind.sidecar.entry_side import EntrySide
+from radishwind.sidecar.graceful_shutdown import DepartureNotices
+from radishwind.sidecar.graceful_shutdown import GracefulShutdown
+from radishwind.sidecar.graceful_shutdown import late_request_response
 from radishwind.sidecar.link_side import LinkSide
-from radishwind.sidecar.listening import Handlers
-from radishwind.sidecar.listening import listening
-from radishwind.sidecar.loads import LoadSharing
+from radishwind.sidecar.listeners import Handlers
+from radishwind.sidecar.listeners import listening
+from radishwind.sidecar.load_report_exchange import LoadReportExchange
 from radishwind.sidecar.metrics import add_metrics
 from radishwind.sidecar.metrics import Counted
 from radishwind.sidecar.metrics import MetricsListener
@@ -47,13 +50,10 @@
 from radishwind.sidecar.options import STORE_BUDGET
 from radishwind.sidecar.options import STORE_CONNECTIONS
 from radishwind.sidecar.peer_side import PeerSide
-from radishwind.sidecar.quotas import QuotaSharing
-from radishwind.sidecar.recency import RecencySide
-from radishwind.sidecar.reload import SettingsFile
-from radishwind.sidecar.reload import SettingsFollower
-from radishwind.sidecar.stop import Farewell
-from radishwind.sidecar.stop import PlannedStop
-from radishwind.sidecar.stop import refused_late
+from radishwind.sidecar.quota_sharing import QuotaSharing
+from radishwind.sidecar.recency_side import RecencySide
+from radishwind.sidecar.settings_reloader import SettingsFile
+from radishwind.sidecar.settings_reloader import SettingsReloader
 from radishwind.sidecar.switches import ALL_ON
 from radishwind.sidecar.switches import Switches
 from radishwind.sidecar.target_side import SidecarTarget
@@ -77,7 +77,7 @@
         self._switches = switches
         self._settings = settings
         self._clock = clock
-        self._follower = SettingsFollower(file, clock, self._take_settings)
+        self._follower = SettingsReloader(file, clock, self._take_settings)
         self._output = output
         self._rng = random.Random(int.from_bytes(os.urandom(8), "big"))
         self._log = PartLogger("node", clock)
@@ -125,7 +125,7 @@
             ),
             socket=self._peers.socket,
             on_listed=self._peers.listed,
-            on_round_trip=self._links.took_trip,
+            on_round_trip=self._links.record_round_trip,
         )
         self._routes = ActiveRoutes(self._clock)
         self._evacuation = EvacuationState(self._clock)
@@ -157,15 +157,15 @@
             sender=self._server_sender,
             dialect=PlatformDialect(),
             rumor_bus=self._membership.rumor_bus,
-            ready_changed=self._ready_changed,
+            on_ready_changed=self._on_ready_changed,
             learns_for_others=lambda: self._control.learns_for_others(),
             switches=self._switches,
-            link_kbps=self._links.meter.free_kbps,
+            link_free_kbps=self._links.meter.free_kbps,
         )
-        self._ready_changed(False)
+        self._on_ready_changed(False)
         self._routes.subscribe(self._adopted)
         self._routes.subscribe(self._links.adopt)
-        self._evacuation.subscribe(self._target.follow_emptied)
+        self._evacuation.subscribe(self._target.apply_evacuation)
 
     def _build_entry(self) -> None:
         settings = self._settings
@@ -187,7 +187,7 @@
                 member
             ),
             observers=(RequestLog(self._clock), self._metrics),
-            proof=self._recency.proof,
+            freshness=self._recency.freshness,
             quotas=self._quotas.borrower,
             links=self._links,
         )
@@ -195,7 +195,7 @@
         self._callers = RequestsInProgress(
             self._handle_caller,
             self._clock,
-            make_refusal=refused_late,
+            make_refusal=late_request_response,
         )
         self._peers.wire(
             rng=self._rng,
@@ -206,13 +206,13 @@
             record_request_from=lambda host: self._loads.record_request_from(
                 host
             ),
-            link_admission=self._links.room,
+            link_admission=self._links.link_admission,
             start_anew=self._stopping.set,
         )
         self._attempts = RequestsInProgress(
             self._peers.listener.handle, self._clock, is_forwarded_attempt
         )
-        self._loads = LoadSharing(
+        self._loads = LoadReportExchange(
             node_name=settings.node,
             failure_domain=settings.failure_domain,
             clock=self._clock,
@@ -224,10 +224,10 @@
             socket=self._peers.socket,
             traffic=self._links.traffic,
         )
-        self._target.pulse.subscribe(self._loads.tell)
+        self._target.load_monitor.subscribe(self._loads.tell)
 
     async def _handle_caller(self, request: Request) -> Response:
-        self._target.pulse.record_callers_present()
+        self._target.load_monitor.record_callers_present()
         return await self._caller_listener.handle(request)
 
     def _build_control(self) -> None:
@@ -260,7 +260,7 @@
                 output=self._output,
                 left_out=self._words_left_out,
                 keys=self._entry.keys,
-                recency=self._recency.keeper,
+                recency=self._recency.renewer,
             ),
         )
 
@@ -274,7 +274,7 @@
             tasks.start_soon(self._membership.run)
             tasks.start_soon(self._peers.run)
             self._control.start(tasks)
-            tasks.start_soon(self._target.keeper.run)
+            tasks.start_soon(self._target.load_poller.run)
             tasks.start_soon(self._loads.run)
             tasks.start_soon(self._quotas.run)
             tasks.start_soon(self._entry.pipeline.run_hedges)
@@ -310,14 +310,14 @@
 
     async def _stop(self) -> None:
         """Ends the node's part in the traffic; then nobody hears its load."""
-        stop = PlannedStop(
+        stop = GracefulShutdown(
             clock=self._clock,
             grace_s=self._settings.stop_grace_s,
             readiness=self._readiness,
             callers=self._callers,
             attempts=self._attempts,
             target=self._target.pipeline,
-            farewell=Farewell(
+            farewell=DepartureNotices(
                 self._say_leaving, self._membership.advertise_left
             ),
         )
@@ -360,7 +360,7 @@
     def _ready(self) -> bool:
         return self._routes.cfg is not None and not self._stopping.is_set()
 
-    def _ready_changed(self, ready: bool) -> None:
+    def _on_ready_changed(self, ready: bool) -> None:
         """Tells peers whether the server beside takes new work."""
         if self._leaving:
             return
--- a/src/radishwind/sidecar/control_side.py
+++ b/src/radishwind/sidecar/control_side.py
@@ -22,12 +22,12 @@
 from radishwind.routes.unsigned_requests import UnsignedRequestHandler
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.control import HeartbeatListener
-from radishwind.sidecar.habits import Findings
-from radishwind.sidecar.habits import HabitKeeper
-from radishwind.sidecar.habits import LEARNERS
+from radishwind.sidecar.leaving_records_loader import LeavingRecordsLoader
 from radishwind.sidecar.options import FIRST_START_SPREAD_S
-from radishwind.sidecar.recency import RecencySide
-from radishwind.sidecar.records import RecordsAtStart
+from radishwind.sidecar.recency_side import RecencySide
+from radishwind.sidecar.service_profile import LEARNERS
+from radishwind.sidecar.service_profile import LocalEstimates
+from radishwind.sidecar.service_profile import ProfileSynchronizer
 from radishwind.sidecar.target_side import SidecarTarget
 from radishwind.store.base import Store
 from radishwind.target.leaving_records import CONTROL_NAME as LEAVING_CONTROL
@@ -84,10 +84,12 @@
             rng=rng,
             on_leaving=target.server.mark_leaving,
         )
-        self._habits = HabitKeeper(
+        self._habits = ProfileSynchronizer(
             clock=clock,
             store=store,
-            findings=Findings(target.room, target.pulse),
+            findings=LocalEstimates(
+                target.concurrency_estimator, target.load_monitor
+            ),
             service=lambda: target.server.service,
             is_on_duty=lambda: self._ranks_among(1),
             first_start=settings.first_start,
@@ -109,8 +111,8 @@
             first_wait_s=(
                 FIRST_START_SPREAD_S if settings.first_start else 0.0
             ),
-            on_proof=recency.keeper.accept_first_read
-            if recency.keeper
+            on_proof=recency.renewer.accept_first_read
+            if recency.renewer
             else None,
         )
         self._unsigned_asks = UnsignedRequestHandler(
@@ -127,7 +129,7 @@
             records=self._records,
             known=lambda: self._records_at_start.known,
         )
-        self._records_at_start = RecordsAtStart(
+        self._records_at_start = LeavingRecordsLoader(
             clock=clock,
             records=self._records,
             first_start=settings.first_start,
--- a/src/radishwind/sidecar/entry_side.py
+++ b/src/radishwind/sidecar/entry_side.py
@@ -41,8 +41,8 @@
 from radishwind.routing.placement import RestrictedPlacement
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.link_side import LinkSide
-from radishwind.sidecar.options import choice_weights
-from radishwind.sidecar.options import MOST_RETRY_S
+from radishwind.sidecar.options import cost_weights_for
+from radishwind.sidecar.options import MAX_RETRY_AFTER_S
 from radishwind.sidecar.options import RETRY_S
 from radishwind.sidecar.options import RETRY_SPREAD
 from radishwind.sidecar.switches import Switches
@@ -78,7 +78,7 @@
         reports_unsolicited: Callable[[Member], bool] | None = None,
         observers: Sequence[CallObserver] = (),
         signer: RequestSigner | None = None,
-        proof: KeyFreshness | None = None,
+        freshness: KeyFreshness | None = None,
         quotas: QuotaGate | None = None,
         links: LinkSide | None = None,
     ) -> None:
@@ -102,14 +102,14 @@
             load though it got nothing from here.
           observers: hear of each request that ended.
           signer: signs what is sent to other nodes.
-          proof: whether what is known of keys is recent.
+          freshness: whether what is known of keys is recent.
           quotas: counts the requests of client accounts.
           links: what is known of links and ways; by default a way is fixed.
         """
         self._service = service
         self._log = PartLogger("entry", clock)
-        self.keys = KeyAuthenticator(lambda: routes.accounts, proof)
-        weights = choice_weights(switches)
+        self.keys = KeyAuthenticator(lambda: routes.accounts, freshness)
+        weights = cost_weights_for(switches)
         self.chooser = FreshLoadChooser(
             rng,
             node_name=settings.node,
@@ -118,7 +118,7 @@
             reports_unsolicited=reports_unsolicited,
             weights=weights,
             path_costs=(
-                links.ways(weights.cross_domain_s)
+                links.path_costs(weights.cross_domain_s)
                 if links is not None and switches.ways
                 else None
             ),
@@ -134,7 +134,7 @@
             retry_ages=RetryAgeEstimator() if switches.returns else None,
             fan_outs=FanOutDetector(rng) if switches.siblings else None,
             nested_routes=(
-                NestedRouteDetector(target.runs, self._nested)
+                NestedRouteDetector(target.local_concurrency, self._nested)
                 if switches.nested
                 else None
             ),
@@ -164,7 +164,7 @@
             ),
             chooser=self.chooser,
             retries=FleetRetryPolicy(
-                budget, lambda: target.runs.retry_fraction
+                budget, lambda: target.local_concurrency.retry_fraction
             ),
             hedges=hedges if switches.hedges else NoHedging(),
             runner=IsolatingRunner(forward) if switches.quarantine else forward,
@@ -173,7 +173,7 @@
             observers=observers,
             retry_after=RetryAfter(
                 RETRY_S,
-                MOST_RETRY_S,
+                MAX_RETRY_AFTER_S,
                 RETRY_SPREAD if switches.spread else 0.0,
                 rng,
             ),
--- a/src/radishwind/sidecar/stop.py
+++ b/src/radishwind/sidecar/graceful_shutdown.py
@@ -54,7 +54,7 @@
 _SAY_LEFT_S = 0.6
 
 
-class Farewell(msgspec.Struct, frozen=True):
+class DepartureNotices(msgspec.Struct, frozen=True):
     """What a stopping node tells others.
 
     Attributes:
@@ -66,7 +66,7 @@
     left: Callable[[], Awaitable[object]]
 
 
-class PlannedStop:
+class GracefulShutdown:
     """Ends a node's part in the traffic; the steps are those above."""
 
     def __init__(
@@ -78,7 +78,7 @@
         callers: RequestsInProgress,
         attempts: RequestsInProgress,
         target: TargetPipeline,
-        farewell: Farewell,
+        farewell: DepartureNotices,
     ) -> None:
         """Wires a stop.
 
@@ -159,6 +159,6 @@
         return self._clock.monotonic() - began
 
 
-def refused_late() -> Response:
+def late_request_response() -> Response:
     """Returns the answer to a caller that comes late in a planned stop."""
     return respond(NotRun(ResultCode.LEAVING, "The node stops.", RETRY_S))
--- a/src/radishwind/sidecar/records.py
+++ b/src/radishwind/sidecar/leaving_records_loader.py
@@ -16,7 +16,7 @@
 _AGAIN_S = 0.2
 
 
-class RecordsAtStart:
+class LeavingRecordsLoader:
     """Reads the records of the store; peers may have them where it is away.
 
     Attributes:
--- a/src/radishwind/sidecar/link_side.py
+++ b/src/radishwind/sidecar/link_side.py
@@ -35,11 +35,11 @@
         self._aims: dict[str, float] = {}
         self.meter = LinkMeter(settings.link_mbps, clock)
         self.sizes = RouteSizes()
-        self.room = LinkAdmission(self.meter, self.sizes, clock)
+        self.link_admission = LinkAdmission(self.meter, self.sizes, clock)
         self.traffic = PeerTraffic()
-        self.trips = RoundTripTimes()
+        self.round_trips = RoundTripTimes()
 
-    def ways(self, cross_domain_s: float) -> LinkPathCosts:
+    def path_costs(self, cross_domain_s: float) -> LinkPathCosts:
         """Returns how ways to other nodes are weighed.
 
         Args:
@@ -49,7 +49,7 @@
         return LinkPathCosts(
             own_domain=self._own_domain,
             sizes=self.sizes,
-            round_trips=self.trips,
+            round_trips=self.round_trips,
             own_free_kbps=self.meter.free_kbps,
             aim_s=lambda route: self._aims.get(route, 0.0),
             cross_domain_s=cross_domain_s,
@@ -62,8 +62,8 @@
             frozenset(r.name for r in cfg.routes if r.has_large_responses)
         )
 
-    def took_trip(self, address: Address, trip_s: float) -> None:
+    def record_round_trip(self, address: Address, trip_s: float) -> None:
         """Takes how long a message to another node took there and back (s)."""
         domain = self.traffic.domain_of(address.host)
         if domain is not None:
-            self.trips.record(domain, trip_s, self._clock.monotonic())
+            self.round_trips.record(domain, trip_s, self._clock.monotonic())
--- a/src/radishwind/sidecar/listening.py
+++ b/src/radishwind/sidecar/listeners.py
@@ -14,10 +14,10 @@
 from radishwind.node.error_logging import with_error_logging
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.options import CALLER_IDLE_S
-from radishwind.sidecar.options import CALLERS_AT_ONCE
-from radishwind.sidecar.options import OTHERS_AT_ONCE
+from radishwind.sidecar.options import MAX_CALLER_CONNECTIONS
+from radishwind.sidecar.options import MAX_OTHER_CONNECTIONS
+from radishwind.sidecar.options import MAX_PEER_CONNECTIONS
 from radishwind.sidecar.options import PEER_IDLE_S
-from radishwind.sidecar.options import PEERS_AT_ONCE
 from radishwind.telemetry.logs import PartLogger
 
 
@@ -59,11 +59,13 @@
       link: counts what passes between nodes.
     """
     callers = ServerLimits(
-        connections=CALLERS_AT_ONCE, idle_s=CALLER_IDLE_S, ahead=ahead
+        connections=MAX_CALLER_CONNECTIONS, idle_s=CALLER_IDLE_S, ahead=ahead
+    )
+    peers = ServerLimits(
+        connections=MAX_PEER_CONNECTIONS, idle_s=PEER_IDLE_S, ahead=0
     )
-    peers = ServerLimits(connections=PEERS_AT_ONCE, idle_s=PEER_IDLE_S, ahead=0)
     others = ServerLimits(
-        connections=OTHERS_AT_ONCE, idle_s=CALLER_IDLE_S, ahead=0
+        connections=MAX_OTHER_CONNECTIONS, idle_s=CALLER_IDLE_S, ahead=0
     )
     wanted = [
         (handlers.peers, settings.peers, peers),
--- a/src/radishwind/sidecar/loads.py
+++ b/src/radishwind/sidecar/load_report_exchange.py
@@ -22,15 +22,15 @@
 #: How often a change that no answer brought is looked for (s) while requests
 #: are at the server: one in the queue, as each figure of the pace is told when
 #: it comes.
-LOOK_PERIOD_S = 0.1
+LOAD_CHECK_INTERVAL_S = 0.1
 
 #: The same while none is (s): the load is told once a second in any case, so
 #: that nobody waits for what a look would find. What it gains was not measured
 #: apart.
-IDLE_LOOK_PERIOD_S = 0.5
+IDLE_LOAD_CHECK_INTERVAL_S = 0.5
 
 
-class LoadSharing:
+class LoadReportExchange:
     """Owns the datagrams of load."""
 
     def __init__(
@@ -81,7 +81,9 @@
             self.tell()
             report = self._target.load_report()
             is_idle = not report.in_flight and not report.queued
-            await anyio.sleep(IDLE_LOOK_PERIOD_S if is_idle else LOOK_PERIOD_S)
+            await anyio.sleep(
+                IDLE_LOAD_CHECK_INTERVAL_S if is_idle else LOAD_CHECK_INTERVAL_S
+            )
 
     def tell(self) -> None:
         """Tells the load if it changed enough."""
--- a/src/radishwind/sidecar/metrics.py
+++ b/src/radishwind/sidecar/metrics.py
@@ -17,7 +17,7 @@
 from radishwind.routes.evacuation import EvacuationState
 from radishwind.sidecar.link_side import LinkSide
 from radishwind.sidecar.peer_side import PeerSide
-from radishwind.sidecar.quotas import QuotaSharing
+from radishwind.sidecar.quota_sharing import QuotaSharing
 from radishwind.sidecar.target_side import SidecarTarget
 from radishwind.store.budgeted_store import BudgetedStore
 from radishwind.telemetry.exposition import NodeExposition
@@ -81,7 +81,7 @@
     metrics.counter(
         "radishwind_health_checks_total",
         "Health checks sent to the server beside.",
-        lambda: {"": target.pulse.checks_sent},
+        lambda: {"": target.load_monitor.checks_sent},
     )
     metrics.gauge(
         "radishwind_target_requests",
@@ -94,7 +94,7 @@
     metrics.gauge(
         "radishwind_target_pace",
         "How long work takes there now; 1 is as usual.",
-        lambda: {"": target.pulse.current_pace().factor},
+        lambda: {"": target.load_monitor.current_pace().factor},
     )
     metrics.gauge(
         "radishwind_target_best_in_flight",
@@ -104,12 +104,12 @@
     metrics.gauge(
         "radishwind_target_cold",
         "1 while the server beside is cold and bounded, else 0.",
-        lambda: {"": int(target.warmup.is_cold)},
+        lambda: {"": int(target.warmup_limiter.is_cold)},
     )
     metrics.gauge(
         "radishwind_load_age_seconds",
         "Age of the last load figure of the server beside.",
-        lambda: {"": target.pulse.load_age_s()},
+        lambda: {"": target.load_monitor.load_age_s()},
     )
 
 
@@ -284,14 +284,14 @@
     metrics.counter(
         "radishwind_link_refusals_total",
         "Attempts of other nodes refused for want of room on the link.",
-        lambda: {"": links.room.refused_count},
+        lambda: {"": links.link_admission.refused_count},
     )
     metrics.gauge(
         "radishwind_round_trip_seconds",
         "The usual way to a failure domain and back, where one is fresh.",
         lambda: {
             f'domain="{name}"': trip_s
-            for name, trip_s in links.trips.fresh_means_s(
+            for name, trip_s in links.round_trips.fresh_means_s(
                 counted.clock.monotonic()
             ).items()
         },
--- a/src/radishwind/sidecar/options.py
+++ b/src/radishwind/sidecar/options.py
@@ -17,9 +17,9 @@
 #: open they stay below the 3,900 sockets that the platform grants: callers who
 #: come back each time on a new connection left 3,003 and 4,199 open in one node
 #: while they were kept for their idle time.
-CALLERS_AT_ONCE = 2000
-PEERS_AT_ONCE = 1200
-OTHERS_AT_ONCE = 64
+MAX_CALLER_CONNECTIONS = 2000
+MAX_PEER_CONNECTIONS = 1200
+MAX_OTHER_CONNECTIONS = 64
 
 #: Idle connections to peers are kept so long (s); they are ours at both ends.
 PEER_KEEPALIVE_S = 20.0
@@ -44,7 +44,7 @@
 
 #: Nobody is told to come back later than this (s): the time limits of the
 #: deployments are 0.25 to 2.5 s. Returns are spread by this part.
-MOST_RETRY_S = 0.25
+MAX_RETRY_AFTER_S = 0.25
 RETRY_SPREAD = 0.3
 
 #: The first calls of the store wait up to this long, at random (s).
@@ -57,7 +57,7 @@
 
 #: Facts of one message (bytes), by their length in JSON: in msgpack, with the
 #: own fact and that of the receiver beside them, it still fits a datagram.
-DATAGRAM_FACTS_BYTES = 1_000
+DATAGRAM_PAYLOAD_BYTES = 1_000
 
 GOSSIP = GossipOptions(
     probe_period_s=1.0,
@@ -68,7 +68,7 @@
     sync_period_s=8.0,
     sync_retry_s=0.3,
     forget_after_s=120.0,
-    message_payload_bytes=DATAGRAM_FACTS_BYTES,
+    message_payload_bytes=DATAGRAM_PAYLOAD_BYTES,
 )
 
 #: A node alone looks for others within a second of the store's return.
@@ -110,7 +110,7 @@
     return START_SPREAD_S
 
 
-def choice_weights(switches: Switches) -> CostWeights:
+def cost_weights_for(switches: Switches) -> CostWeights:
     """Returns what counts in a choice of a target."""
     usual = CostWeights()
     return CostWeights(
--- a/src/radishwind/sidecar/peer_side.py
+++ b/src/radishwind/sidecar/peer_side.py
@@ -34,8 +34,8 @@
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.account_policy import AccountPolicy
 from radishwind.sidecar.options import start_spread_s
-from radishwind.sidecar.secret import SecretKeeper
-from radishwind.sidecar.unchecked import UncheckedRoutes
+from radishwind.sidecar.route_verifier import RouteVerifier
+from radishwind.sidecar.secret_manager import SecretManager
 from radishwind.store.base import Store
 from radishwind.store.base import StoreEntry
 from radishwind.target.pipeline import TargetPipeline
@@ -108,7 +108,7 @@
           start_anew: ends the process, to begin without what it believes.
         """
         self._directory = membership.directory
-        self._keeper = SecretKeeper(
+        self._keeper = SecretManager(
             keyring=self.keyring,
             store=store,
             clock=self._clock,
@@ -118,7 +118,7 @@
             spread_s=start_spread_s(self._settings),
             entropy=os.urandom,
         )
-        self._unchecked = UncheckedRoutes(
+        self._unchecked = RouteVerifier(
             keyring=self.keyring,
             routes=routes,
             store=store,
--- a/src/radishwind/sidecar/program.py
+++ b/src/radishwind/sidecar/program.py
@@ -17,8 +17,8 @@
 from radishwind.settings.loader import SettingError
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.app import SidecarNode
-from radishwind.sidecar.reload import SettingsFile
-from radishwind.sidecar.switches import from_environment
+from radishwind.sidecar.settings_reloader import SettingsFile
+from radishwind.sidecar.switches import read_switches
 from radishwind.telemetry.output import start_bounded_logging
 
 #: The variable that holds the port of the metrics; 0 for none.
@@ -44,7 +44,7 @@
     try:
         file = SettingsFile(pathlib.Path(_path()), _read)
         settings = file.load()
-        switches = from_environment(os.environ)
+        switches = read_switches(os.environ)
     except RadishwindError as exc:
         print(f"radishwind: {exc}", file=sys.stderr)
         sys.exit(_EXIT_SETTINGS)
--- a/src/radishwind/sidecar/recency.py
+++ b/src/radishwind/sidecar/recency_side.py
@@ -45,11 +45,11 @@
           routes: the configuration in force.
           socket: carries questions and answers.
         """
-        self.proof: KeyFreshness = AlwaysFresh()
-        self.keeper: ProofRenewer | None = None
+        self.freshness: KeyFreshness = AlwaysFresh()
+        self.renewer: ProofRenewer | None = None
         if settings.revoke_s is None:
             return
-        self.keeper = ProofRenewer(
+        self.renewer = ProofRenewer(
             node_name=settings.node,
             failure_domain=settings.failure_domain,
             schedule=ProofSchedule(settings.revoke_s),
@@ -60,11 +60,11 @@
             routes=routes,
             first_wait_s=start_spread_s(settings),
         )
-        self.proof = self.keeper.freshness
+        self.freshness = self.renewer.freshness
 
     def start(self, tasks: anyio.abc.TaskGroup, feed: RouteFeed) -> None:
         """Starts the task, which asks the store by `feed`."""
-        if self.keeper is None:
+        if self.renewer is None:
             return
-        self.keeper.connect(feed.confirm, feed.note_version)
-        tasks.start_soon(self.keeper.run)
+        self.renewer.connect(feed.confirm, feed.note_version)
+        tasks.start_soon(self.renewer.run)
--- a/src/radishwind/sidecar/unchecked.py
+++ b/src/radishwind/sidecar/route_verifier.py
@@ -23,7 +23,7 @@
 _AGAIN_S = 1.0
 
 
-class UncheckedRoutes:
+class RouteVerifier:
     """The task that asks the store, once, where there is reason to."""
 
     def __init__(
--- a/src/radishwind/sidecar/secret.py
+++ b/src/radishwind/sidecar/secret_manager.py
@@ -81,7 +81,7 @@
     return record if len(record.secret) == SECRET_BYTES else None
 
 
-class SecretKeeper:
+class SecretManager:
     """The task that gives a keyring the secret when it needs one."""
 
     def __init__(
--- a/src/radishwind/sidecar/habits.py
+++ b/src/radishwind/sidecar/service_profile.py
@@ -47,7 +47,7 @@
 #: platform allows to all.
 LEAST_GAP_S = 10.0
 
-#: Findings that differ by less than these parts are the same.
+#: LocalEstimates that differ by less than these parts are the same.
 _SAME_PART = 0.05
 _SAME_SLOWER = 0.25
 _SAME_PERIOD = 0.02
@@ -58,7 +58,7 @@
 READ_AGAIN_S = 0.4
 
 
-class HabitRecord(msgspec.Struct, frozen=True, rename="kebab"):
+class ServiceProfile(msgspec.Struct, frozen=True, rename="kebab"):
     """What was found of the servers of one service.
 
     Attributes:
@@ -76,7 +76,7 @@
         """The same as a learner takes it."""
         return Knee(self.part, self.slower) if self.part < 1 else None
 
-    def is_like(self, other: "HabitRecord") -> bool:
+    def is_like(self, other: "ServiceProfile") -> bool:
         """Returns whether both tell the same."""
         return (
             abs(self.part - other.part) <= _SAME_PART
@@ -86,10 +86,10 @@
         )
 
 
-def read_record(value: bytes) -> HabitRecord | None:
+def read_record(value: bytes) -> ServiceProfile | None:
     """Returns the record in `value`; `None` where nobody can read it."""
     try:
-        record = msgspec.json.decode(value, type=HabitRecord)
+        record = msgspec.json.decode(value, type=ServiceProfile)
     except (msgspec.MsgspecError, ValueError):
         return None
     if 0 < record.period_s < MIN_INTERVAL_S:
@@ -97,7 +97,7 @@
     return record
 
 
-class Findings(msgspec.Struct, frozen=True):
+class LocalEstimates(msgspec.Struct, frozen=True):
     """Where a node's own findings are.
 
     Attributes:
@@ -105,36 +105,36 @@
       pulse: learns when the pace changes.
     """
 
-    room: ConcurrencyEstimator
-    pulse: LoadMonitor
+    concurrency_estimator: ConcurrencyEstimator
+    load_monitor: LoadMonitor
 
     @property
-    def spells(self) -> ChangeGrid:
+    def change_grid(self) -> ChangeGrid:
         """When the pace changes."""
-        return self.pulse.change_grid
+        return self.load_monitor.change_grid
 
-    def expect(self, record: HabitRecord) -> None:
+    def expect(self, record: ServiceProfile) -> None:
         """Begins with what others found."""
-        self.room.set_prior(record.knee)
-        self.pulse.expect_interval(record.period_s)
+        self.concurrency_estimator.set_prior(record.knee)
+        self.load_monitor.expect_interval(record.period_s)
 
-    def merged(self, kept: HabitRecord) -> HabitRecord:
+    def merged(self, kept: ServiceProfile) -> ServiceProfile:
         """Returns what is to be kept: what was found, else what was kept."""
-        knee = self.room.knee
+        knee = self.concurrency_estimator.knee
         part, slower = kept.part, kept.slower
         if knee is not None:
             part, slower = knee.slot_fraction, knee.slowdown
-        elif self.room.has_no_knee:
+        elif self.concurrency_estimator.has_no_knee:
             part, slower = 1.0, 1.0
-        period_s = self.spells.interval_s
-        if not period_s and not self.spells.is_expected_refuted:
+        period_s = self.change_grid.interval_s
+        if not period_s and not self.change_grid.is_expected_refuted:
             period_s = kept.period_s
-        return HabitRecord(
+        return ServiceProfile(
             part, max(1.0, slower), min(MAX_INTERVAL_S, period_s)
         )
 
 
-class HabitKeeper:
+class ProfileSynchronizer:
     """The task that reads what was kept, and keeps what is found."""
 
     def __init__(
@@ -142,7 +142,7 @@
         *,
         clock: Clock,
         store: Store,
-        findings: Findings,
+        findings: LocalEstimates,
         service: Callable[[], str],
         is_on_duty: Callable[[], bool],
         first_start: bool,
@@ -165,11 +165,11 @@
         self._service = service
         self._is_on_duty = is_on_duty
         self._first_start = first_start
-        self._kept = HabitRecord()
+        self._kept = ServiceProfile()
         self._kept_at = 0.0
         self._log = PartLogger("habits", clock)
         # What this node told last, or heard.
-        self._told = HabitRecord()
+        self._told = ServiceProfile()
         self._rumor_bus = rumor_bus or NullRumorBus()
         self._rumor_bus.subscribe(TOPIC, self._on_rumor)
 
@@ -182,7 +182,7 @@
             await anyio.sleep(LOOK_S)
             found = self._findings.merged(self._kept)
             # For the next life of the server beside.
-            self._findings.room.set_prior(found.knee)
+            self._findings.concurrency_estimator.set_prior(found.knee)
             self._tell(found)
             if self._is_due(found):
                 await self._keep(found)
@@ -211,7 +211,7 @@
                 )
             return
 
-    def _tell(self, found: HabitRecord) -> None:
+    def _tell(self, found: ServiceProfile) -> None:
         """Tells the nodes that run what this one found, if that is its part."""
         if found.is_like(self._told) or not self._is_on_duty():
             return
@@ -240,12 +240,12 @@
             period_s=record.period_s,
         )
 
-    def _is_due(self, found: HabitRecord) -> bool:
+    def _is_due(self, found: ServiceProfile) -> bool:
         if found.is_like(self._kept) or not self._is_on_duty():
             return False
         return self._clock.monotonic() - self._kept_at >= LEAST_GAP_S
 
-    async def _keep(self, found: HabitRecord) -> None:
+    async def _keep(self, found: ServiceProfile) -> None:
         self._kept_at = self._clock.monotonic()
         key = PREFIX + self._service()
         try:
@@ -262,9 +262,9 @@
         )
 
 
-def _encode(record: HabitRecord) -> bytes:
+def _encode(record: ServiceProfile) -> bytes:
     return msgspec.json.encode(
-        HabitRecord(
+        ServiceProfile(
             round(record.part, 3),
             round(record.slower, 2),
             round(record.period_s, 5),
--- a/src/radishwind/sidecar/reload.py
+++ b/src/radishwind/sidecar/settings_reloader.py
@@ -13,7 +13,7 @@
 from radishwind.telemetry.logs import PartLogger
 
 #: How often the file is looked at for a change that nobody signals (s).
-LOOK_PERIOD_S = 1.0
+CHECK_INTERVAL_S = 1.0
 
 
 class SettingsUnreadableError(RadishwindError):
@@ -65,7 +65,7 @@
             ) from exc
 
 
-class SettingsFollower:
+class SettingsReloader:
     """Takes a changed settings file, with or without a signal."""
 
     def __init__(
@@ -93,7 +93,7 @@
     async def run(self) -> None:
         """Looks at the file until cancelled."""
         while True:
-            with anyio.move_on_after(LOOK_PERIOD_S):
+            with anyio.move_on_after(CHECK_INTERVAL_S):
                 await self._asked.wait()
             self._asked.clear()
             self.look()
--- a/src/radishwind/sidecar/imports.py
+++ b/src/radishwind/sidecar/startup.py
@@ -9,7 +9,7 @@
 from types import FrameType
 
 
-def spare_imports() -> None:
+def skip_unneeded_imports() -> None:
     """Leaves out of the imports what a node does not need.
 
     No library may read the machine's certificates as it is imported, since no
@@ -21,7 +21,7 @@
     gc.disable()
 
 
-def heed_signals_until_started() -> None:
+def install_startup_signal_handlers() -> None:
     """Says what signals do before the node has handlers of its own.
 
     A signal to stop ends the process with 0, as nothing is in progress yet. A
--- a/src/radishwind/sidecar/switches.py
+++ b/src/radishwind/sidecar/switches.py
@@ -67,7 +67,7 @@
 ALL_ON = Switches()
 
 
-def without(names: str) -> Switches:
+def parse_switches(names: str) -> Switches:
     """Returns the switches with those in `names` off.
 
     Raises:
@@ -83,6 +83,6 @@
     return Switches(**dict.fromkeys(off, False))
 
 
-def from_environment(environment: Mapping[str, str]) -> Switches:
+def read_switches(environment: Mapping[str, str]) -> Switches:
     """Returns the switches that `environment` names."""
-    return without(environment.get(VARIABLE, ""))
+    return parse_switches(environment.get(VARIABLE, ""))
--- a/src/radishwind/sidecar/target_side.py
+++ b/src/radishwind/sidecar/target_side.py
@@ -61,10 +61,10 @@
         sender: Sender,
         dialect: ServerDialect,
         rumor_bus: RumorBus,
-        ready_changed: Callable[[bool], None],
+        on_ready_changed: Callable[[bool], None],
         learns_for_others: Callable[[], bool],
         switches: Switches = ALL_ON,
-        link_kbps: Callable[[], int] | None = None,
+        link_free_kbps: Callable[[], int] | None = None,
     ) -> None:
         """Wires the target side.
 
@@ -74,11 +74,11 @@
           sender: sends to the server.
           dialect: makes requests for it and reads its answers.
           rumor_bus: tells what crashed the server.
-          ready_changed: told whether the server takes new work.
+          on_ready_changed: told whether the server takes new work.
           learns_for_others: returns whether this node learns of the server
             before it is used, and tells the other nodes of the service.
           switches: what is in use.
-          link_kbps: returns what the link of the node has left (kbit/s).
+          link_free_kbps: returns what the link of the node has left (kbit/s).
         """
         self._switches = switches
         self._clock = clock
@@ -88,7 +88,7 @@
             settings.service,
             settings.server,
             clock,
-            ready_changed,
+            on_ready_changed,
         )
         self.quarantine = Quarantine(
             target=settings.node,
@@ -96,19 +96,21 @@
             clock=clock,
             rumor_bus=rumor_bus,
         )
-        self.pulse = LoadMonitor(
+        self.load_monitor = LoadMonitor(
             clock,
             learns_for_others,
             callers_come_at_once=not settings.first_start,
         )
-        self.room = ConcurrencyEstimator()
-        self.runs = LocalConcurrency()
-        self.warmup = WarmupLimiter(clock, time.process_time())
+        self.concurrency_estimator = ConcurrencyEstimator()
+        self.local_concurrency = LocalConcurrency()
+        self.warmup_limiter = WarmupLimiter(clock, time.process_time())
         self._services: Mapping[str, ServiceInfo] = {}
         self._limits = AdmissionLimits()
         self.admission = DeadlineAdmission(
             None,
-            PaceGate(clock, self.pulse) if switches.hold else OpenStartGate(),
+            PaceGate(clock, self.load_monitor)
+            if switches.hold
+            else OpenStartGate(),
             congestion_threshold_s=CONGESTION_THRESHOLD_S
             if switches.newest_first
             else math.inf,
@@ -120,8 +122,8 @@
             sender=sender,
             dialect=dialect,
             recorder=watch,
-            monitor=self.pulse,
-            on_replaced=self._replaced,
+            monitor=self.load_monitor,
+            on_replaced=self._on_server_replaced,
         )
         self.pipeline = TargetPipeline(
             clock=clock,
@@ -130,23 +132,23 @@
             server=self.server,
             recorder=watch,
             exchange=exchange,
-            pace=self.pulse.current_pace,
-            on_run=self._ran,
-            send_limiter=self.warmup,
+            pace=self.load_monitor.current_pace,
+            on_run=self._on_run,
+            send_limiter=self.warmup_limiter,
             run_times=RunTimeEstimator() if switches.run_times else None,
-            link_free_kbps=link_kbps,
-            concurrency=self.runs,
+            link_free_kbps=link_free_kbps,
+            concurrency=self.local_concurrency,
         )
-        self.keeper = LoadPoller(
+        self.load_poller = LoadPoller(
             clock=clock,
             sender=sender,
             dialect=dialect,
-            monitor=self.pulse,
+            monitor=self.load_monitor,
             view=self._view,
-            on_response=self._checked,
+            on_response=self._on_health_response,
             on_unreachable=watch.record_connect_failure,
         )
-        self.pulse.subscribe(self.pipeline.start_deferred)
+        self.load_monitor.subscribe(self.pipeline.start_deferred)
         self._watch = watch
         self._log = PartLogger("target", clock)
         self._settings = settings
@@ -157,23 +159,23 @@
         changed = self.server.register(told)
         if self.server.process_count != before:
             self._watch.record_restart()
-            self.pulse.reset()
-            self.room.reset()
+            self.load_monitor.reset()
+            self.concurrency_estimator.reset()
             self.quarantine.set_service(self.server.service)
             self._follow_service()
-            self.warmup.record_start(told.warmup_left_s)
+            self.warmup_limiter.record_start(told.warmup_left_s)
         elif told.incarnation == self.server.incarnation:
-            self.warmup.record_heartbeat(told.warmup_left_s)
-        self._resize()
+            self.warmup_limiter.record_heartbeat(told.warmup_left_s)
+        self._update_limits()
         return changed
 
     def adopt(self, cfg: RouteConfig) -> None:
         """Follows a new configuration."""
         self._services = cfg.services
         self._follow_service()
-        self._resize()
+        self._update_limits()
 
-    def follow_emptied(self, domains: EvacuatedDomains) -> None:
+    def apply_evacuation(self, domains: EvacuatedDomains) -> None:
         """Follows which failure domains are emptied.
 
         What waits goes elsewhere at once, while it still has time. A server may
@@ -187,7 +189,7 @@
         if self.server.is_domain_evacuated and refused is not None:
             self.admission.refuse_all(refused)
         if was_emptied and not self.server.is_domain_evacuated:
-            self.warmup.mark_unknown(self._clock.monotonic())
+            self.warmup_limiter.mark_unknown(self._clock.monotonic())
 
     def _follow_service(self) -> None:
         """Takes what is configured of the service of the server beside."""
@@ -196,7 +198,7 @@
             return
         self._connections = info.connections
         self.server.set_health_path(info.health_path)
-        self.warmup.configure(self._warmup_law(info))
+        self.warmup_limiter.configure(self._warmup_law(info))
 
     def _warmup_law(self, info: ServiceInfo) -> WarmupLimit | None:
         if info.warmup_per_s is None:
@@ -219,7 +221,7 @@
             return None
         return ServerView(self._settings.server, health_path=path)
 
-    def _checked(
+    def _on_health_response(
         self, answer: ResponseMetadata, good: bool, asked: float
     ) -> None:
         """Takes what a health check that was sent at `asked` told.
@@ -229,10 +231,10 @@
         a node which began anew need not wait for the next heartbeat.
         """
         if self.server.is_down:
-            self.warmup.mark_unknown(asked)
+            self.warmup_limiter.mark_unknown(asked)
         self.server.mark_reachable()
         if answer.warmup_left_s is not None:
-            self.warmup.record_check(answer.warmup_left_s, asked)
+            self.warmup_limiter.record_check(answer.warmup_left_s, asked)
         if not good or not answer.incarnation:
             return
         if self.server.incarnation or self.server.has_ended(answer.incarnation):
@@ -250,25 +252,27 @@
             )
         )
         if answer.warmup_left_s is None:
-            self.warmup.mark_unknown(asked)
+            self.warmup_limiter.mark_unknown(asked)
 
-    def _replaced(self, meant: str, incarnation: str) -> None:
+    def _on_server_replaced(self, meant: str, incarnation: str) -> None:
         """Takes that `incarnation` answered where `meant` was to."""
         self.server.record_answering_incarnation(meant, incarnation)
-        self.warmup.mark_unknown(self._clock.monotonic())
+        self.warmup_limiter.mark_unknown(self._clock.monotonic())
 
-    def _ran(self, run: CompletedRun) -> None:
+    def _on_run(self, run: CompletedRun) -> None:
         """Learns from a run how many at once are best."""
         if self._switches.room:
-            self.room.record_run(run, self._clock.monotonic())
-            self._resize()
+            self.concurrency_estimator.record_run(run, self._clock.monotonic())
+            self._update_limits()
 
-    def _resize(self) -> None:
+    def _update_limits(self) -> None:
         slots = self.server.slots or FIRST_SLOTS
         if self.server.view is None:
             slots = 0
-        room = self.room.best_concurrency(slots)
-        probes = self.room.is_probe_due(self._clock.monotonic())
+        room = self.concurrency_estimator.best_concurrency(slots)
+        probes = self.concurrency_estimator.is_probe_due(
+            self._clock.monotonic()
+        )
         limits = AdmissionLimits(
             slots=room,
             connections=max(self._connections, FIRST_SLOTS),
@@ -284,7 +288,7 @@
                 slots=slots,
                 best=room,
                 before=self._limits.slots,
-                **self.room.describe(),
+                **self.concurrency_estimator.describe(),
             )
         self._limits = limits
         self.admission.set_limits(limits)
--- a/src/radishwind/sidecar/tests/test_stop.py
+++ b/src/radishwind/sidecar/tests/test_graceful_shutdown.py
@@ -10,10 +10,10 @@
 from radishwind.http import Request
 from radishwind.http import Response
 from radishwind.node.requests_in_progress import RequestsInProgress
-from radishwind.sidecar import stop
+from radishwind.sidecar import graceful_shutdown
 from radishwind.sidecar.control import Readiness
-from radishwind.sidecar.stop import Farewell
-from radishwind.sidecar.stop import PlannedStop
+from radishwind.sidecar.graceful_shutdown import DepartureNotices
+from radishwind.sidecar.graceful_shutdown import GracefulShutdown
 
 pytestmark = pytest.mark.anyio
 
@@ -30,8 +30,10 @@
         self.done = []
         self._sleepers = []
         self._order = itertools.count()
-        monkeypatch.setattr(stop.anyio, "sleep", self.sleep)
-        monkeypatch.setattr(stop.anyio, "move_on_after", self.move_on_after)
+        monkeypatch.setattr(graceful_shutdown.anyio, "sleep", self.sleep)
+        monkeypatch.setattr(
+            graceful_shutdown.anyio, "move_on_after", self.move_on_after
+        )
 
     @property
     def now(self):
@@ -98,14 +100,16 @@
             make_refusal=lambda: Response(503, (), b"late"),
         )
         self.attempts = RequestsInProgress(self._slow, day.clock)
-        self.stop = PlannedStop(
+        self.stop = GracefulShutdown(
             clock=day.clock,
             grace_s=GRACE_S,
             readiness=self.readiness,
             callers=self.callers,
             attempts=self.attempts,
             target=Target(day),
-            farewell=Farewell(lambda: day.note("says leaving"), self._say_left),
+            farewell=DepartureNotices(
+                lambda: day.note("says leaving"), self._say_left
+            ),
         )
         self.answers = []
 
@@ -160,7 +164,9 @@
 
     await play(stage)
 
-    assert stage.day.at("says leaving") == pytest.approx(stop.NOTICE_S, abs=0.1)
+    assert stage.day.at("says leaving") == pytest.approx(
+        graceful_shutdown.NOTICE_S, abs=0.1
+    )
     names = [what for what, _ in stage.day.done]
     assert names == ["says leaving", "target leaves", "says left", "closed"]
 
@@ -192,4 +198,4 @@
 async def test_it_closes_within_the_grace_whatever_still_runs(stage):
     await play(stage, (stage.ask, 0.0), (stage.platform, 0.3))
 
-    assert stage.day.at("closed") <= GRACE_S * stop.CLOSE_PART
+    assert stage.day.at("closed") <= GRACE_S * graceful_shutdown.CLOSE_PART
--- a/src/radishwind/sidecar/tests/test_records.py
+++ b/src/radishwind/sidecar/tests/test_leaving_records_loader.py
@@ -3,8 +3,8 @@
 import pytest
 
 from radishwind.core import ManualClock
-from radishwind.sidecar import records
-from radishwind.sidecar.records import RecordsAtStart
+from radishwind.sidecar import leaving_records_loader
+from radishwind.sidecar.leaving_records_loader import LeavingRecordsLoader
 
 pytestmark = pytest.mark.anyio
 
@@ -27,7 +27,7 @@
     clock = ManualClock()
     kept = Records(clock, fails)
     told = []
-    start = RecordsAtStart(
+    start = LeavingRecordsLoader(
         clock=clock,
         records=kept,
         first_start=first_start,
@@ -43,7 +43,7 @@
 
 @pytest.fixture(autouse=True)
 def no_pause(monkeypatch):
-    monkeypatch.setattr(records, "_AGAIN_S", 0.0)
+    monkeypatch.setattr(leaving_records_loader, "_AGAIN_S", 0.0)
 
 
 async def test_they_are_read_before_a_heartbeat_is_taken():
--- a/src/radishwind/sidecar/tests/test_link_side.py
+++ b/src/radishwind/sidecar/tests/test_link_side.py
@@ -40,7 +40,7 @@
 
 
 def test_a_route_of_large_answers_is_dear_to_send_far_from_the_first(clock):
-    ways = side(clock).ways(CROSS_DOMAIN_S)
+    ways = side(clock).path_costs(CROSS_DOMAIN_S)
 
     large, small = (ways.path_cost("b", 0, name, 0.0) for name in ("l", "s"))
 
@@ -52,8 +52,8 @@
 def test_without_a_link_in_the_settings_ways_are_fixed(clock):
     made = side(clock, link_mbps=0.0)
     made.traffic.set_members((FAR,))
-    made.took_trip(FAR.address, 0.3)
-    ways, fixed = made.ways(CROSS_DOMAIN_S), FixedPathCosts("a")
+    made.record_round_trip(FAR.address, 0.3)
+    ways, fixed = made.path_costs(CROSS_DOMAIN_S), FixedPathCosts("a")
 
     for domain in ("a", "b"):
         for name in ("l", "s"):
@@ -63,13 +63,13 @@
 
 def test_a_round_trip_counts_for_the_domain_of_the_node_that_answered(clock):
     made = side(clock)
-    made.took_trip(FAR.address, 0.3)
-    assert made.trips.fresh_means_s(0.0) == {}
+    made.record_round_trip(FAR.address, 0.3)
+    assert made.round_trips.fresh_means_s(0.0) == {}
     made.traffic.set_members((FAR,))
-    made.took_trip(FAR.address, 0.3)
+    made.record_round_trip(FAR.address, 0.3)
 
-    assert made.trips.fresh_means_s(0.0) == {"b": 0.3}
+    assert made.round_trips.fresh_means_s(0.0) == {"b": 0.3}
     assert (
-        made.ways(CROSS_DOMAIN_S).path_cost("b", 0, "s", 0.0).round_trip_s
+        made.path_costs(CROSS_DOMAIN_S).path_cost("b", 0, "s", 0.0).round_trip_s
         == 0.3
     )
--- a/src/radishwind/sidecar/tests/test_quotas.py
+++ b/src/radishwind/sidecar/tests/test_quota_sharing.py
@@ -22,7 +22,7 @@
 from radishwind.quotas.messages import LeaseRequestItem
 from radishwind.routes.active_routes import ActiveRoutes
 from radishwind.routes.model import RouteConfig
-from radishwind.sidecar.quotas import QuotaSharing
+from radishwind.sidecar.quota_sharing import QuotaSharing
 
 WAIT_S = 20.0
 
--- a/src/radishwind/sidecar/tests/test_unchecked.py
+++ b/src/radishwind/sidecar/tests/test_route_verifier.py
@@ -12,8 +12,8 @@
 from radishwind.routes import Route
 from radishwind.routes import RouteConfig
 from radishwind.routes import WeightedService
-from radishwind.sidecar import unchecked
-from radishwind.sidecar.unchecked import UncheckedRoutes
+from radishwind.sidecar import route_verifier
+from radishwind.sidecar.route_verifier import RouteVerifier
 from radishwind.store.base import StoreEntry
 from radishwind.store.base import StoreUnavailableError
 
@@ -31,7 +31,7 @@
 
 @pytest.fixture(autouse=True)
 def short(monkeypatch):
-    monkeypatch.setattr(unchecked, "_AGAIN_S", 0.001)
+    monkeypatch.setattr(route_verifier, "_AGAIN_S", 0.001)
 
 
 def decode(raw):
@@ -53,7 +53,7 @@
         self.meanwhile = None
         self.calls = 0
         self.forged = []
-        self.task = UncheckedRoutes(
+        self.task = RouteVerifier(
             keyring=self.keyring,
             routes=self.routes,
             store=self,
--- a/src/radishwind/sidecar/tests/test_secret.py
+++ b/src/radishwind/sidecar/tests/test_secret_manager.py
@@ -13,12 +13,12 @@
 from radishwind.membership.contact_records import CONTACTS_KEY_PREFIX
 from radishwind.membership.contact_records import decode_contact_record
 from radishwind.peers.keyring import Keyring
-from radishwind.sidecar import secret
-from radishwind.sidecar.secret import KEY
-from radishwind.sidecar.secret import read_record
-from radishwind.sidecar.secret import SECRET_BYTES
-from radishwind.sidecar.secret import SecretKeeper
-from radishwind.sidecar.secret import SecretRecord
+from radishwind.sidecar import secret_manager
+from radishwind.sidecar.secret_manager import KEY
+from radishwind.sidecar.secret_manager import read_record
+from radishwind.sidecar.secret_manager import SECRET_BYTES
+from radishwind.sidecar.secret_manager import SecretManager
+from radishwind.sidecar.secret_manager import SecretRecord
 from radishwind.store.base import StoreAnswerLostError
 from radishwind.store.base import StoreEntry
 from radishwind.store.base import StoreUnavailableError
@@ -36,9 +36,9 @@
 
 @pytest.fixture(autouse=True)
 def short(monkeypatch):
-    monkeypatch.setattr(secret, "_LISTING_S", 0.0)
+    monkeypatch.setattr(secret_manager, "_LISTING_S", 0.0)
     for name in ("OTHERS_WAIT_S", "_FIRST_PAUSE_S", "_AGED_S"):
-        monkeypatch.setattr(secret, name, 0.01)
+        monkeypatch.setattr(secret_manager, name, 0.01)
 
 
 class Store:
@@ -103,7 +103,7 @@
         self.clock = ManualClock()
         self.keyring = Keyring(self.clock)
         rng = random.Random(number)
-        self.keeper = SecretKeeper(
+        self.keeper = SecretManager(
             keyring=self.keyring,
             store=store,
             clock=self.clock,
@@ -165,7 +165,7 @@
 async def test_others_wait_for_who_is_to_make_it(
     store, rumor_bus, running, monkeypatch
 ):
-    monkeypatch.setattr(secret, "OTHERS_WAIT_S", WITHIN_S)
+    monkeypatch.setattr(secret_manager, "OTHERS_WAIT_S", WITHIN_S)
     maker = Node(store, rumor_bus, 1)
     others = [Node(store, rumor_bus, i, makes=False) for i in range(2, 9)]
     for node in (maker, *others):
@@ -184,9 +184,9 @@
 async def test_where_nothing_is_refused_yet_an_old_answer_is_waited_for(
     store, rumor_bus, running, monkeypatch
 ):
-    monkeypatch.setattr(secret, "_AGED_READS", 10_000)
+    monkeypatch.setattr(secret_manager, "_AGED_READS", 10_000)
     # However long the maker takes, the others wait for its word.
-    monkeypatch.setattr(secret, "OTHERS_WAIT_S", 60.0)
+    monkeypatch.setattr(secret_manager, "OTHERS_WAIT_S", 60.0)
     store.behind = True
     maker = Node(store, rumor_bus, 1)
     others = [Node(store, rumor_bus, i, makes=False) for i in range(2, 9)]
@@ -416,7 +416,7 @@
     assert len(store.calls) == before + 1
 
     store.away = False
-    node.clock.advance(secret._LONGEST_DOUBT_S)
+    node.clock.advance(secret_manager._LONGEST_DOUBT_S)
     node.keyring.suspect_outdated()
     await until(lambda: node.keyring.signing_secret == b"n" * SECRET_BYTES)
     assert len(store.calls) == before + 2
--- a/src/radishwind/sidecar/tests/test_habits.py
+++ b/src/radishwind/sidecar/tests/test_service_profile.py
@@ -6,12 +6,12 @@
 from radishwind.admission.concurrency_estimator import CompletedRun
 from radishwind.admission.concurrency_estimator import ConcurrencyEstimator
 from radishwind.core import ManualClock
-from radishwind.sidecar import habits
-from radishwind.sidecar.habits import Findings
-from radishwind.sidecar.habits import HabitKeeper
-from radishwind.sidecar.habits import HabitRecord
-from radishwind.sidecar.habits import PREFIX
-from radishwind.sidecar.habits import read_record
+from radishwind.sidecar import service_profile
+from radishwind.sidecar.service_profile import LocalEstimates
+from radishwind.sidecar.service_profile import PREFIX
+from radishwind.sidecar.service_profile import ProfileSynchronizer
+from radishwind.sidecar.service_profile import read_record
+from radishwind.sidecar.service_profile import ServiceProfile
 from radishwind.store.base import StoreEntry
 from radishwind.store.base import StoreUnavailableError
 from radishwind.target.change_grid import ChangeGrid
@@ -53,9 +53,9 @@
     ):
         self.clock = ManualClock()
         pulse = LoadMonitor(self.clock)
-        self.findings = Findings(ConcurrencyEstimator(), pulse)
-        self.findings.room.best_concurrency(SLOTS)
-        self.keeper = HabitKeeper(
+        self.findings = LocalEstimates(ConcurrencyEstimator(), pulse)
+        self.findings.concurrency_estimator.best_concurrency(SLOTS)
+        self.keeper = ProfileSynchronizer(
             clock=self.clock,
             store=store,
             findings=self.findings,
@@ -65,7 +65,7 @@
             rumor_bus=rumor_bus,
         )
         self.left_s = 0.0
-        monkeypatch.setattr(habits.anyio, "sleep", self.sleep)
+        monkeypatch.setattr(service_profile.anyio, "sleep", self.sleep)
 
     async def sleep(self, for_s):
         self.clock.advance(for_s)
@@ -84,10 +84,10 @@
         for i in range(400):
             number = 5 + i % 5
             took_s = 0.1 * (1.7 if number > 7 else 1.0)
-            self.findings.room.record_run(
+            self.findings.concurrency_estimator.record_run(
                 CompletedRun(number, 0.1, took_s), i * 0.02
             )
-        assert self.findings.room.best_concurrency(SLOTS) == 7
+        assert self.findings.concurrency_estimator.best_concurrency(SLOTS) == 7
 
 
 @pytest.fixture
@@ -101,7 +101,7 @@
 
     await node.run(1.0)
 
-    assert node.findings.room.best_concurrency(SLOTS) == 7
+    assert node.findings.concurrency_estimator.best_concurrency(SLOTS) == 7
 
 
 async def test_what_is_found_is_kept_once(store, monkeypatch):
@@ -122,16 +122,16 @@
     node.find_knee()
     await node.run(5.0)
 
-    node.findings.room.reset()
+    node.findings.concurrency_estimator.reset()
 
-    assert node.findings.room.best_concurrency(SLOTS) == 7
+    assert node.findings.concurrency_estimator.best_concurrency(SLOTS) == 7
 
 
 async def test_a_period_that_does_not_hold_is_withdrawn(store, monkeypatch):
     store.kept[PREFIX + "s"] = b'{"period-s":0.15}'
     node = Node(store, monkeypatch)
     await node.run(1.0)
-    spells = node.findings.spells
+    spells = node.findings.change_grid
     for at in (1.0, 1.3):
         spells.record_change(at - 0.002, at + 0.002)
     at = 1.3
@@ -170,7 +170,7 @@
     await node.run(3.0)
 
     assert store.reads == 3
-    assert node.findings.room.best_concurrency(SLOTS) == 7
+    assert node.findings.concurrency_estimator.best_concurrency(SLOTS) == 7
 
 
 @pytest.mark.parametrize(
@@ -196,14 +196,14 @@
 
     await node.run(1.0)
 
-    assert node.findings.room.best_concurrency(SLOTS) == SLOTS
+    assert node.findings.concurrency_estimator.best_concurrency(SLOTS) == SLOTS
 
 
 async def test_what_is_seen_soon_outweighs_what_was_kept(store, monkeypatch):
     store.kept[PREFIX + "s"] = KNEE
     node = Node(store, monkeypatch)
     await node.run(1.0)
-    room = node.findings.room
+    room = node.findings.concurrency_estimator
 
     now = 0.0
     for _ in range(1500):
@@ -242,12 +242,12 @@
 
 
 def test_records_that_tell_the_same_are_alike():
-    record = HabitRecord(0.778, 1.7, 0.15)
+    record = ServiceProfile(0.778, 1.7, 0.15)
 
-    assert record.is_like(HabitRecord(0.778, 1.6, 0.1501))
-    assert not record.is_like(HabitRecord(0.667, 1.7, 0.15))
-    assert not record.is_like(HabitRecord(1.0, 1.0, 0.15))
-    assert not record.is_like(HabitRecord(0.778, 1.7, 0.1))
+    assert record.is_like(ServiceProfile(0.778, 1.6, 0.1501))
+    assert not record.is_like(ServiceProfile(0.667, 1.7, 0.15))
+    assert not record.is_like(ServiceProfile(1.0, 1.0, 0.15))
+    assert not record.is_like(ServiceProfile(0.778, 1.7, 0.1))
 
 
 class Board:
@@ -272,18 +272,18 @@
     rumor_bus = Board()
     other = Node(Store(), monkeypatch, on_duty=False, rumor_bus=rumor_bus)
     node = Node(store, monkeypatch, rumor_bus=rumor_bus)
-    node.findings.spells.interval_s = 0.15
+    node.findings.change_grid.interval_s = 0.15
 
     await node.run(10.0)
 
     assert rumor_bus.published == ["s"]
-    assert other.findings.spells.expected_s
+    assert other.findings.change_grid.expected_s
 
 
 async def test_a_node_that_is_not_on_duty_tells_nothing(store, monkeypatch):
     rumor_bus = Board()
     node = Node(store, monkeypatch, on_duty=False, rumor_bus=rumor_bus)
-    node.findings.spells.interval_s = 0.15
+    node.findings.change_grid.interval_s = 0.15
 
     await node.run(10.0)
 
@@ -307,4 +307,4 @@
 
     rumor_bus.publish("habits", key, 1, value, 1.0)
 
-    assert not node.findings.spells.expected_s
+    assert not node.findings.change_grid.expected_s
--- a/src/radishwind/sidecar/tests/test_reload.py
+++ b/src/radishwind/sidecar/tests/test_settings_reloader.py
@@ -4,8 +4,8 @@
 
 from radishwind.core import ManualClock
 from radishwind.platform.errors import PlatformMalformedError
-from radishwind.sidecar.reload import SettingsFile
-from radishwind.sidecar.reload import SettingsFollower
+from radishwind.sidecar.settings_reloader import SettingsFile
+from radishwind.sidecar.settings_reloader import SettingsReloader
 
 
 def decode(text):
@@ -24,7 +24,7 @@
 def follower(path, taken):
     file = SettingsFile(path, decode)
     assert file.load() == "one"
-    return SettingsFollower(file, ManualClock(), taken.append)
+    return SettingsReloader(file, ManualClock(), taken.append)
 
 
 def test_a_change_is_taken_once(path):
--- a/src/radishwind/sidecar/tests/test_imports.py
+++ b/src/radishwind/sidecar/tests/test_startup.py
@@ -8,8 +8,8 @@
 
 SCRIPT = """
 import sys
-from radishwind.sidecar.imports import spare_imports
-spare_imports()
+from radishwind.sidecar.startup import skip_unneeded_imports
+skip_unneeded_imports()
 import radishwind.sidecar.program
 import ssl
 print(len(ssl.create_default_context().get_ca_certs()))
--- a/src/radishwind/sidecar/tests/test_target_side.py
+++ b/src/radishwind/sidecar/tests/test_target_side.py
@@ -79,7 +79,7 @@
             sender=self.sender,
             dialect=PlatformDialect(),
             rumor_bus=NullRumorBus(),
-            ready_changed=lambda ready: None,
+            on_ready_changed=lambda ready: None,
             learns_for_others=lambda: True,
         )
         self.target.adopt(config(per_s))
@@ -98,7 +98,7 @@
 
     def empty(self, *names, revision=1):
         told = EvacuatedDomains(revision, frozenset(names))
-        self.target.follow_emptied(told)
+        self.target.apply_evacuation(told)
 
     async def run(self, rank=0):
         call = make_call(
@@ -164,14 +164,16 @@
     beside.clock.advance(5.0)
     beside.empty(revision=2)
 
-    beside.target._checked(
+    beside.target._on_health_response(
         ResponseMetadata(warmup_left_s=0.0), True, asked_before
     )
     codes = await beside.burst(MOST + 5)
 
     assert codes == [None] * MOST + [ResultCode.SERVER_COLD] * 5
     now = beside.clock.monotonic()
-    beside.target._checked(ResponseMetadata(warmup_left_s=0.0), True, now)
+    beside.target._on_health_response(
+        ResponseMetadata(warmup_left_s=0.0), True, now
+    )
     assert await beside.run() is None
 
 
@@ -181,7 +183,9 @@
     beside.target.server.mark_unreachable()
     asked = beside.clock.monotonic()
 
-    beside.target._checked(ResponseMetadata(warmup_left_s=2.9), True, asked)
+    beside.target._on_health_response(
+        ResponseMetadata(warmup_left_s=2.9), True, asked
+    )
 
     assert (await beside.burst(MOST + 1))[-1] is ResultCode.SERVER_COLD
 
@@ -191,14 +195,14 @@
     beside.beat()
     assert (await beside.burst(40))[-1] is None
 
-    beside.target._replaced("i-1", "i-2")
+    beside.target._on_server_replaced("i-1", "i-2")
 
     assert await beside.run() is ResultCode.SERVER_COLD
 
 
 async def test_a_server_that_nobody_told_of_is_bounded_from_the_first_on():
     beside = Beside()
-    beside.target._checked(
+    beside.target._on_health_response(
         ResponseMetadata(incarnation="i-1"), True, beside.clock.monotonic()
     )
 
--- a/tests/test_peers_processes.py
+++ b/tests/test_peers_processes.py
@@ -16,7 +16,7 @@
 from radishwind.peers.attempts import ATTEMPT_FIELD
 from radishwind.peers.attempts import AttemptInfo
 from radishwind.peers.peer_socket import Channel
-from radishwind.sidecar.secret import KEY
+from radishwind.sidecar.secret_manager import KEY
 from radishwind.standins.platform_fleet import Fleet
 from radishwind.standins.platform_fleet import HOST
 from radishwind.standins.platform_fleet import Place
--- a/tests/test_start_processes.py
+++ b/tests/test_start_processes.py
@@ -16,8 +16,8 @@
 
 #: Says when it is past the first statement of the program.
 SCRIPT = """
-from radishwind.sidecar.imports import heed_signals_until_started
-heed_signals_until_started()
+from radishwind.sidecar.startup import install_startup_signal_handlers
+install_startup_signal_handlers()
 print("began", flush=True)
 import time
 time.sleep(30)
