--- a/src/radishwind/node/gossip_datagrams.py
+++ b/src/radishwind/node/gossip_datagrams.py
@@ -1,9 +1,9 @@
-"""Carries the short messages of membership by datagram.
+"""Carries short gossip messages as datagrams.
 
-Membership needs little of what an HTTP exchange gives and costs at both ends:
-what is pushed wants no answer, and a probe that is lost is made again. On a
-start of 195 nodes each sent some 920 messages by HTTP in 6.5 s (counts of a
-profile); what one costs beside a datagram was not measured apart.
+Gossip needs few of the guarantees of an HTTP exchange, which costs both ends
+more: pushes need no reply, and lost probes are repeated. When 195 nodes
+started, a profile counted some 920 messages by HTTP per node within 6.5 s; the
+cost of an HTTP exchange relative to a datagram has not been measured.
 """
 
 from collections.abc import Callable
@@ -24,120 +24,132 @@
 from radishwind.peers.peer_socket import Channel
 from radishwind.peers.peer_socket import PeerSocket
 
-#: Takes a message that came unasked; returns the answer to it.
-Receiver: TypeAlias = Callable[[Message], Message]
+#: Called with a message that another node began with; returns the reply.
+MessageHandler: TypeAlias = Callable[[Message], Message]
 
-#: Takes the other node's address and how long a round trip took (s).
+#: Called with the other node's address and the round-trip time (s).
 RoundTripCallback: TypeAlias = Callable[[Address, float], None]
 
-#: Part of its time after which a question without an answer goes by HTTP: a
-#: datagram may be lost where a connection still gets through.
-QUESTION_PART = 0.5
+#: Fraction of its timeout after which a request without a reply is sent by
+#: HTTP: datagrams may be lost on a path where a connection still gets through.
+DATAGRAM_TIMEOUT_FRACTION = 0.5
 
-#: Messages whose answer says nothing.
-_TOLD = (MessagePurpose.NOTIFY, MessagePurpose.REQUEST_PROBE)
+#: Purposes of messages whose reply carries nothing.
+_ONE_WAY_PURPOSES = (MessagePurpose.NOTIFY, MessagePurpose.REQUEST_PROBE)
 
-#: Questions that fit a datagram, with their answers.
-_ASKED = (
+#: Purposes of requests that fit a datagram, as do their replies.
+_REQUEST_PURPOSES = (
     MessagePurpose.PROBE,
     MessagePurpose.RELAYED_PROBE,
     MessagePurpose.REJOIN,
 )
 
-_FIRST_NUMBERS = 2**32
+_MAX_FIRST_EXCHANGE_ID = 2**32
 
 
-class _Question:
-    """A question on its way: to whom, and what was answered."""
+class _PendingRequest:
+    """A request in flight: its receiver, and the reply once it arrived."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
-        self.answered = anyio.Event()
-        self.answer: Message | None = None
+        self.replied = anyio.Event()
+        self.reply: Message | None = None
 
 
 class GossipDatagrams:
-    """Sends what fits a datagram, and pairs answers with questions."""
+    """Sends messages that fit a datagram; matches replies to requests."""
 
     def __init__(
         self,
         socket: PeerSocket,
         rng: random.Random,
-        receive: Receiver,
+        handle_message: MessageHandler,
         clock: Clock,
-        round_trip: RoundTripCallback | None = None,
+        on_round_trip: RoundTripCallback | None = None,
     ) -> None:
-        """Takes its channel of `socket`.
+        """Registers the handler of the gossip channel with `socket`.
 
         Args:
-          socket: the socket between nodes.
-          rng: chooses the first number, so that answers to an earlier start
-            of this node are told apart.
-          receive: takes the messages that come unasked.
+          socket: the UDP socket between nodes.
+          rng: chooses the first exchange ID, so that replies to requests of an
+            earlier process of this node match none of this one.
+          handle_message: called with messages that other nodes began with.
           clock: times round trips.
-          round_trip: takes each one that was answered.
+          on_round_trip: called with each round trip.
         """
         self._clock = clock
-        self._round_trip = round_trip
+        self._on_round_trip = on_round_trip
         self._socket = socket
-        self._receive = receive
-        self._number = rng.randrange(1, _FIRST_NUMBERS)
-        self._questions: dict[int, _Question] = {}
-        socket.add_handler(Channel.GOSSIP, self._received)
+        self._handle_message = handle_message
+        self._last_exchange_id = rng.randrange(1, _MAX_FIRST_EXCHANGE_ID)
+        self._pending: dict[int, _PendingRequest] = {}
+        socket.add_handler(Channel.GOSSIP, self._receive)
 
-    def tell(self, call: OutgoingMessage) -> bool:
-        """Returns whether `call` wants no answer and was sent.
+    def notify(self, outgoing: OutgoingMessage) -> bool:
+        """Sends a one-way message; `False` if it needs HTTP.
 
-        A contact whose name isn't known is met by HTTP, which shows whether
-        anybody is there.
+        A contact whose name isn't known is sent HTTP messages, which show
+        whether a node listens there.
         """
-        if call.purpose not in _TOLD or not call.member:
+        if outgoing.purpose not in _ONE_WAY_PURPOSES or not outgoing.member:
             return False
-        return self._send(Envelope(0, False, call.message), call.address)
+        return self._send(
+            Envelope(0, False, outgoing.message), outgoing.address
+        )
 
-    async def ask(self, call: OutgoingMessage) -> Message | None:
-        """Returns the answer to `call`; `None` if none came in its part."""
-        if call.purpose not in _ASKED:
+    async def request(self, outgoing: OutgoingMessage) -> Message | None:
+        """Sends a request and returns the reply.
+
+        Returns:
+          The reply; `None` if the message needs HTTP, or no reply came within
+          `DATAGRAM_TIMEOUT_FRACTION` of the timeout.
+        """
+        if outgoing.purpose not in _REQUEST_PURPOSES:
             return None
-        self._number += 1
-        number = self._number
-        question = _Question(call.address)
-        self._questions[number] = question
-        began = self._clock.monotonic()
+        self._last_exchange_id += 1
+        exchange_id = self._last_exchange_id
+        pending = _PendingRequest(outgoing.address)
+        self._pending[exchange_id] = pending
+        started = self._clock.monotonic()
         try:
-            if self._send(Envelope(number, False, call.message), call.address):
-                with anyio.move_on_after(call.timeout_s * QUESTION_PART):
-                    await question.answered.wait()
+            if self._send(
+                Envelope(exchange_id, False, outgoing.message),
+                outgoing.address,
+            ):
+                with anyio.move_on_after(
+                    outgoing.timeout_s * DATAGRAM_TIMEOUT_FRACTION
+                ):
+                    await pending.replied.wait()
         finally:
-            del self._questions[number]
-        if question.answer is not None and self._round_trip is not None:
-            trip_s = self._clock.monotonic() - began
-            self._round_trip(call.address, trip_s)
-        return question.answer
+            del self._pending[exchange_id]
+        if pending.reply is not None and self._on_round_trip is not None:
+            round_trip_s = self._clock.monotonic() - started
+            self._on_round_trip(outgoing.address, round_trip_s)
+        return pending.reply
 
     def _send(self, envelope: Envelope, address: Address) -> bool:
         data = encode_envelope(envelope)
         return self._socket.send(Channel.GOSSIP, data, (address,))
 
-    def _received(self, data: bytes, sender: Address) -> bool:
+    def _receive(self, data: bytes, sender: Address) -> bool:
         try:
             envelope = decode_envelope(data)
         except MessageError:
             return False
         if envelope.is_reply:
-            return self._take_answer(envelope, sender)
-        answer = self._receive(envelope.message)
+            return self._receive_reply(envelope, sender)
+        reply = self._handle_message(envelope.message)
         if envelope.exchange_id:
-            self._send(Envelope(envelope.exchange_id, True, answer), sender)
+            self._send(Envelope(envelope.exchange_id, True, reply), sender)
         return True
 
-    def _take_answer(self, envelope: Envelope, sender: Address) -> bool:
-        question = self._questions.get(envelope.exchange_id)
-        if question is None:
-            # Late, or to an earlier start of this node.
+    def _receive_reply(self, envelope: Envelope, sender: Address) -> bool:
+        pending = self._pending.get(envelope.exchange_id)
+        if pending is None:
+            # The reply is late, or to an earlier process of this node.
             return True
-        if question.address != sender:
+        if pending.address != sender:
             return False
-        question.answer = envelope.message
-        question.answered.set()
+        pending.reply = envelope.message
+        pending.replied.set()
         return True
--- a/src/radishwind/node/membership_tasks.py
+++ b/src/radishwind/node/membership_tasks.py
@@ -1,4 +1,4 @@
-"""Runs membership: the timers and messages of the state machine."""
+"""Drives the gossip state machine: runs its timers, sends its messages."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -45,18 +45,26 @@
 from radishwind.store import StoreEntry
 from radishwind.telemetry.logs import PartLogger
 
-#: Messages on their way at once; further ones count as lost.
+#: HTTP exchanges in flight at once; further messages are dropped.
 _MAX_IN_FLIGHT = 64
-#: How long a stopping node waits for the answers to its last message (s).
-_LAST_WORD_S = 1.0
-#: Names of members that are gone in the status; they are counted anyway.
-_NAMES_TOLD = 20
+#: How long a stopping node waits for the replies to its last message (s).
+_LEFT_NOTICE_TIMEOUT_S = 1.0
+#: Names of dead or left members listed in the status. The counts of members by
+#: state include those beyond.
+_MAX_NAMES_IN_STATUS = 20
 
 _JSON = (("Content-Type", "application/json"),)
 
 
 class MembershipTasks:
-    """Owns the state machine of membership and the tasks around it."""
+    """Owns the gossip state machine of a node and the tasks that drive it.
+
+    Attributes:
+      gossip: the state machine.
+      directory: the members as the other parts of the node see them.
+      rumor_bus: publishes and receives rumors by gossip.
+      traffic: counts of messages by HTTP.
+    """
 
     def __init__(
         self,
@@ -73,20 +81,22 @@
         on_round_trip: RoundTripCallback | None = None,
         on_listed: Callable[[StoreEntry], None] | None = None,
     ) -> None:
-        """Wires membership.
+        """Creates the state machine; `run` starts the tasks.
 
         Args:
-          settings: of the node.
+          settings: settings of the node.
           clock: the clock.
           rng: the random source.
-          allowlist: whom the inventory lists.
+          allowlist: which members may take work.
           client: sends messages by HTTP.
-          store: holds the contacts.
-          options: of gossip; by default those of `settings`.
-          discovery: of the search for peers; by default those of `settings`.
-          socket: carries short messages; by default none goes by datagram.
-          on_listed: takes each entry that is listed with the contacts.
-          on_round_trip: takes how long short messages took there and back.
+          store: holds the contact records.
+          options: of gossip; by default taken from `settings`.
+          discovery: of the search for peers; by default taken from `settings`.
+          socket: carries short messages as datagrams; by default all messages
+            go by HTTP.
+          on_listed: called with each store entry listed with the contacts.
+          on_round_trip: called with the round-trip time of each datagram that
+            was answered.
         """
         self._clock = clock
         self._allowlist = allowlist
@@ -96,7 +106,7 @@
             probe_timeout_s=settings.probe_timeout_s,
         )
         self.gossip = Gossip(
-            _own_fact(settings, clock), options, rng, clock.monotonic()
+            _own_record(settings, clock), options, rng, clock.monotonic()
         )
         self.directory = GossipDirectory(
             self.gossip, allowlist, clock, options.refute_grace_s
@@ -113,7 +123,7 @@
         discovery = discovery or DiscoveryOptions(
             spread_s=settings.start_spread_s
         )
-        self._finder = ContactRegistry(
+        self._contact_registry = ContactRegistry(
             store=store,
             failure_domain=settings.failure_domain,
             own=advertised_address(settings),
@@ -127,23 +137,23 @@
             clock=clock,
             rng=rng,
             gossip=self.gossip,
-            finder=self._finder,
+            contact_registry=self._contact_registry,
             options=discovery,
-            start=self._start,
+            send=self._send_all,
         )
-        self._woken = anyio.Event()
+        self._wake_event = anyio.Event()
         self._tasks: anyio.abc.TaskGroup | None = None
         self._in_flight = 0
         self._sleeps_until = 0.0
-        self.traffic = Traffic()
+        self.traffic = GossipTraffic()
         self._datagrams: GossipDatagrams | None = None
         if socket is not None:
             self._datagrams = GossipDatagrams(
-                socket, rng, self._received, clock, on_round_trip
+                socket, rng, self._receive, clock, on_round_trip
             )
 
     def listen_on(self, listener: PeerListener) -> None:
-        """Receives the messages of membership on `listener`."""
+        """Registers the handler of gossip messages with `listener`."""
         listener.add_control_handler(
             GOSSIP_CONTROL_NAME, self._handle, MAX_MESSAGE_BYTES
         )
@@ -153,149 +163,150 @@
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             tasks.start_soon(self._search.run)
-            await self._tick_forever()
+            await self._run_timers()
 
     def advertise(self, state: AdvertisedState) -> None:
-        """Tells everyone that this node drains, leaves or is back."""
-        self._start(self.gossip.advertise(state, self._now()))
+        """Advertises that this node serves, drains or leaves."""
+        self._send_all(self.gossip.advertise(state, self._now()))
 
     def set_service(self, service: str) -> None:
-        """Tells everyone that the server beside now gives `service`."""
-        self._start(self.gossip.set_service(service, self._now()))
+        """Advertises that the local backend server now provides `service`."""
+        self._send_all(self.gossip.set_service(service, self._now()))
 
     async def advertise_left(self) -> None:
-        """Tells some peers that this node is gone; the last word."""
-        calls = self.gossip.advertise(AdvertisedState.LEFT, self._now())
-        with anyio.move_on_after(_LAST_WORD_S):
+        """Notifies some peers that this node has left, as its last message."""
+        messages = self.gossip.advertise(AdvertisedState.LEFT, self._now())
+        with anyio.move_on_after(_LEFT_NOTICE_TIMEOUT_S):
             async with anyio.create_task_group() as tasks:
-                for call in calls:
-                    tasks.start_soon(self._perform, call)
+                for outgoing in messages:
+                    tasks.start_soon(self._exchange, outgoing)
 
     def report_unreachable(self, name: str) -> None:
-        """Takes a hint: the node of `name` took no connection."""
+        """Probes `name` soon, because its node accepted no connection."""
         self.gossip.probe_soon(name, self._now())
         self._wake()
 
     def node_count(self) -> int:
-        """Returns how many nodes there may be that share the store.
+        """Returns an upper estimate of how many nodes share the store.
 
-        Rather too many than too few: a node that just started knows only
-        itself, and those believed dead may be apart and still there.
+        Too high is safe, too low is not: a node that just started knows only
+        itself, and members considered dead may be partitioned and alive.
         """
         known = len(self.gossip.table.members)
         return max(known, self._allowlist.size())
 
     def found_no_peers(self) -> bool:
-        """Returns whether the store has told that no other node is there."""
+        """Returns whether the store once listed no contact but this node."""
         return self._search.found_no_peers
 
     def set_config_revision(self, revision: int) -> None:
-        """Tells peers by and by which configuration is in force here."""
+        """Sets the configuration revision that gossip messages advertise."""
         self.gossip.config_revision = revision
 
     def members_by_state(self) -> dict[str, int]:
-        """Returns how many members are known, by state."""
-        states: dict[str, int] = {}
+        """Returns the number of known members, by state."""
+        counts: dict[str, int] = {}
         for member in self.directory.members():
-            states[member.state] = states.get(member.state, 0) + 1
-        return states
+            counts[member.state] = counts.get(member.state, 0) + 1
+        return counts
 
     def status(self) -> dict[str, Any]:
-        """Returns the fields for the status of the node."""
-        states = self.members_by_state()
+        """Returns the membership fields of the node's status document."""
+        counts = self.members_by_state()
         return {
-            "members": sum(states.values()),
-            "member_states": states,
+            "members": sum(counts.values()),
+            "member_states": counts,
             "members_dead": self._gone_names(left=False),
             "members_left": self._gone_names(left=True),
             "not_in_inventory": list(self.directory.disallowed_names()),
             "incarnation": self.gossip.own_record.incarnation,
             "name_conflicts": self.gossip.name_conflicts,
             "gossip_traffic": msgspec.to_builtins(self.traffic),
-            "contact_store_calls": dict(self._finder.calls),
+            "contact_store_calls": dict(self._contact_registry.calls),
         }
 
     def _gone_names(self, *, left: bool) -> list[str]:
-        """Returns the first names of those that left, or are dead."""
+        """Returns the first names of the members that left, or are dead."""
         names = [
-            fact.name
-            for fact in self.gossip.table.members.values()
-            if fact.is_gone
-            and (fact.advertised is AdvertisedState.LEFT) is left
+            record.name
+            for record in self.gossip.table.members.values()
+            if record.is_gone
+            and (record.advertised is AdvertisedState.LEFT) is left
         ]
-        return sorted(names)[:_NAMES_TOLD]
+        return sorted(names)[:_MAX_NAMES_IN_STATUS]
 
     def _now(self) -> float:
         return self._clock.monotonic()
 
     def _wake(self) -> None:
-        self._woken.set()
+        self._wake_event.set()
 
     def _wake_if_due_sooner(self) -> None:
         if self.gossip.next_due() < self._sleeps_until:
             self._wake()
 
-    async def _tick_forever(self) -> None:
+    async def _run_timers(self) -> None:
         while True:
-            self._start(self.gossip.tick(self._now()))
+            self._send_all(self.gossip.tick(self._now()))
             self._change_logger.flush(self._now())
             self._sleeps_until = self.gossip.next_due()
             wait_s = self._sleeps_until - self._now()
             with anyio.move_on_after(max(0.0, wait_s)):
-                await self._woken.wait()
-            self._woken = anyio.Event()
+                await self._wake_event.wait()
+            self._wake_event = anyio.Event()
 
-    def _start(self, calls: Iterable[OutgoingMessage]) -> None:
-        for call in calls:
-            if self._datagrams is not None and self._datagrams.tell(call):
+    def _send_all(self, messages: Iterable[OutgoingMessage]) -> None:
+        for outgoing in messages:
+            if self._datagrams is not None and self._datagrams.notify(outgoing):
                 continue
             if self._tasks is None or self._in_flight >= _MAX_IN_FLIGHT:
-                # Not reported as failed: it is no fault of the other side.
+                # Not reported as a failure of the peer, which has no part in
+                # it.
                 self.traffic.dropped += 1
                 continue
             self._in_flight += 1
-            self._tasks.start_soon(self._perform_counted, call)
+            self._tasks.start_soon(self._exchange_counted, outgoing)
 
-    async def _perform_counted(self, call: OutgoingMessage) -> None:
+    async def _exchange_counted(self, outgoing: OutgoingMessage) -> None:
         try:
-            await self._perform(call)
+            await self._exchange(outgoing)
         finally:
             self._in_flight -= 1
 
-    async def _perform(self, call: OutgoingMessage) -> None:
+    async def _exchange(self, outgoing: OutgoingMessage) -> None:
         if self._datagrams is not None:
-            answer = await self._datagrams.ask(call)
-            if answer is not None:
-                self._take_answer(call, answer)
+            reply = await self._datagrams.request(outgoing)
+            if reply is not None:
+                self._handle_reply(outgoing, reply)
                 return
-        await self._perform_by_http(call)
+        await self._exchange_by_http(outgoing)
 
-    async def _perform_by_http(self, call: OutgoingMessage) -> None:
-        data = encode_message(call.message)
-        self.traffic.sent(len(data))
+    async def _exchange_by_http(self, outgoing: OutgoingMessage) -> None:
+        data = encode_message(outgoing.message)
+        self.traffic.record_sent(len(data))
         try:
-            answer = await self._client.call(
-                call.address, GOSSIP_CONTROL_NAME, data, call.timeout_s
+            body = await self._client.call(
+                outgoing.address, GOSSIP_CONTROL_NAME, data, outgoing.timeout_s
             )
-            message = decode_message(answer)
+            reply = decode_message(body)
         except (PeerError, MessageError):
-            self._finder.mark_unreachable(call.address)
-            self._start(self.gossip.handle_failure(call, self._now()))
+            self._contact_registry.mark_unreachable(outgoing.address)
+            self._send_all(self.gossip.handle_failure(outgoing, self._now()))
             return
-        self.traffic.received(len(answer))
-        self._take_answer(call, message)
+        self.traffic.record_received(len(body))
+        self._handle_reply(outgoing, reply)
 
-    def _take_answer(self, call: OutgoingMessage, answer: Message) -> None:
-        self._finder.mark_reachable(call.address)
-        self._start(self.gossip.handle_reply(call, answer, self._now()))
+    def _handle_reply(self, outgoing: OutgoingMessage, reply: Message) -> None:
+        self._contact_registry.mark_reachable(outgoing.address)
+        self._send_all(self.gossip.handle_reply(outgoing, reply, self._now()))
         self._wake_if_due_sooner()
 
-    def _received(self, message: Message) -> Message:
-        """Takes a message that came unasked; returns the answer to it."""
-        answer, calls = self.gossip.receive(message, self._now())
-        self._start(calls)
+    def _receive(self, message: Message) -> Message:
+        """Handles a message that another node began with; returns the reply."""
+        reply, messages = self.gossip.receive(message, self._now())
+        self._send_all(messages)
         self._wake_if_due_sooner()
-        return answer
+        return reply
 
     async def _handle(self, request: Request) -> Response:
         body = await whole_body(request.body)
@@ -303,23 +314,23 @@
             message = decode_message(body)
         except MessageError as exc:
             return problem_response(exc.code, exc.args[0], "not-run")
-        self.traffic.received(len(body))
-        data = encode_message(self._received(message))
-        self.traffic.sent(len(data))
+        self.traffic.record_received(len(body))
+        data = encode_message(self._receive(message))
+        self.traffic.record_sent(len(data))
         return Response(200, _JSON, data, len(data))
 
 
-class Traffic(msgspec.Struct):
-    """Messages and payload bytes of membership by HTTP since the start.
+class GossipTraffic(msgspec.Struct):
+    """Counts of gossip messages and payload bytes by HTTP since the start.
 
-    Datagrams are counted by their socket.
+    Datagrams are counted by `PeerSocket`.
 
     Attributes:
-      messages_sent: messages and answers sent.
-      bytes_sent: their length without HTTP's own fields (bytes).
-      messages_received: messages and answers received.
-      bytes_received: their length, likewise (bytes).
-      dropped: messages not sent since too many were on their way.
+      messages_sent: messages and replies sent.
+      bytes_sent: size of their bodies, without HTTP header fields (bytes).
+      messages_received: messages and replies received.
+      bytes_received: size of their bodies, likewise (bytes).
+      dropped: messages not sent because too many were in flight.
     """
 
     messages_sent: int = 0
@@ -328,26 +339,27 @@
     bytes_received: int = 0
     dropped: int = 0
 
-    def sent(self, size_bytes: int) -> None:
-        """Counts a message or answer sent."""
+    def record_sent(self, size_bytes: int) -> None:
+        """Counts a message or reply that was sent."""
         self.messages_sent += 1
         self.bytes_sent += size_bytes
 
-    def received(self, size_bytes: int) -> None:
-        """Counts a message or answer received."""
+    def record_received(self, size_bytes: int) -> None:
+        """Counts a message or reply that was received."""
         self.messages_received += 1
         self.bytes_received += size_bytes
 
 
-def _own_fact(settings: NodeSettings, clock: Clock) -> MemberRecord:
-    # The wall clock keeps incarnations rising over restarts without a disk;
-    # where it went back, peers tell us and we raise ours above.
+def _own_record(settings: NodeSettings, clock: Clock) -> MemberRecord:
+    # Taken from the wall clock, incarnations rise over restarts although
+    # nothing is kept on disk. If the clock was set back, peers report the
+    # higher incarnation and this node exceeds it.
     incarnation = clock.wall_ms()
-    own: Address = advertised_address(settings)
+    address: Address = advertised_address(settings)
     return MemberRecord(
         settings.target,
         settings.service,
         settings.failure_domain,
-        str(own),
+        str(address),
         incarnation,
     )
--- a/src/radishwind/node/tests/test_gossip_datagrams.py
+++ b/src/radishwind/node/tests/test_gossip_datagrams.py
@@ -1,4 +1,4 @@
-"""Short messages go by datagram; a lost one is asked again by HTTP."""
+"""Tests which gossip messages go by datagram and which are left to HTTP."""
 
 import random
 
@@ -20,7 +20,7 @@
 from radishwind.peers.peer_socket import MAX_DATAGRAM_BYTES
 from radishwind.peers.peer_socket import PeerSocket
 
-ONE, OTHER = Address("10.0.0.1", 7), Address("10.0.0.2", 7)
+ADDRESS, PEER_ADDRESS = Address("10.0.0.1", 7), Address("10.0.0.2", 7)
 pytestmark = pytest.mark.anyio
 
 
@@ -29,42 +29,44 @@
     return "asyncio"
 
 
-class Net:
-    """Carries datagrams between two nodes at once; some are lost."""
+class Network:
+    """Delivers datagrams between two nodes immediately, or loses them."""
 
     def __init__(self):
-        self.transports = {}
-        self.loses = False
-        self.carried = 0
+        self.sockets = {}
+        self.is_lossy = False
+        self.sent_count = 0
 
-    def node(self, address, answers):
+    def add_node(self, address, reply):
         socket = PeerSocket()
-        got = []
+        received = []
 
-        def receive(message):
-            got.append(message)
-            return answers(message)
+        def handle_message(message):
+            received.append(message)
+            return reply(message)
 
-        made = GossipDatagrams(
-            socket, random.Random(address.host), receive, ManualClock()
+        datagrams = GossipDatagrams(
+            socket, random.Random(address.host), handle_message, ManualClock()
         )
-        socket._transport = Wire(self, address)
-        self.transports[address] = socket
-        return made, socket, got
+        socket._transport = NetworkTransport(self, address)
+        self.sockets[address] = socket
+        return datagrams, socket, received
 
 
-class Wire:
-    def __init__(self, net, address):
-        self.net = net
+class NetworkTransport:
+    """Transport of one node's socket."""
+
+    def __init__(self, network, address):
+        self.network = network
         self.address = address
 
     def is_closing(self):
         return False
 
     def sendto(self, data, to):
-        self.net.carried += 1
-        if not self.net.loses:
-            socket = self.net.transports[Address(*to)]
+        self.network.sent_count += 1
+        if not self.network.is_lossy:
+            socket = self.network.sockets[Address(*to)]
             socket.datagram_received(data, tuple(self.address))
 
 
@@ -72,107 +74,114 @@
     return Ack("other", 3)
 
 
-def call(message, purpose, member="other", timeout_s=0.02):
-    return OutgoingMessage(OTHER, message, timeout_s, purpose, member)
+def outgoing(message, purpose, member="other", timeout_s=0.02):
+    return OutgoingMessage(PEER_ADDRESS, message, timeout_s, purpose, member)
 
 
 @pytest.fixture
-def net():
-    return Net()
+def network():
+    return Network()
 
 
 @pytest.fixture
-def pair(net):
-    one, _, _ = net.node(ONE, acknowledge)
-    _, _, got = net.node(OTHER, acknowledge)
-    return one, got
+def pair(network):
+    """The datagrams of one node, and the messages the other received."""
+    datagrams, _, _ = network.add_node(ADDRESS, acknowledge)
+    _, _, received = network.add_node(PEER_ADDRESS, acknowledge)
+    return datagrams, received
 
 
-async def test_a_probe_is_answered_by_datagram(pair):
-    one, got = pair
+async def test_probe_is_answered_by_datagram(pair):
+    datagrams, received = pair
     ping = Ping("one", 1, (), (), "other")
 
-    answer = await one.ask(call(ping, MessagePurpose.PROBE))
+    reply = await datagrams.request(outgoing(ping, MessagePurpose.PROBE))
 
-    assert answer == Ack("other", 3)
-    assert got == [ping]
+    assert reply == Ack("other", 3)
+    assert received == [ping]
 
 
-async def test_a_lost_probe_has_no_answer_and_is_left_to_http(net, pair):
-    one, _ = pair
-    net.loses = True
+async def test_lost_probe_has_no_reply_and_is_left_to_http(network, pair):
+    datagrams, _ = pair
+    network.is_lossy = True
 
-    answer = await one.ask(call(Ping("one"), MessagePurpose.PROBE))
+    reply = await datagrams.request(outgoing(Ping("one"), MessagePurpose.PROBE))
 
-    assert answer is None
-    assert net.carried == 1
+    assert reply is None
+    assert network.sent_count == 1
 
 
-async def test_a_push_wants_no_answer(net, pair):
-    one, got = pair
+async def test_push_is_not_replied_to(network, pair):
+    datagrams, received = pair
     push = Push("one", 1, (MemberRecord("a", "s", "d", "10.0.0.9:1", 4),))
 
-    assert one.tell(call(push, MessagePurpose.NOTIFY))
-    assert got == [push]
-    assert net.carried == 1
+    assert datagrams.notify(outgoing(push, MessagePurpose.NOTIFY))
+    assert received == [push]
+    assert network.sent_count == 1
 
 
-async def test_a_contact_of_unknown_name_is_left_to_http(net, pair):
-    one, _ = pair
+async def test_contact_of_unknown_name_is_left_to_http(network, pair):
+    datagrams, _ = pair
 
-    assert not one.tell(call(Push("one"), MessagePurpose.NOTIFY, member=""))
-    assert net.carried == 0
+    assert not datagrams.notify(
+        outgoing(Push("one"), MessagePurpose.NOTIFY, member="")
+    )
+    assert network.sent_count == 0
 
 
-async def test_what_is_too_long_is_left_to_http(net, pair):
-    one, _ = pair
-    facts = tuple(
+async def test_message_too_long_for_a_datagram_is_left_to_http(network, pair):
+    datagrams, _ = pair
+    records = tuple(
         MemberRecord(f"member-{n}", "s" * 60, "d", "10.0.0.9:1", 4)
         for n in range(MAX_DATAGRAM_BYTES // 60)
     )
 
-    assert not one.tell(call(Push("one", 1, facts), MessagePurpose.NOTIFY))
-    assert net.carried == 0
+    assert not datagrams.notify(
+        outgoing(Push("one", 1, records), MessagePurpose.NOTIFY)
+    )
+    assert network.sent_count == 0
 
 
 @pytest.mark.parametrize(
     "purpose", [MessagePurpose.JOIN, MessagePurpose.SYNC_PAGE]
 )
-async def test_anti_entropy_is_left_to_http(net, pair, purpose):
-    one, _ = pair
+async def test_anti_entropy_is_left_to_http(network, pair, purpose):
+    datagrams, _ = pair
 
-    assert await one.ask(call(Ping("one"), purpose)) is None
-    assert net.carried == 0
+    assert await datagrams.request(outgoing(Ping("one"), purpose)) is None
+    assert network.sent_count == 0
 
 
-async def test_an_answer_from_elsewhere_is_not_taken(net):
-    one, socket, _ = net.node(ONE, acknowledge)
-    _, _other, _ = net.node(OTHER, acknowledge)
-    net.loses = True
-    answers = []
+async def test_reply_from_another_address_is_rejected(network):
+    datagrams, socket, _ = network.add_node(ADDRESS, acknowledge)
+    _, _other, _ = network.add_node(PEER_ADDRESS, acknowledge)
+    network.is_lossy = True
+    replies = []
 
     async with anyio.create_task_group() as tasks:
 
-        async def ask():
-            answers.append(
-                await one.ask(call(Ping("one"), MessagePurpose.PROBE))
+        async def request():
+            replies.append(
+                await datagrams.request(
+                    outgoing(Ping("one"), MessagePurpose.PROBE)
+                )
             )
 
-        tasks.start_soon(ask)
+        tasks.start_soon(request)
         await anyio.lowlevel.checkpoint()
-        number = one._number
-        forged = encode_envelope(Envelope(number, True, Ack("other", 9)))
+        exchange_id = datagrams._last_exchange_id
+        forged = encode_envelope(Envelope(exchange_id, True, Ack("other", 9)))
         socket.datagram_received(b"\x02" + forged, ("10.0.0.66", 7))
 
-    assert answers == [None]
+    assert replies == [None]
     assert socket.malformed_count == 1
 
 
 @pytest.mark.parametrize("data", [b"", b"\x02", b"\x02junk", b"\x09xyz"])
-async def test_what_nobody_can_read_is_counted(net, data):
-    _, socket, got = net.node(ONE, acknowledge)
+async def test_malformed_datagram_is_counted(network, data):
+    _, socket, received = network.add_node(ADDRESS, acknowledge)
 
     socket.datagram_received(data, ("10.0.0.2", 7))
 
-    assert got == []
+    assert received == []
     assert (socket.malformed_count, socket.received_count) == (1, 0)
--- a/src/radishwind/node/tests/test_peer_search.py
+++ b/src/radishwind/node/tests/test_peer_search.py
@@ -1,4 +1,4 @@
-"""A node finds others by few looks, and replaces contacts that are gone."""
+"""Tests that nodes find peers by few store calls and replace gone contacts."""
 
 import random
 
@@ -32,19 +32,25 @@
     return "asyncio"
 
 
-def fact(number, **said):
+def member_record(number, **fields):
     return MemberRecord(
-        f"t-{number}", "s", "a", f"10.0.0.1:{number}", 1, **said
+        f"t-{number}", "s", "a", f"10.0.0.1:{number}", 1, **fields
     )
 
 
 class Node:
-    """One node's search, with a store that all of them share."""
+    """The peer search of one node; all nodes share a store.
+
+    Attributes:
+      joined: addresses of the messages that the search sent.
+    """
 
     def __init__(self, number, sender, clock):
         self.clock = clock
         self.joined = []
-        self.gossip = Gossip(fact(number), GossipOptions(), random.Random(1), 0)
+        self.gossip = Gossip(
+            member_record(number), GossipOptions(), random.Random(1), 0
+        )
         address = Address("10.0.0.1", number)
         settings = NodeSettings(
             target=f"t-{number}",
@@ -55,7 +61,7 @@
             peer_listen=address,
             admin_listen=address,
         )
-        self.finder = ContactRegistry(
+        self.contact_registry = ContactRegistry(
             store=EtcdStore(sender, STORE),
             failure_domain="a",
             own=address,
@@ -68,17 +74,17 @@
             clock=clock,
             rng=random.Random(number),
             gossip=self.gossip,
-            finder=self.finder,
+            contact_registry=self.contact_registry,
             options=OPTIONS,
-            start=self._start,
+            send=self._send,
         )
 
-    def _start(self, calls):
-        self.joined += [str(call.address) for call in calls]
+    def _send(self, messages):
+        self.joined += [str(message.address) for message in messages]
 
-    def know(self, *facts):
-        for told in facts:
-            self.gossip.table.merge_member(told)
+    def add_members(self, *records):
+        for record in records:
+            self.gossip.table.merge_member(record)
 
 
 @pytest.fixture
@@ -89,149 +95,161 @@
     return [Node(number, sender, clock) for number in range(1, 5)]
 
 
-async def test_of_two_that_enter_at_once_the_later_sees_the_other(fleet):
+async def test_of_two_simultaneous_searches_one_finds_the_other(fleet):
     first, second = fleet[:2]
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(first.search._look)
-        tasks.start_soon(second.search._look)
+        tasks.start_soon(first.search._search)
+        tasks.start_soon(second.search._search)
 
     assert "10.0.0.1:2" in first.joined or "10.0.0.1:1" in second.joined
 
 
-async def test_one_that_finds_the_record_full_makes_one_call(fleet):
+async def test_search_that_finds_enough_contacts_makes_one_store_call(fleet):
     for node in fleet[:2]:
-        await node.search._look()
+        await node.search._search()
 
-    await fleet[2].search._look()
+    await fleet[2].search._search()
 
-    assert fleet[2].finder.calls == {"read": 1, "write": 0, "failed": 0}
+    assert fleet[2].contact_registry.calls == {
+        "read": 1,
+        "write": 0,
+        "failed": 0,
+    }
     assert set(fleet[2].joined) >= {"10.0.0.1:1", "10.0.0.1:2"}
 
 
-async def test_who_finds_no_contact_but_itself_is_alone(fleet):
+async def test_only_the_first_contact_found_no_peers(fleet):
     first, second = fleet[:2]
     assert not first.search.found_no_peers
 
-    await first.search._look()
-    await second.search._look()
+    await first.search._search()
+    await second.search._search()
 
     assert first.search.found_no_peers
     assert not second.search.found_no_peers
 
 
-async def test_of_two_that_enter_at_once_one_at_most_is_alone(fleet):
+async def test_of_two_simultaneous_searches_at_most_one_finds_none(fleet):
     first, second = fleet[:2]
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(first.search._look)
-        tasks.start_soon(second.search._look)
+        tasks.start_soon(first.search._search)
+        tasks.start_soon(second.search._search)
 
     assert not (first.search.found_no_peers and second.search.found_no_peers)
 
 
 @pytest.mark.parametrize("call", ["list", "transact", "get"])
-async def test_a_store_that_fails_proves_nobody_alone(fleet, monkeypatch, call):
+async def test_failed_search_does_not_count_as_finding_no_peers(
+    fleet, monkeypatch, call
+):
     async def fail(*args, **options):
-        raise StoreUnavailableError("away")
+        raise StoreUnavailableError("unavailable")
 
     node = fleet[0]
-    monkeypatch.setattr(node.finder._store, call, fail)
+    monkeypatch.setattr(node.contact_registry._store, call, fail)
     if call == "get":
-        # A first write that lost its race reads once more.
-        monkeypatch.setattr(node.finder, "_listed_entry", None)
-        monkeypatch.setattr(node.finder, "read_contacts", _nobody)
+        # Without a listed entry, as after a write that lost its race, the
+        # record is read before it is written.
+        monkeypatch.setattr(node.contact_registry, "_listed_entry", None)
+        monkeypatch.setattr(
+            node.contact_registry, "read_contacts", _read_no_contacts
+        )
 
-    await node.search._look()
+    await node.search._search()
 
     assert not node.search.found_no_peers
 
 
-async def _nobody(*, newest=False):
+async def _read_no_contacts(*, newest=False):
     return ()
 
 
-async def test_a_contact_that_stays_gone_is_replaced(fleet):
+async def test_contact_gone_at_two_checks_is_replaced(fleet):
     for node in fleet[:3]:
-        await node.search._look()
+        await node.search._search()
     third = fleet[2]
-    third.know(fact(1), fact(2))
+    third.add_members(member_record(1), member_record(2))
 
-    assert not third.search._is_to_replace_one()
-    third.know(
+    assert not third.search._should_replace_contact()
+    third.add_members(
         MemberRecord("t-1", "s", "a", "10.0.0.1:1", 2, AdvertisedState.LEFT)
     )
 
-    assert not third.search._is_to_replace_one(), "it may be starting again"
-    assert third.search._is_to_replace_one()
-    await third.search._look()
-    assert set(third.finder.contacts) == {
+    assert not third.search._should_replace_contact(), "it may be restarting"
+    assert third.search._should_replace_contact()
+    await third.search._search()
+    assert set(third.contact_registry.contacts) == {
         Address("10.0.0.1", 2),
         Address("10.0.0.1", 3),
     }
 
 
-async def test_a_contact_leaves_the_others_to_who_is_none(fleet):
+async def test_contact_does_not_replace_another_contact(fleet):
     for node in fleet[:2]:
-        await node.search._look()
+        await node.search._search()
     first = fleet[0]
 
-    assert not first.search._is_to_replace_one()
-    assert not first.search._is_to_replace_one(), "t-2 is not known, or gone"
+    assert not first.search._should_replace_contact()
+    assert not first.search._should_replace_contact(), "t-2 is unknown or gone"
 
 
 @pytest.fixture
 async def third(fleet):
-    """A node that read two contacts, and knows neither yet."""
+    """A node that read two contacts and knows neither as a member yet."""
     for node in fleet[:3]:
-        await node.search._look()
+        await node.search._search()
     fleet[2].joined.clear()
     return fleet[2]
 
 
-async def wait_for_looks(node, monkeypatch, is_over, late_s=0.0):
-    """Lets the node wait for its next look; returns the waits (s)."""
+async def run_wait(node, monkeypatch, is_over, late_s=0.0):
+    """Runs the wait for the next search; returns the durations slept (s).
+
+    Args:
+      node: the node.
+      monkeypatch: replaces `anyio.sleep`.
+      is_over: whether to end the wait.
+      late_s: how much later than due each sleep ends (s).
+    """
     slept = []
 
-    async def sleep(for_s):
-        slept.append(for_s)
-        node.clock.advance(for_s + late_s)
+    async def sleep(duration_s):
+        slept.append(duration_s)
+        node.clock.advance(duration_s + late_s)
         if is_over():
             scope.cancel()
         await anyio.lowlevel.checkpoint()
 
     monkeypatch.setattr(peer_search.anyio, "sleep", sleep)
     with anyio.CancelScope() as scope:
-        await node.search._until_next_look(1, 0)
+        await node.search._wait_for_next_search(1, 0)
     return slept
 
 
-async def test_a_contact_that_was_not_up_is_tried_again(third, monkeypatch):
-    """Of two groups that start at once neither stays apart."""
-    third.know(fact(2))
+async def test_contact_that_was_not_up_is_joined_later(third, monkeypatch):
+    """Otherwise groups of nodes that start at once could remain separate."""
+    third.add_members(member_record(2))
 
-    slept = await wait_for_looks(
-        third, monkeypatch, lambda: len(third.joined) >= 3
-    )
+    slept = await run_wait(third, monkeypatch, lambda: len(third.joined) >= 3)
 
     assert set(third.joined) == {"10.0.0.1:1"}
     assert sum(slept) <= 2 * MISSING_CONTACT_CHECKS_S[1]
 
 
-async def test_a_search_that_wakes_late_goes_on(third, monkeypatch):
-    """A busy machine wakes a task after its time; no wait is negative."""
-    third.know(fact(1))
+async def test_wait_that_wakes_late_continues(third, monkeypatch):
+    """Sleeps end late on a busy machine; no wait may become negative."""
+    third.add_members(member_record(1))
 
-    slept = await wait_for_looks(
+    slept = await run_wait(
         third, monkeypatch, lambda: third.clock.monotonic() > 30.0, late_s=1.7
     )
 
     assert min(slept) >= 0
 
 
-async def test_who_knows_all_contacts_asks_none_again(third, monkeypatch):
-    third.know(fact(1), fact(2))
+async def test_known_contacts_are_not_joined_again(third, monkeypatch):
+    third.add_members(member_record(1), member_record(2))
 
-    await wait_for_looks(
-        third, monkeypatch, lambda: third.clock.monotonic() > 30.0
-    )
+    await run_wait(third, monkeypatch, lambda: third.clock.monotonic() > 30.0)
 
     assert third.joined == []
--- a/src/radishwind/sidecar/tests/test_forged.py
+++ b/src/radishwind/sidecar/tests/test_forged.py
@@ -110,7 +110,7 @@
             self.peers.keyring.update_secret(secret, 1)
         self.adopt(accounts=accounts)
         fact = MemberRecord("b-1", "s", "b", str(PEER), 5)
-        self.node._membership._received(Push("b-1", 0, (fact,)))
+        self.node._membership._receive(Push("b-1", 0, (fact,)))
         self.heard = []
         for channel in (Channel.RECENCY, Channel.QUOTAS):
             self.peers.socket.add_handler(channel, self._hear)
@@ -440,7 +440,7 @@
 
 async def test_unsigned_forward_of_a_stranger_is_refused(here):
     here.node._membership.gossip.table.members.pop("b-1")
-    here.node._membership._received(
+    here.node._membership._receive(
         Push("b-2", 0, (MemberRecord("b-2", "s", "b", "10.0.0.3:7600", 5),))
     )
 
