--- a/src/radishwind/sidecar/control_side.py
+++ b/src/radishwind/sidecar/control_side.py
@@ -25,7 +25,7 @@
 from radishwind.sidecar.leaving_records_loader import LeavingRecordsLoader
 from radishwind.sidecar.options import FIRST_START_SPREAD_S
 from radishwind.sidecar.recency_side import RecencySide
-from radishwind.sidecar.service_profile import LEARNERS
+from radishwind.sidecar.service_profile import EARLY_LEARNERS
 from radishwind.sidecar.service_profile import LocalEstimates
 from radishwind.sidecar.service_profile import ProfileSynchronizer
 from radishwind.sidecar.target_side import SidecarTarget
@@ -87,7 +87,7 @@
         self._habits = ProfileSynchronizer(
             clock=clock,
             store=store,
-            findings=LocalEstimates(
+            estimates=LocalEstimates(
                 target.concurrency_estimator, target.load_monitor
             ),
             service=lambda: target.server.service,
@@ -163,7 +163,9 @@
 
         One that knows no other of its service learns once it has callers.
         """
-        return bool(self._others_of_service()) and self._ranks_among(LEARNERS)
+        return bool(self._others_of_service()) and self._ranks_among(
+            EARLY_LEARNERS
+        )
 
     def _ranks_among(self, count: int) -> bool:
         """Returns whether this node is one of the first of its service."""
--- a/src/radishwind/sidecar/service_profile.py
+++ b/src/radishwind/sidecar/service_profile.py
@@ -1,11 +1,11 @@
-"""What nodes found of a service's servers, kept for those that start.
-
-After a start a node knows nothing of the server beside it, and learns it while
-the callers of a whole loss of power come back. So one node of each service
-tells the others what it found, and keeps it in the platform's store: how many
-requests at once are best, and how far apart the pace changes. A node that
-starts or hears of it takes it for a beginning; what it sees itself soon
-outweighs it.
+"""The measured profile of a service's servers, shared by its nodes.
+
+A node that has just started knows nothing of its backend server and would have
+to measure it while all callers come back at once, for example after a power
+loss. So one node of each service publishes its measurements as a rumor and
+writes them to the platform's store: the best number of concurrent requests and
+the interval between changes of the pace. Other nodes, running or starting, use
+this profile as a prior, which their own measurements soon outweigh.
 """
 
 from collections.abc import Callable
@@ -28,43 +28,47 @@
 from radishwind.target.load_monitor import LoadMonitor
 from radishwind.telemetry.logs import PartLogger
 
-PREFIX = "radishwind/habits/"
+KEY_PREFIX = "radishwind/habits/"
 
-#: The topic of the rumor that tells findings, and how long it is kept (s): as
-#: long as a start of all takes, with the time that the callers wait.
+#: Topic of the rumor that carries a profile.
 TOPIC = "habits"
-_RUMOR_S = 60.0
 
-#: Nodes of a service that learn for the others before they have callers: one
-#: may stand beside a server whose pace never changes.
-LEARNERS = 2
+#: A rumor lives as long as a start of the whole system takes, including the
+#: time that callers wait.
+_RUMOR_TTL_S = 60.0
 
-#: How often a node compares what it finds with what is kept (s).
-LOOK_S = 1.0
+#: Nodes of a service that measure their server before it gets requests. Two,
+#: since one server may have a pace that never changes.
+EARLY_LEARNERS = 2
 
-#: A node writes no two findings closer together (s): with 1,100 services whose
-#: findings all change at once that is 110 writes a second, of the 400 that the
-#: platform allows to all.
-LEAST_GAP_S = 10.0
+#: Interval between comparisons of the measurements with the stored profile.
+COMPARE_INTERVAL_S = 1.0
 
-#: LocalEstimates that differ by less than these parts are the same.
-_SAME_PART = 0.05
-_SAME_SLOWER = 0.25
-_SAME_PERIOD = 0.02
+#: Minimum time between two writes of a node. With 1,100 services whose profiles
+#: all change at once, this gives 110 writes/s of the 400 writes/s that the
+#: platform grants to all nodes together.
+MIN_WRITE_INTERVAL_S = 10.0
 
-#: A start asks the store so often, and so far apart (s); what it would tell is
-#: worth nothing once it has been seen.
-READS = 5
-READ_AGAIN_S = 0.4
+#: Profiles whose fields differ by less than these tolerances count as equal.
+_PART_TOLERANCE = 0.05
+_SLOWER_REL_TOLERANCE = 0.25
+_PERIOD_REL_TOLERANCE = 0.02
+
+#: Number of attempts to read the stored profile at a start, and the time
+#: between them. Once the node has its own measurements the stored ones are
+#: worthless.
+MAX_READ_ATTEMPTS = 5
+READ_RETRY_DELAY_S = 0.4
 
 
 class ServiceProfile(msgspec.Struct, frozen=True, rename="kebab"):
-    """What was found of the servers of one service.
+    """Measured properties of the servers of one service.
 
     Attributes:
-      part: of its slots that a server has best in use; 1 for all.
-      slower: how many times as long runs take beyond it.
-      period_s: time between moments of change of the pace (s); 0 if none.
+      part: best number of concurrent requests of a server as a fraction of its
+        slots; 1 for all slots.
+      slower: factor by which runs take longer beyond that number.
+      period_s: interval between changes of the pace (s); 0 if there is none.
     """
 
     part: Annotated[float, msgspec.Meta(gt=0, le=1)] = 1.0
@@ -73,36 +77,37 @@
 
     @property
     def knee(self) -> Knee | None:
-        """The same as a learner takes it."""
+        """The knee as the concurrency estimator takes it; `None` for none."""
         return Knee(self.part, self.slower) if self.part < 1 else None
 
     def is_like(self, other: "ServiceProfile") -> bool:
-        """Returns whether both tell the same."""
+        """Returns whether both profiles are equal within the tolerances."""
         return (
-            abs(self.part - other.part) <= _SAME_PART
-            and abs(self.slower - other.slower) <= _SAME_SLOWER * other.slower
+            abs(self.part - other.part) <= _PART_TOLERANCE
+            and abs(self.slower - other.slower)
+            <= _SLOWER_REL_TOLERANCE * other.slower
             and abs(self.period_s - other.period_s)
-            <= _SAME_PERIOD * other.period_s
+            <= _PERIOD_REL_TOLERANCE * other.period_s
         )
 
 
-def read_record(value: bytes) -> ServiceProfile | None:
-    """Returns the record in `value`; `None` where nobody can read it."""
+def decode_profile(value: bytes) -> ServiceProfile | None:
+    """Returns the profile encoded in `value`; `None` if it is malformed."""
     try:
-        record = msgspec.json.decode(value, type=ServiceProfile)
+        profile = msgspec.json.decode(value, type=ServiceProfile)
     except (msgspec.MsgspecError, ValueError):
         return None
-    if 0 < record.period_s < MIN_INTERVAL_S:
+    if 0 < profile.period_s < MIN_INTERVAL_S:
         return None
-    return record
+    return profile
 
 
 class LocalEstimates(msgspec.Struct, frozen=True):
-    """Where a node's own findings are.
+    """The estimators of this node that a profile is made of.
 
     Attributes:
-      room: learns how many requests at once are best.
-      pulse: learns when the pace changes.
+      concurrency_estimator: learns the best number of concurrent requests.
+      load_monitor: learns when the pace changes.
     """
 
     concurrency_estimator: ConcurrencyEstimator
@@ -110,39 +115,39 @@
 
     @property
     def change_grid(self) -> ChangeGrid:
-        """When the pace changes."""
+        """The time points at which the pace may change."""
         return self.load_monitor.change_grid
 
-    def expect(self, record: ServiceProfile) -> None:
-        """Begins with what others found."""
-        self.concurrency_estimator.set_prior(record.knee)
-        self.load_monitor.expect_interval(record.period_s)
+    def set_prior(self, profile: ServiceProfile) -> None:
+        """Makes `profile` the prior of the estimators."""
+        self.concurrency_estimator.set_prior(profile.knee)
+        self.load_monitor.expect_interval(profile.period_s)
 
-    def merged(self, kept: ServiceProfile) -> ServiceProfile:
-        """Returns what is to be kept: what was found, else what was kept."""
+    def merge_into(self, stored: ServiceProfile) -> ServiceProfile:
+        """Returns `stored` with each property that was measured here."""
         knee = self.concurrency_estimator.knee
-        part, slower = kept.part, kept.slower
+        part, slower = stored.part, stored.slower
         if knee is not None:
             part, slower = knee.slot_fraction, knee.slowdown
         elif self.concurrency_estimator.has_no_knee:
             part, slower = 1.0, 1.0
         period_s = self.change_grid.interval_s
         if not period_s and not self.change_grid.is_expected_refuted:
-            period_s = kept.period_s
+            period_s = stored.period_s
         return ServiceProfile(
             part, max(1.0, slower), min(MAX_INTERVAL_S, period_s)
         )
 
 
 class ProfileSynchronizer:
-    """The task that reads what was kept, and keeps what is found."""
+    """The task that reads, publishes and stores the profile of the service."""
 
     def __init__(
         self,
         *,
         clock: Clock,
         store: Store,
-        findings: LocalEstimates,
+        estimates: LocalEstimates,
         service: Callable[[], str],
         is_on_duty: Callable[[], bool],
         first_start: bool,
@@ -153,23 +158,25 @@
         Args:
           clock: the clock.
           store: the platform's store.
-          findings: of this node.
-          service: returns the service of the server beside.
-          is_on_duty: returns whether this node is the one that keeps.
-          first_start: whether nothing can have been kept.
-          rumor_bus: tells the nodes that run; by default nobody.
+          estimates: the estimators of this node.
+          service: returns the service of the local backend server.
+          is_on_duty: returns whether this node publishes and stores the
+            profile for its service.
+          first_start: whether the whole system starts for the first time, so
+            that no profile can have been stored.
+          rumor_bus: carries profiles between running nodes; by default none.
         """
         self._clock = clock
         self._store = store
-        self._findings = findings
+        self._estimates = estimates
         self._service = service
         self._is_on_duty = is_on_duty
         self._first_start = first_start
-        self._kept = ServiceProfile()
-        self._kept_at = 0.0
+        self._stored = ServiceProfile()
+        self._stored_at = 0.0
         self._log = PartLogger("habits", clock)
-        # What this node told last, or heard.
-        self._told = ServiceProfile()
+        # The profile last published or received as a rumor.
+        self._shared = ServiceProfile()
         self._rumor_bus = rumor_bus or NullRumorBus()
         self._rumor_bus.subscribe(TOPIC, self._on_rumor)
 
@@ -177,96 +184,102 @@
         """Runs until cancelled."""
         if not self._first_start:
             await self._read()
-        self._kept_at = self._clock.monotonic()
+        self._stored_at = self._clock.monotonic()
         while True:
-            await anyio.sleep(LOOK_S)
-            found = self._findings.merged(self._kept)
-            # For the next life of the server beside.
-            self._findings.concurrency_estimator.set_prior(found.knee)
-            self._tell(found)
-            if self._is_due(found):
-                await self._keep(found)
+            await anyio.sleep(COMPARE_INTERVAL_S)
+            profile = self._estimates.merge_into(self._stored)
+            # Used after the next restart of the backend server.
+            self._estimates.concurrency_estimator.set_prior(profile.knee)
+            self._publish(profile)
+            if self._is_write_due(profile):
+                await self._write(profile)
 
     async def _read(self) -> None:
-        for _ in range(READS):
+        for _ in range(MAX_READ_ATTEMPTS):
             try:
-                # What is seconds old is as good: what this node sees itself
-                # soon outweighs it.
+                # A read that is seconds old is good enough, since the node's
+                # own measurements soon outweigh it.
                 entry = await self._store.get(
-                    PREFIX + self._service(), allow_stale=True
+                    KEY_PREFIX + self._service(), allow_stale=True
                 )
             except StoreError as exc:
-                self._log.info("Habits unread.", reason=str(exc)[:120])
-                await anyio.sleep(READ_AGAIN_S)
+                self._log.info(
+                    "Failed to read the service profile from the store.",
+                    reason=str(exc)[:120],
+                )
+                await anyio.sleep(READ_RETRY_DELAY_S)
                 continue
-            record = read_record(entry.value) if entry else None
-            if record is not None:
-                self._kept = record
-                self._findings.expect(record)
+            profile = decode_profile(entry.value) if entry else None
+            if profile is not None:
+                self._stored = profile
+                self._estimates.set_prior(profile)
                 self._log.change(
-                    "Begins with what others found.",
-                    part=record.part,
-                    slower=record.slower,
-                    period_s=record.period_s,
+                    "Starts with the stored service profile.",
+                    part=profile.part,
+                    slower=profile.slower,
+                    period_s=profile.period_s,
                 )
             return
 
-    def _tell(self, found: ServiceProfile) -> None:
-        """Tells the nodes that run what this one found, if that is its part."""
-        if found.is_like(self._told) or not self._is_on_duty():
+    def _publish(self, profile: ServiceProfile) -> None:
+        """Publishes a changed profile if this node is on duty."""
+        if profile.is_like(self._shared) or not self._is_on_duty():
             return
-        self._told = found
+        self._shared = profile
         version = self._clock.wall_ms()
         self._rumor_bus.publish(
-            TOPIC, self._service(), version, _encode(found), _RUMOR_S
+            TOPIC, self._service(), version, _encode(profile), _RUMOR_TTL_S
         )
 
     def _on_rumor(self, key: str, value: bytes) -> None:
-        """Begins with what another node of the service found."""
+        """Makes the profile of another node of the service the prior."""
         if key != self._service():
             return
-        record = read_record(value)
-        if record is None:
-            self._log.warning("A rumor of habits is malformed.")
+        profile = decode_profile(value)
+        if profile is None:
+            self._log.warning("Ignored a rumor with a malformed profile.")
             return
-        if record.is_like(self._told):
+        if profile.is_like(self._shared):
             return
-        self._told = record
-        self._findings.expect(record)
+        self._shared = profile
+        self._estimates.set_prior(profile)
         self._log.info(
-            "Hears what another found.",
-            part=record.part,
-            slower=record.slower,
-            period_s=record.period_s,
+            "Received the service profile from another node.",
+            part=profile.part,
+            slower=profile.slower,
+            period_s=profile.period_s,
         )
 
-    def _is_due(self, found: ServiceProfile) -> bool:
-        if found.is_like(self._kept) or not self._is_on_duty():
+    def _is_write_due(self, profile: ServiceProfile) -> bool:
+        if profile.is_like(self._stored) or not self._is_on_duty():
             return False
-        return self._clock.monotonic() - self._kept_at >= LEAST_GAP_S
+        return self._clock.monotonic() - self._stored_at >= MIN_WRITE_INTERVAL_S
 
-    async def _keep(self, found: ServiceProfile) -> None:
-        self._kept_at = self._clock.monotonic()
-        key = PREFIX + self._service()
+    async def _write(self, profile: ServiceProfile) -> None:
+        self._stored_at = self._clock.monotonic()
+        key = KEY_PREFIX + self._service()
         try:
-            await self._store.transact((), (Put(key, _encode(found)),))
+            await self._store.transact((), (Put(key, _encode(profile)),))
         except StoreError as exc:
-            self._log.info("Habits not kept.", reason=str(exc)[:120])
+            self._log.info(
+                "Failed to write the service profile to the store.",
+                reason=str(exc)[:120],
+            )
             return
-        self._kept = found
+        self._stored = profile
         self._log.change(
-            "Keeps what was found.",
-            part=found.part,
-            slower=found.slower,
-            period_s=found.period_s,
+            "Stored the service profile.",
+            part=profile.part,
+            slower=profile.slower,
+            period_s=profile.period_s,
         )
 
 
-def _encode(record: ServiceProfile) -> bytes:
+def _encode(profile: ServiceProfile) -> bytes:
     return msgspec.json.encode(
         ServiceProfile(
-            round(record.part, 3),
-            round(record.slower, 2),
-            round(record.period_s, 5),
+            round(profile.part, 3),
+            round(profile.slower, 2),
+            round(profile.period_s, 5),
         )
     )
--- a/src/radishwind/sidecar/tests/test_quota_sharing.py
+++ b/src/radishwind/sidecar/tests/test_quota_sharing.py
@@ -70,8 +70,8 @@
             routes=self.routes,
             membership=types.SimpleNamespace(
                 gossip=self.gossip,
-                unreachable=self.unreachable.append,
-                is_alone=lambda: self.alone,
+                report_unreachable=self.unreachable.append,
+                found_no_peers=lambda: self.alone,
             ),
             socket=self.socket,
         )
--- a/src/radishwind/sidecar/tests/test_service_profile.py
+++ b/src/radishwind/sidecar/tests/test_service_profile.py
@@ -1,4 +1,4 @@
-"""What was found of a service's servers outlives the nodes that found it."""
+"""A service profile outlives the nodes that measured it."""
 
 import anyio
 import pytest
@@ -7,10 +7,10 @@
 from radishwind.admission.concurrency_estimator import ConcurrencyEstimator
 from radishwind.core import ManualClock
 from radishwind.sidecar import service_profile
+from radishwind.sidecar.service_profile import decode_profile
+from radishwind.sidecar.service_profile import KEY_PREFIX
 from radishwind.sidecar.service_profile import LocalEstimates
-from radishwind.sidecar.service_profile import PREFIX
 from radishwind.sidecar.service_profile import ProfileSynchronizer
-from radishwind.sidecar.service_profile import read_record
 from radishwind.sidecar.service_profile import ServiceProfile
 from radishwind.store.base import StoreEntry
 from radishwind.store.base import StoreUnavailableError
@@ -25,7 +25,7 @@
 
 class Store:
     def __init__(self, fails=0):
-        self.kept = {}
+        self.entries = {}
         self.fails = fails
         self.reads = 0
 
@@ -33,13 +33,13 @@
         self.reads += 1
         if self.fails:
             self.fails -= 1
-            raise StoreUnavailableError("away")
-        value = self.kept.get(key)
+            raise StoreUnavailableError("unavailable")
+        value = self.entries.get(key)
         return StoreEntry(key, value, 1, 1, 0) if value else None
 
     async def transact(self, compares, operations):
         for put in operations:
-            self.kept[put.key] = put.value
+            self.entries[put.key] = put.value
 
 
 class Node:
@@ -52,42 +52,42 @@
         rumor_bus=None,
     ):
         self.clock = ManualClock()
-        pulse = LoadMonitor(self.clock)
-        self.findings = LocalEstimates(ConcurrencyEstimator(), pulse)
-        self.findings.concurrency_estimator.best_concurrency(SLOTS)
-        self.keeper = ProfileSynchronizer(
+        load_monitor = LoadMonitor(self.clock)
+        self.estimates = LocalEstimates(ConcurrencyEstimator(), load_monitor)
+        self.estimates.concurrency_estimator.best_concurrency(SLOTS)
+        self.synchronizer = ProfileSynchronizer(
             clock=self.clock,
             store=store,
-            findings=self.findings,
+            estimates=self.estimates,
             service=lambda: "s",
             is_on_duty=lambda: on_duty,
             first_start=first_start,
             rumor_bus=rumor_bus,
         )
-        self.left_s = 0.0
+        self.remaining_s = 0.0
         monkeypatch.setattr(service_profile.anyio, "sleep", self.sleep)
 
-    async def sleep(self, for_s):
-        self.clock.advance(for_s)
-        self.left_s -= for_s
-        if self.left_s < 0:
+    async def sleep(self, duration_s):
+        self.clock.advance(duration_s)
+        self.remaining_s -= duration_s
+        if self.remaining_s < 0:
             self.scope.cancel()
         await anyio.lowlevel.checkpoint()
 
-    async def run(self, for_s):
-        self.left_s = for_s
+    async def run(self, duration_s):
+        self.remaining_s = duration_s
         with anyio.CancelScope() as self.scope:
-            await self.keeper.run()
+            await self.synchronizer.run()
 
-    def find_knee(self):
-        """Sees runs that take longer beyond seven."""
+    def measure_knee(self):
+        """Records runs that take longer beyond seven at once."""
         for i in range(400):
             number = 5 + i % 5
-            took_s = 0.1 * (1.7 if number > 7 else 1.0)
-            self.findings.concurrency_estimator.record_run(
-                CompletedRun(number, 0.1, took_s), i * 0.02
+            duration_s = 0.1 * (1.7 if number > 7 else 1.0)
+            self.estimates.concurrency_estimator.record_run(
+                CompletedRun(number, 0.1, duration_s), i * 0.02
             )
-        assert self.findings.concurrency_estimator.best_concurrency(SLOTS) == 7
+        assert self.estimates.concurrency_estimator.best_concurrency(SLOTS) == 7
 
 
 @pytest.fixture
@@ -95,66 +95,68 @@
     return Store()
 
 
-async def test_a_node_that_starts_begins_with_what_is_kept(store, monkeypatch):
-    store.kept[PREFIX + "s"] = KNEE
+async def test_starting_node_uses_stored_profile_as_prior(store, monkeypatch):
+    store.entries[KEY_PREFIX + "s"] = KNEE
     node = Node(store, monkeypatch)
 
     await node.run(1.0)
 
-    assert node.findings.concurrency_estimator.best_concurrency(SLOTS) == 7
+    assert node.estimates.concurrency_estimator.best_concurrency(SLOTS) == 7
 
 
-async def test_what_is_found_is_kept_once(store, monkeypatch):
+async def test_profile_is_stored_once(store, monkeypatch):
     node = Node(store, monkeypatch)
-    node.find_knee()
+    node.measure_knee()
 
     await node.run(60.0)
 
-    record = read_record(store.kept.pop(PREFIX + "s"))
-    assert record.part == pytest.approx(7 / 9, abs=0.01)
-    assert record.slower == pytest.approx(1.7, abs=0.2)
+    profile = decode_profile(store.entries.pop(KEY_PREFIX + "s"))
+    assert profile.part == pytest.approx(7 / 9, abs=0.01)
+    assert profile.slower == pytest.approx(1.7, abs=0.2)
     await node.run(60.0)
-    assert store.kept == {}
+    assert store.entries == {}
 
 
-async def test_the_next_life_of_the_server_begins_with_it(store, monkeypatch):
+async def test_profile_is_prior_after_server_restart(store, monkeypatch):
     node = Node(store, monkeypatch, on_duty=False)
-    node.find_knee()
+    node.measure_knee()
     await node.run(5.0)
 
-    node.findings.concurrency_estimator.reset()
+    node.estimates.concurrency_estimator.reset()
 
-    assert node.findings.concurrency_estimator.best_concurrency(SLOTS) == 7
+    assert node.estimates.concurrency_estimator.best_concurrency(SLOTS) == 7
 
 
-async def test_a_period_that_does_not_hold_is_withdrawn(store, monkeypatch):
-    store.kept[PREFIX + "s"] = b'{"period-s":0.15}'
+async def test_refuted_period_is_removed_from_stored_profile(
+    store, monkeypatch
+):
+    store.entries[KEY_PREFIX + "s"] = b'{"period-s":0.15}'
     node = Node(store, monkeypatch)
     await node.run(1.0)
-    spells = node.findings.change_grid
+    change_grid = node.estimates.change_grid
     for at in (1.0, 1.3):
-        spells.record_change(at - 0.002, at + 0.002)
+        change_grid.record_change(at - 0.002, at + 0.002)
     at = 1.3
     for step in range(12):
         at += 0.4 + 0.037 * (step % 5)
-        spells.record_change(at - 0.002, at + 0.002)
-    spells.reset()
+        change_grid.record_change(at - 0.002, at + 0.002)
+    change_grid.reset()
 
     await node.run(60.0)
 
-    assert read_record(store.kept[PREFIX + "s"]).period_s == 0.0
+    assert decode_profile(store.entries[KEY_PREFIX + "s"]).period_s == 0.0
 
 
-async def test_only_one_node_keeps_it(store, monkeypatch):
+async def test_only_node_on_duty_stores_profile(store, monkeypatch):
     node = Node(store, monkeypatch, on_duty=False)
-    node.find_knee()
+    node.measure_knee()
 
     await node.run(60.0)
 
-    assert store.kept == {}
+    assert store.entries == {}
 
 
-async def test_a_first_start_reads_nothing(store, monkeypatch):
+async def test_first_start_reads_nothing(store, monkeypatch):
     node = Node(store, monkeypatch, first_start=True)
 
     await node.run(5.0)
@@ -162,15 +164,15 @@
     assert store.reads == 0
 
 
-async def test_a_store_that_is_away_is_asked_a_few_times(monkeypatch):
+async def test_read_is_retried_while_store_is_unavailable(monkeypatch):
     store = Store(fails=2)
-    store.kept[PREFIX + "s"] = KNEE
+    store.entries[KEY_PREFIX + "s"] = KNEE
     node = Node(store, monkeypatch)
 
     await node.run(3.0)
 
     assert store.reads == 3
-    assert node.findings.concurrency_estimator.best_concurrency(SLOTS) == 7
+    assert node.estimates.concurrency_estimator.best_concurrency(SLOTS) == 7
 
 
 @pytest.mark.parametrize(
@@ -187,71 +189,69 @@
         b"\xff",
     ],
 )
-async def test_a_record_of_another_writer_is_left_out(
-    store, monkeypatch, value
-):
-    assert read_record(value) is None
-    store.kept[PREFIX + "s"] = value
+async def test_malformed_stored_profile_is_ignored(store, monkeypatch, value):
+    assert decode_profile(value) is None
+    store.entries[KEY_PREFIX + "s"] = value
     node = Node(store, monkeypatch)
 
     await node.run(1.0)
 
-    assert node.findings.concurrency_estimator.best_concurrency(SLOTS) == SLOTS
+    assert node.estimates.concurrency_estimator.best_concurrency(SLOTS) == SLOTS
 
 
-async def test_what_is_seen_soon_outweighs_what_was_kept(store, monkeypatch):
-    store.kept[PREFIX + "s"] = KNEE
+async def test_measurements_soon_outweigh_stored_profile(store, monkeypatch):
+    store.entries[KEY_PREFIX + "s"] = KNEE
     node = Node(store, monkeypatch)
     await node.run(1.0)
-    room = node.findings.concurrency_estimator
+    estimator = node.estimates.concurrency_estimator
 
     now = 0.0
     for _ in range(1500):
-        number = room.best_concurrency(SLOTS) + room.is_probe_due(now)
+        number = estimator.best_concurrency(SLOTS) + estimator.is_probe_due(now)
         now += 0.1 / number
-        room.record_run(CompletedRun(number, 0.1, 0.1), now)
+        estimator.record_run(CompletedRun(number, 0.1, 0.1), now)
 
-    assert room.best_concurrency(SLOTS) == SLOTS
+    assert estimator.best_concurrency(SLOTS) == SLOTS
 
 
-def test_a_period_that_was_kept_is_believed_after_two_changes():
-    spells = ChangeGrid()
-    spells.expect_interval(0.15)
+def test_expected_interval_is_confirmed_by_two_changes():
+    change_grid = ChangeGrid()
+    change_grid.expect_interval(0.15)
 
-    spells.record_change(0.998, 1.002)
-    assert not spells.interval_s
-    spells.record_change(1.448, 1.452)
+    change_grid.record_change(0.998, 1.002)
+    assert not change_grid.interval_s
+    change_grid.record_change(1.448, 1.452)
 
-    assert spells.interval_s == pytest.approx(0.15)
-    assert spells.last_change_point(1.52) == pytest.approx(1.45, abs=0.01)
+    assert change_grid.interval_s == pytest.approx(0.15)
+    assert change_grid.last_change_point(1.52) == pytest.approx(1.45, abs=0.01)
 
 
-def test_a_period_that_does_not_hold_any_more_is_given_up():
-    spells = ChangeGrid()
-    spells.expect_interval(0.15)
+def test_expected_interval_is_dropped_when_changes_contradict_it():
+    change_grid = ChangeGrid()
+    change_grid.expect_interval(0.15)
     for at in (1.0, 1.3):
-        spells.record_change(at - 0.002, at + 0.002)
-    assert spells.interval_s
+        change_grid.record_change(at - 0.002, at + 0.002)
+    assert change_grid.interval_s
 
     at = 1.3
     for step in range(12):
         at += 0.4 + 0.037 * (step % 5)
-        spells.record_change(at - 0.002, at + 0.002)
+        change_grid.record_change(at - 0.002, at + 0.002)
 
-    assert spells.interval_s != pytest.approx(0.15)
+    assert change_grid.interval_s != pytest.approx(0.15)
 
 
-def test_records_that_tell_the_same_are_alike():
-    record = ServiceProfile(0.778, 1.7, 0.15)
+def test_profiles_equal_within_tolerances_are_alike():
+    profile = ServiceProfile(0.778, 1.7, 0.15)
 
-    assert record.is_like(ServiceProfile(0.778, 1.6, 0.1501))
-    assert not record.is_like(ServiceProfile(0.667, 1.7, 0.15))
-    assert not record.is_like(ServiceProfile(1.0, 1.0, 0.15))
-    assert not record.is_like(ServiceProfile(0.778, 1.7, 0.1))
+    assert profile.is_like(ServiceProfile(0.778, 1.6, 0.1501))
+    assert not profile.is_like(ServiceProfile(0.667, 1.7, 0.15))
+    assert not profile.is_like(ServiceProfile(1.0, 1.0, 0.15))
+    assert not profile.is_like(ServiceProfile(0.778, 1.7, 0.1))
 
 
-class Board:
-    """Hands each rumor to every node at once."""
+class SynchronousRumorBus:
+    """Delivers each rumor to every subscriber at once."""
 
     def __init__(self):
         self.handlers = []
@@ -266,24 +266,24 @@
             handler(key, value)
 
 
-async def test_what_one_node_finds_the_others_of_its_service_expect(
+async def test_published_profile_is_prior_of_other_nodes_of_service(
     store, monkeypatch
 ):
-    rumor_bus = Board()
+    rumor_bus = SynchronousRumorBus()
     other = Node(Store(), monkeypatch, on_duty=False, rumor_bus=rumor_bus)
     node = Node(store, monkeypatch, rumor_bus=rumor_bus)
-    node.findings.change_grid.interval_s = 0.15
+    node.estimates.change_grid.interval_s = 0.15
 
     await node.run(10.0)
 
     assert rumor_bus.published == ["s"]
-    assert other.findings.change_grid.expected_s
+    assert other.estimates.change_grid.expected_s
 
 
-async def test_a_node_that_is_not_on_duty_tells_nothing(store, monkeypatch):
-    rumor_bus = Board()
+async def test_node_not_on_duty_publishes_nothing(store, monkeypatch):
+    rumor_bus = SynchronousRumorBus()
     node = Node(store, monkeypatch, on_duty=False, rumor_bus=rumor_bus)
-    node.findings.change_grid.interval_s = 0.15
+    node.estimates.change_grid.interval_s = 0.15
 
     await node.run(10.0)
 
@@ -299,12 +299,12 @@
         ("s", b'{"period-s":0.000001}'),
     ],
 )
-async def test_no_word_is_taken_that_is_of_another_service_or_unreadable(
+async def test_rumor_of_other_service_or_malformed_is_ignored(
     store, monkeypatch, key, value
 ):
-    rumor_bus = Board()
+    rumor_bus = SynchronousRumorBus()
     node = Node(store, monkeypatch, on_duty=False, rumor_bus=rumor_bus)
 
     rumor_bus.publish("habits", key, 1, value, 1.0)
 
-    assert not node.findings.change_grid.expected_s
+    assert not node.estimates.change_grid.expected_s
