--- a/src/radishwind/sidecar/peer_side.py
+++ b/src/radishwind/sidecar/peer_side.py
@@ -108,13 +108,13 @@
           start_anew: ends the process, to begin without what it believes.
         """
         self._directory = membership.directory
-        self._keeper = SecretManager(
+        self._secret_manager = SecretManager(
             keyring=self.keyring,
             store=store,
             clock=self._clock,
             rng=rng,
             rumor_bus=membership.rumor_bus,
-            makes=self._ranks_first,
+            is_creator=self._ranks_first,
             spread_s=start_spread_s(self._settings),
             entropy=os.urandom,
         )
@@ -142,13 +142,13 @@
 
     def listed(self, entry: StoreEntry) -> None:
         """Takes an entry that was listed with the contacts."""
-        self._keeper.listed(entry)
+        self._secret_manager.on_listed(entry)
 
     async def run(self) -> None:
         """Finds the secret when it is needed, until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._unchecked.run)
-            await self._keeper.run()
+            await self._secret_manager.run()
 
     def refused(self) -> dict[str, int]:
         """Returns how many messages were refused, by what and why."""
--- a/src/radishwind/sidecar/secret_manager.py
+++ b/src/radishwind/sidecar/secret_manager.py
@@ -1,9 +1,9 @@
-"""Keeps the secret of the fleet: finds it in the store, or makes it there.
+"""Reads the fleet secret from the store, or creates it there.
 
-The record lies beside the contacts of membership, which each start lists
-anyway. Who finds none writes one on the condition that there is none, so that
-one writer wins. Nodes tell each other that there is a record, never the
-secret.
+The record lies under the prefix of the membership contacts, which each node
+lists at its start anyway. A node that finds no record writes one on the
+condition that none exists, so exactly one writer wins. Nodes announce the
+revision of the record to each other by a rumor, never the secret itself.
 """
 
 from collections.abc import Callable
@@ -26,54 +26,53 @@
 from radishwind.store.budgeted_store import Backoff
 from radishwind.telemetry.logs import PartLogger
 
-#: No failure domain has this name.
+#: Cannot collide with a contact record, since no failure domain has this name.
 KEY = CONTACTS_PREFIX + ".peers"
 
-#: The topic of the rumor that tells the revision of the record, and how long
-#: it is kept (s).
+#: Topic of the rumor that carries the revision of the record.
 TOPIC = "peer-secret"
-_RUMOR_S = 60.0
+_RUMOR_TTL_S = 60.0
 
 SECRET_BYTES = 32
 
-#: Who isn't to make the record waits this long for who is (s).
-OTHERS_WAIT_S = 1.0
+#: Time that a node which is not to create the record waits for the one that is.
+CREATOR_WAIT_S = 1.0
 
-#: What listing the contacts takes (s), with time for a busy store.
+#: Duration of the listing of the contacts, with time for a busy store.
 _LISTING_S = 0.05
 
-#: Answers of the store that may be old are read so often, and so far apart (s),
-#: until they show a record just made: while nothing is refused yet, where all
-#: nodes at once would ask for the newest.
-_AGED_READS = 3
-_AGED_S = 2.0
+#: Number of stale reads that wait for a record just created, and the delay
+#: before each. Used during the grace period, when no message is refused yet and
+#: all nodes would otherwise send linearizable reads at the same time.
+_STALE_READS = 3
+_STALE_READ_DELAY_S = 2.0
 
-#: Pauses between looks that brought nothing new (s).
-_FIRST_PAUSE_S = 0.2
-_LONGEST_PAUSE_S = 2.0
+#: Backoff between attempts to read or create the record.
+_INITIAL_BACKOFF_S = 0.2
+_MAX_BACKOFF_S = 2.0
 
-#: Pauses between looks for a newer secret than the one known (s). Forged
-#: messages cause them too.
-_FIRST_DOUBT_S = 1.0
-_LONGEST_DOUBT_S = 60.0
+#: Backoff between reads for a newer secret than the known one. Forged messages
+#: cause such reads too.
+_INITIAL_REFRESH_BACKOFF_S = 1.0
+_MAX_REFRESH_BACKOFF_S = 60.0
 
 
 class SecretRecord(msgspec.Struct, frozen=True):
     """The record in the store.
 
     Attributes:
-      secret: of all nodes.
+      secret: the secret shared by all nodes of the fleet.
     """
 
     secret: bytes
 
     def __repr__(self) -> str:
-        # What is shown may be logged.
+        # A representation may be logged and must not reveal the secret.
         return "SecretRecord(...)"
 
 
 def read_record(value: bytes) -> SecretRecord | None:
-    """Returns the record in `value`; `None` where there is no good one."""
+    """Returns the record encoded in `value`; `None` if it is malformed."""
     try:
         record = msgspec.json.decode(value, type=SecretRecord)
     except (msgspec.MsgspecError, ValueError):
@@ -82,7 +81,7 @@
 
 
 class SecretManager:
-    """The task that gives a keyring the secret when it needs one."""
+    """The task that provides a keyring with the secret when it needs one."""
 
     def __init__(
         self,
@@ -92,173 +91,197 @@
         clock: Clock,
         rng: random.Random,
         rumor_bus: RumorBus,
-        makes: Callable[[], bool],
+        is_creator: Callable[[], bool],
         spread_s: float,
         entropy: Callable[[int], bytes],
     ) -> None:
         """Wires the task.
 
         Args:
-          keyring: takes the secret.
+          keyring: gets the secret.
           store: the platform's store.
           clock: the clock.
-          rng: the random source of pauses.
-          rumor_bus: tells that there is a record.
-          makes: returns whether this node is the one to make the record.
-          spread_s: how long the first listing of the contacts may take to
-            begin (s), which mostly brings the secret.
-          entropy: returns as many bytes as asked, from a safe source.
+          rng: randomizes the backoff.
+          rumor_bus: announces the revision of the record.
+          is_creator: returns whether this node is the one to create the record.
+          spread_s: latest start of the first listing of the contacts (s), which
+            usually brings the secret.
+          entropy: returns as many bytes as requested, from a cryptographically
+            secure source.
         """
         self._keyring = keyring
         self._store = store
         self._clock = clock
         self._rng = rng
         self._rumor_bus = rumor_bus
-        self._makes = makes
+        self._is_creator = is_creator
         self._spread_s = spread_s
         self._entropy = entropy
         self._log = PartLogger("peers", clock)
-        self._backoff = Backoff(rng, _FIRST_PAUSE_S, _LONGEST_PAUSE_S)
-        self._doubts = Backoff(rng, _FIRST_DOUBT_S, _LONGEST_DOUBT_S)
-        self._looks_again_at = 0.0
-        self._heard = 0
-        self._unread = False
-        self._due = anyio.Event()
-        self._told = anyio.Event()
+        self._backoff = Backoff(rng, _INITIAL_BACKOFF_S, _MAX_BACKOFF_S)
+        self._refresh_backoff = Backoff(
+            rng, _INITIAL_REFRESH_BACKOFF_S, _MAX_REFRESH_BACKOFF_S
+        )
+        self._next_refresh_at = 0.0
+        self._rumored_revision = 0
+        self._last_refresh_failed = False
+        self._wake_up = anyio.Event()
+        self._rumor_received = anyio.Event()
         rumor_bus.subscribe(TOPIC, self._on_rumor)
-        keyring.subscribe(self._wanted)
+        keyring.subscribe(self._on_keyring_changed)
 
-    def listed(self, entry: StoreEntry) -> None:
-        """Takes an entry that was listed with the contacts."""
+    def on_listed(self, entry: StoreEntry) -> None:
+        """Accepts an entry that was listed together with the contacts."""
         if entry.key == KEY:
-            self._take(entry)
+            self._apply(entry)
 
     async def run(self) -> None:
         """Runs until cancelled."""
         await anyio.sleep(self._spread_s + _LISTING_S)
         while True:
-            await self._due.wait()
-            self._due = anyio.Event()
+            await self._wake_up.wait()
+            self._wake_up = anyio.Event()
             if self._keyring.lacks_secret:
-                await self._find()
-            elif self._keyring.has_accounts and self._is_doubtful():
-                await self._look_for_newer()
-
-    def _is_doubtful(self) -> bool:
-        """Returns whether the record should be read, by now."""
-        rumored = self._heard > self._keyring.revision
-        if not rumored and not self._keyring.may_be_outdated:
+                await self._obtain()
+            elif self._keyring.has_accounts and self._is_refresh_due():
+                await self._refresh()
+
+    def _is_refresh_due(self) -> bool:
+        """Returns whether the record should be read again now."""
+        is_rumored = self._rumored_revision > self._keyring.revision
+        if not is_rumored and not self._keyring.may_be_outdated:
             return False
         self._keyring.may_be_outdated = False
-        if rumored and not self._unread:
+        if is_rumored and not self._last_refresh_failed:
             return True
-        return self._clock.monotonic() >= self._looks_again_at
+        return self._clock.monotonic() >= self._next_refresh_at
 
-    def _wanted(self) -> None:
-        self._due.set()
+    def _on_keyring_changed(self) -> None:
+        self._wake_up.set()
 
     def _on_rumor(self, key: str, value: bytes) -> None:
         try:
             revision = msgspec.json.decode(value, type=int)
         except msgspec.MsgspecError as exc:
-            self._log.warning("A rumor is malformed.", reason=str(exc)[:120])
+            self._log.warning(
+                "Ignored a malformed rumor of the secret's revision.",
+                reason=str(exc)[:120],
+            )
             return
         if revision <= self._keyring.revision:
             return
-        self._heard = max(self._heard, revision)
-        self._told.set()
-        self._due.set()
-
-    async def _find(self) -> None:
-        """Returns once the secret is known, or not needed any more."""
-        if not self._makes() and not self._heard:
-            with anyio.move_on_after(OTHERS_WAIT_S):
-                await self._told.wait()
-        for _ in range(_AGED_READS):
-            if not self._keyring.in_grace_period or not self._heard:
+        self._rumored_revision = max(self._rumored_revision, revision)
+        self._rumor_received.set()
+        self._wake_up.set()
+
+    async def _obtain(self) -> None:
+        """Returns once the secret is known or no longer needed."""
+        if not self._is_creator() and not self._rumored_revision:
+            with anyio.move_on_after(CREATOR_WAIT_S):
+                await self._rumor_received.wait()
+        for _ in range(_STALE_READS):
+            if not self._keyring.in_grace_period or not self._rumored_revision:
                 break
-            await anyio.sleep(_AGED_S)
-            if not self._keyring.lacks_secret or await self._look(patient=True):
+            await anyio.sleep(_STALE_READ_DELAY_S)
+            if not self._keyring.lacks_secret or await self._read_or_create(
+                may_lag=True
+            ):
                 return
         while self._keyring.lacks_secret:
-            if await self._look():
+            if await self._read_or_create():
                 self._backoff.record_success()
                 return
             await anyio.sleep(self._backoff.record_failure())
 
-    async def _look_for_newer(self) -> None:
-        """Reads the record once, seldom where that brings nothing new."""
-        before = self._keyring.revision
+    async def _refresh(self) -> None:
+        """Reads the record once; backs off while that brings nothing new."""
+        known_revision = self._keyring.revision
         now = self._clock.monotonic()
-        self._looks_again_at = now + self._doubts.record_failure()
+        self._next_refresh_at = now + self._refresh_backoff.record_failure()
         try:
             entry = await self._store.get(KEY)
         except StoreError as exc:
-            self._log.info("The secret is unread.", reason=str(exc)[:120])
-            self._unread = True
+            self._log.info(
+                "Failed to read the secret from the store.",
+                reason=str(exc)[:120],
+            )
+            self._last_refresh_failed = True
             return
-        self._unread = False
-        # Else a rumor of a record that was removed would be followed for ever.
-        self._heard = 0
+        self._last_refresh_failed = False
+        # Otherwise a rumor of a record that was removed since would cause reads
+        # forever.
+        self._rumored_revision = 0
         if entry is not None:
-            self._take(entry)
-        if self._keyring.revision > before:
-            self._doubts.record_success()
+            self._apply(entry)
+        if self._keyring.revision > known_revision:
+            self._refresh_backoff.record_success()
 
-    async def _look(self, *, patient: bool = False) -> bool:
-        """Returns whether there is a secret now, made here if need be.
+    async def _read_or_create(self, *, may_lag: bool = False) -> bool:
+        """Reads the record; creates it if there is none or a malformed one.
 
         Args:
-          patient: whether an old answer without one settles nothing.
+          may_lag: whether the record may be too new for a stale read; then
+            one that returns no record proves nothing, and none is created.
+
+        Returns:
+          Whether the secret is known now.
         """
         try:
-            # An old answer will do where it shows a secret: who holds a newer
-            # one refuses the old, and then the record is read again.
+            # A stale read suffices if it returns a secret: a node that holds a
+            # newer one refuses messages signed by the old one, and then the
+            # record is read again.
             entry = await self._store.get(KEY, allow_stale=True)
-            if entry is None and patient:
+            if entry is None and may_lag:
                 return False
             if entry is None:
                 entry = await self._store.get(KEY)
             if entry is None or read_record(entry.value) is None:
-                return await self._make(entry)
+                return await self._create(entry)
         except StoreError as exc:
-            self._log.info("The secret is unread.", reason=str(exc)[:120])
+            self._log.info(
+                "Failed to read or create the secret in the store.",
+                reason=str(exc)[:120],
+            )
             return False
-        self._take(entry)
+        self._apply(entry)
         return True
 
-    async def _make(self, before: StoreEntry | None) -> bool:
-        """Returns whether this node's secret is the one of the fleet.
+    async def _create(self, malformed: StoreEntry | None) -> bool:
+        """Writes a new secret unless another node wrote one meanwhile.
 
         Args:
-          before: a record that nobody can read; `None` for none.
+          malformed: the malformed record to replace; `None` if there is none.
+
+        Returns:
+          Whether this node's secret became that of the fleet.
 
         Raises:
-          StoreError: the store failed; a later look finds what became of it.
+          StoreError: the store failed; a later read shows whether the write was
+            applied.
         """
         record = SecretRecord(self._entropy(SECRET_BYTES))
         value = msgspec.json.encode(record)
         result = await self._store.transact(
-            (Compare(KEY, before.mod_revision if before else 0),),
+            (Compare(KEY, malformed.mod_revision if malformed else 0),),
             (Put(KEY, value),),
         )
         if not result.succeeded:
             return False
-        self._log.change("Made the secret.", revision=result.revision)
+        self._log.change("Created the secret.", revision=result.revision)
         self._keyring.update_secret(record.secret, result.revision)
-        self._tell(result.revision)
+        self._announce(result.revision)
         return True
 
-    def _take(self, entry: StoreEntry) -> None:
+    def _apply(self, entry: StoreEntry) -> None:
         record = read_record(entry.value)
         if record is None:
             self._log.error(
-                "The record of the secret is malformed.",
+                "The record of the secret in the store is malformed.",
                 revision=entry.mod_revision,
             )
             return
         self._keyring.update_secret(record.secret, entry.mod_revision)
 
-    def _tell(self, revision: int) -> None:
+    def _announce(self, revision: int) -> None:
         value = msgspec.json.encode(revision)
-        self._rumor_bus.publish(TOPIC, "record", revision, value, _RUMOR_S)
+        self._rumor_bus.publish(TOPIC, "record", revision, value, _RUMOR_TTL_S)
--- a/src/radishwind/sidecar/tests/test_secret_manager.py
+++ b/src/radishwind/sidecar/tests/test_secret_manager.py
@@ -1,4 +1,4 @@
-"""The secret of the fleet is made once, and read once a start."""
+"""The fleet secret is created once and read once per start."""
 
 import base64
 import random
@@ -35,45 +35,45 @@
 
 
 @pytest.fixture(autouse=True)
-def short(monkeypatch):
+def shorten_delays(monkeypatch):
     monkeypatch.setattr(secret_manager, "_LISTING_S", 0.0)
-    for name in ("OTHERS_WAIT_S", "_FIRST_PAUSE_S", "_AGED_S"):
+    for name in ("CREATOR_WAIT_S", "_INITIAL_BACKOFF_S", "_STALE_READ_DELAY_S"):
         monkeypatch.setattr(secret_manager, name, 0.01)
 
 
 class Store:
-    """Holds the record; fails as told."""
+    """Holds the record; fails as configured."""
 
     def __init__(self):
         self.revision = 10
         self.value = None
-        self.away = False
-        self.behind = False
-        self.lost = 0
+        self.is_unavailable = False
+        self.stale_reads_lag = False
+        self.lost_answers = 0
         self.calls = []
 
     async def get(self, key, *, allow_stale=False):
         assert key == KEY
         self.calls.append("get stale" if allow_stale else "get")
         await anyio.lowlevel.checkpoint()
-        if self.away:
-            raise StoreUnavailableError("away")
-        if self.value is None or (allow_stale and self.behind):
+        if self.is_unavailable:
+            raise StoreUnavailableError("unavailable")
+        if self.value is None or (allow_stale and self.stale_reads_lag):
             return None
         return StoreEntry(key, self.value, self.revision, self.revision)
 
     async def transact(self, compares, operations):
         self.calls.append("transact")
         await anyio.lowlevel.checkpoint()
-        if self.away:
-            raise StoreUnavailableError("away")
-        stands = self.revision if self.value is not None else 0
-        if compares[0].mod_revision != stands:
+        if self.is_unavailable:
+            raise StoreUnavailableError("unavailable")
+        current_revision = self.revision if self.value is not None else 0
+        if compares[0].mod_revision != current_revision:
             return TxnResult(False, 0)
         self.revision += 1
         self.value = operations[0].value
-        if self.lost:
-            self.lost -= 1
+        if self.lost_answers:
+            self.lost_answers -= 1
             raise StoreAnswerLostError("lost")
         return TxnResult(True, self.revision)
 
@@ -82,15 +82,15 @@
         self.value = value
 
 
-class Board:
-    """Tells each subscriber at once."""
+class SynchronousRumorBus:
+    """Delivers each rumor to every subscriber at once."""
 
     def __init__(self):
         self.handlers = []
-        self.told = []
+        self.published = []
 
     def publish(self, topic, key, version, value, ttl_s):
-        self.told.append(value)
+        self.published.append(value)
         for handler in self.handlers:
             handler(key, value)
 
@@ -99,17 +99,17 @@
 
 
 class Node:
-    def __init__(self, store, rumor_bus, number=1, makes=True):
+    def __init__(self, store, rumor_bus, number=1, is_creator=True):
         self.clock = ManualClock()
         self.keyring = Keyring(self.clock)
         rng = random.Random(number)
-        self.keeper = SecretManager(
+        self.manager = SecretManager(
             keyring=self.keyring,
             store=store,
             clock=self.clock,
             rng=rng,
             rumor_bus=rumor_bus,
-            makes=lambda: makes,
+            is_creator=lambda: is_creator,
             spread_s=0.0,
             entropy=rng.randbytes,
         )
@@ -122,16 +122,16 @@
 
 @pytest.fixture
 def rumor_bus():
-    return Board()
+    return SynchronousRumorBus()
 
 
-async def settled():
+async def settle():
     """Lets every task that is ready run until it waits."""
     for _ in range(50):
         await anyio.lowlevel.checkpoint()
 
 
-async def until(check):
+async def wait_until(check):
     with anyio.fail_after(WITHIN_S):
         while not check():  # noqa: ASYNC110
             await anyio.sleep(0.002)
@@ -143,37 +143,37 @@
 
         def start(*nodes):
             for node in nodes:
-                tasks.start_soon(node.keeper.run)
+                tasks.start_soon(node.manager.run)
 
         yield start
         tasks.cancel_scope.cancel()
 
 
-async def test_of_many_that_find_none_one_wins(store, running):
-    nodes = [Node(store, Board(), i) for i in range(8)]
+async def test_one_of_concurrent_creators_wins(store, running):
+    nodes = [Node(store, SynchronousRumorBus(), i) for i in range(8)]
     for node in nodes:
         node.keyring.set_has_accounts(True, with_grace=False)
     running(*nodes)
 
-    await until(lambda: not any(n.keyring.lacks_secret for n in nodes))
+    await wait_until(lambda: not any(n.keyring.lacks_secret for n in nodes))
 
     secrets = {n.keyring.signing_secret for n in nodes}
     assert secrets == {read_record(store.value).secret}
     assert len(next(iter(secrets))) == SECRET_BYTES
 
 
-async def test_others_wait_for_who_is_to_make_it(
+async def test_other_nodes_wait_for_creator(
     store, rumor_bus, running, monkeypatch
 ):
-    monkeypatch.setattr(secret_manager, "OTHERS_WAIT_S", WITHIN_S)
-    maker = Node(store, rumor_bus, 1)
-    others = [Node(store, rumor_bus, i, makes=False) for i in range(2, 9)]
-    for node in (maker, *others):
+    monkeypatch.setattr(secret_manager, "CREATOR_WAIT_S", WITHIN_S)
+    creator = Node(store, rumor_bus, 1)
+    others = [Node(store, rumor_bus, i, is_creator=False) for i in range(2, 9)]
+    for node in (creator, *others):
         node.keyring.set_has_accounts(True, with_grace=False)
-    running(*others, maker)
+    running(*others, creator)
 
-    await until(
-        lambda: not any(n.keyring.lacks_secret for n in (maker, *others))
+    await wait_until(
+        lambda: not any(n.keyring.lacks_secret for n in (creator, *others))
     )
 
     assert store.calls.count("transact") == 1
@@ -181,68 +181,66 @@
     assert store.calls.count("get stale") == 1 + len(others)
 
 
-async def test_where_nothing_is_refused_yet_an_old_answer_is_waited_for(
+async def test_stale_reads_are_repeated_during_grace_period(
     store, rumor_bus, running, monkeypatch
 ):
-    monkeypatch.setattr(secret_manager, "_AGED_READS", 10_000)
-    # However long the maker takes, the others wait for its word.
-    monkeypatch.setattr(secret_manager, "OTHERS_WAIT_S", 60.0)
-    store.behind = True
-    maker = Node(store, rumor_bus, 1)
-    others = [Node(store, rumor_bus, i, makes=False) for i in range(2, 9)]
-    for node in (maker, *others):
+    monkeypatch.setattr(secret_manager, "_STALE_READS", 10_000)
+    # The others wait for the rumor however long the creator takes.
+    monkeypatch.setattr(secret_manager, "CREATOR_WAIT_S", 60.0)
+    store.stale_reads_lag = True
+    creator = Node(store, rumor_bus, 1)
+    others = [Node(store, rumor_bus, i, is_creator=False) for i in range(2, 9)]
+    for node in (creator, *others):
         node.keyring.set_has_accounts(True, with_grace=True)
-    running(*others, maker)
-    await until(lambda: store.calls.count("get stale") > len(others))
+    running(*others, creator)
+    await wait_until(lambda: store.calls.count("get stale") > len(others))
 
-    store.behind = False
+    store.stale_reads_lag = False
 
-    await until(
-        lambda: not any(n.keyring.lacks_secret for n in (maker, *others))
+    await wait_until(
+        lambda: not any(n.keyring.lacks_secret for n in (creator, *others))
     )
     assert store.calls.count("get") == 1
 
 
-async def test_an_answer_that_stays_old_is_not_waited_for_long(
+async def test_stale_reads_that_keep_lagging_are_given_up(
     store, rumor_bus, running
 ):
-    store.behind = True
-    maker = Node(store, rumor_bus, 1)
-    other = Node(store, rumor_bus, 2, makes=False)
-    for node in (maker, other):
+    store.stale_reads_lag = True
+    creator = Node(store, rumor_bus, 1)
+    other = Node(store, rumor_bus, 2, is_creator=False)
+    for node in (creator, other):
         node.keyring.set_has_accounts(True, with_grace=True)
-    running(other, maker)
+    running(other, creator)
 
-    await until(lambda: not other.keyring.lacks_secret)
+    await wait_until(lambda: not other.keyring.lacks_secret)
 
 
-async def test_the_secret_is_told_to_nobody(store, rumor_bus, running):
+async def test_rumor_carries_revision_and_no_secret(store, rumor_bus, running):
     node = Node(store, rumor_bus)
     node.keyring.set_has_accounts(True, with_grace=False)
     running(node)
 
-    await until(lambda: rumor_bus.told)
+    await wait_until(lambda: rumor_bus.published)
 
-    assert rumor_bus.told == [msgspec.json.encode(store.revision)]
+    assert rumor_bus.published == [msgspec.json.encode(store.revision)]
 
 
-async def test_a_start_takes_it_from_the_list_of_contacts(
-    store, rumor_bus, running
-):
+async def test_secret_is_taken_from_listed_contacts(store, rumor_bus, running):
     value = msgspec.json.encode(SecretRecord(b"s" * SECRET_BYTES))
     node = Node(store, rumor_bus)
     running(node)
 
-    node.keeper.listed(StoreEntry(CONTACTS_KEY_PREFIX + "a", b"{}", 3, 3))
-    node.keeper.listed(StoreEntry(KEY, value, 4, 4))
+    node.manager.on_listed(StoreEntry(CONTACTS_KEY_PREFIX + "a", b"{}", 3, 3))
+    node.manager.on_listed(StoreEntry(KEY, value, 4, 4))
     node.keyring.set_has_accounts(True, with_grace=False)
-    await settled()
+    await settle()
 
     assert node.keyring.signing_secret == b"s" * SECRET_BYTES
     assert store.calls == []
 
 
-def test_the_record_shows_its_secret_to_no_line():
+def test_representation_of_record_hides_secret():
     held = bytes(range(200, 200 + SECRET_BYTES))
     record = SecretRecord(held)
     shown = f"{record} {record!r} {[record]}"
@@ -258,100 +256,98 @@
     assert read_record(msgspec.json.encode(record)) == record
 
 
-def test_the_record_counts_as_no_contact():
+def test_record_is_not_read_as_contact():
     value = msgspec.json.encode(SecretRecord(b"s" * SECRET_BYTES))
 
     assert KEY.startswith(CONTACTS_KEY_PREFIX)
     assert contact_addresses(decode_contact_record(value)) == ()
 
 
-async def test_without_accounts_no_call_is_made(store, rumor_bus, running):
+async def test_without_accounts_store_is_not_called(store, rumor_bus, running):
     node = Node(store, rumor_bus)
     running(node)
 
     node.keyring.set_has_accounts(False, with_grace=False)
-    await settled()
+    await settle()
 
     assert store.calls == []
 
 
-async def test_a_known_secret_costs_no_further_call(store, rumor_bus, running):
+async def test_known_secret_needs_no_further_call(store, rumor_bus, running):
     node = Node(store, rumor_bus)
     node.keyring.set_has_accounts(True, with_grace=False)
     running(node)
-    await until(lambda: not node.keyring.lacks_secret)
+    await wait_until(lambda: not node.keyring.lacks_secret)
     before = len(store.calls)
 
     node.keyring.set_has_accounts(False, with_grace=False)
     node.keyring.set_has_accounts(True, with_grace=False)
-    await settled()
+    await settle()
 
     assert len(store.calls) == before
 
 
-async def test_a_store_that_comes_back_is_asked_again(
+async def test_read_is_retried_until_store_is_available(
     store, rumor_bus, running
 ):
-    store.away = True
+    store.is_unavailable = True
     node = Node(store, rumor_bus)
     node.keyring.set_has_accounts(True, with_grace=False)
     running(node)
-    await until(lambda: len(store.calls) >= 2)
+    await wait_until(lambda: len(store.calls) >= 2)
     assert node.keyring.lacks_secret
 
-    store.away = False
+    store.is_unavailable = False
 
-    await until(lambda: not node.keyring.lacks_secret)
+    await wait_until(lambda: not node.keyring.lacks_secret)
 
 
-async def test_a_write_whose_answer_is_lost_is_found(store, rumor_bus, running):
-    store.lost = 1
+async def test_write_with_lost_answer_is_read_back(store, rumor_bus, running):
+    store.lost_answers = 1
     node = Node(store, rumor_bus)
     node.keyring.set_has_accounts(True, with_grace=False)
     running(node)
 
-    await until(lambda: not node.keyring.lacks_secret)
+    await wait_until(lambda: not node.keyring.lacks_secret)
 
     assert store.calls.count("transact") == 1
 
 
-async def test_an_old_answer_without_it_makes_no_second_secret(
+async def test_stale_read_without_record_creates_no_second_secret(
     store, rumor_bus, running
 ):
     store.replace(msgspec.json.encode(SecretRecord(b"s" * SECRET_BYTES)))
-    store.behind = True
+    store.stale_reads_lag = True
     node = Node(store, rumor_bus)
     node.keyring.set_has_accounts(True, with_grace=False)
     running(node)
 
-    await until(lambda: not node.keyring.lacks_secret)
+    await wait_until(lambda: not node.keyring.lacks_secret)
 
     assert node.keyring.signing_secret == b"s" * SECRET_BYTES
     assert "transact" not in store.calls
 
 
 @pytest.mark.parametrize("value", [b"", b"\xff", b"{}", b'{"secret":"c3M="}'])
-async def test_a_record_nobody_can_read_is_replaced(
-    store, rumor_bus, running, value
-):
+async def test_malformed_record_is_replaced(store, rumor_bus, running, value):
     store.replace(value)
     node = Node(store, rumor_bus)
     node.keyring.set_has_accounts(True, with_grace=False)
     running(node)
 
-    await until(lambda: not node.keyring.lacks_secret)
+    await wait_until(lambda: not node.keyring.lacks_secret)
 
     assert read_record(store.value) is not None
 
 
-async def test_a_removed_record_is_made_anew_and_all_read_it(
+async def test_removed_record_is_recreated_and_read_by_all(
     store, rumor_bus, running
 ):
-    nodes = [Node(store, rumor_bus, i, makes=i == 1) for i in range(1, 4)]
+    nodes = [Node(store, rumor_bus, i, is_creator=i == 1) for i in range(1, 4)]
     for node in nodes:
         node.keyring.set_has_accounts(True, with_grace=False)
     running(*nodes)
-    await until(lambda: not any(n.keyring.lacks_secret for n in nodes))
+    await wait_until(lambda: not any(n.keyring.lacks_secret for n in nodes))
     before = nodes[0].keyring.signing_secret
 
     store.value = None
@@ -360,80 +356,82 @@
     running(started)
     nodes.append(started)
 
-    await until(lambda: len({n.keyring.signing_secret for n in nodes}) == 1)
+    await wait_until(
+        lambda: len({n.keyring.signing_secret for n in nodes}) == 1
+    )
     assert started.keyring.signing_secret != before
     assert all(before in n.keyring.accepted_secrets for n in nodes[:3])
 
 
-async def test_forged_messages_cause_few_looks(store, rumor_bus, running):
+async def test_forged_messages_cause_few_reads(store, rumor_bus, running):
     node = Node(store, rumor_bus)
     node.keyring.set_has_accounts(True, with_grace=False)
     running(node)
-    await until(lambda: not node.keyring.lacks_secret)
+    await wait_until(lambda: not node.keyring.lacks_secret)
     before = len(store.calls)
 
     for _ in range(200):
         node.keyring.suspect_outdated()
-        await settled()
-    await settled()
+        await settle()
+    await settle()
     assert len(store.calls) == before + 1
 
     for _ in range(600):
         node.clock.advance(1.0)
         node.keyring.suspect_outdated()
-        await settled()
+        await settle()
     assert len(store.calls) <= before + 40
 
 
-async def test_a_malformed_rumor_changes_nothing(store, rumor_bus, running):
+async def test_malformed_rumor_is_ignored(store, rumor_bus, running):
     node = Node(store, rumor_bus)
     running(node)
 
     rumor_bus.publish("peer-secret", "record", 1, b'"x"', 1.0)
-    await settled()
+    await settle()
 
     assert store.calls == []
 
 
-async def test_looks_are_spaced_while_the_store_is_away(
+async def test_reads_back_off_while_store_is_unavailable(
     store, rumor_bus, running
 ):
     node = Node(store, rumor_bus)
     node.keyring.set_has_accounts(True, with_grace=False)
     running(node)
-    await until(lambda: not node.keyring.lacks_secret)
-    store.away = True
+    await wait_until(lambda: not node.keyring.lacks_secret)
+    store.is_unavailable = True
     before = len(store.calls)
 
     store.replace(msgspec.json.encode(SecretRecord(b"n" * SECRET_BYTES)))
     for handler in rumor_bus.handlers:
         handler("record", msgspec.json.encode(store.revision))
-    await settled()
+    await settle()
     assert len(store.calls) == before + 1
     for _ in range(50):
         node.keyring.suspect_outdated()
-        await settled()
+        await settle()
     assert len(store.calls) == before + 1
 
-    store.away = False
-    node.clock.advance(secret_manager._LONGEST_DOUBT_S)
+    store.is_unavailable = False
+    node.clock.advance(secret_manager._MAX_REFRESH_BACKOFF_S)
     node.keyring.suspect_outdated()
-    await until(lambda: node.keyring.signing_secret == b"n" * SECRET_BYTES)
+    await wait_until(lambda: node.keyring.signing_secret == b"n" * SECRET_BYTES)
     assert len(store.calls) == before + 2
 
 
-async def test_a_rumor_is_followed_at_once_after_doubts(
+async def test_rumor_causes_read_at_once_despite_backoff(
     store, rumor_bus, running
 ):
     node = Node(store, rumor_bus)
     node.keyring.set_has_accounts(True, with_grace=False)
     running(node)
-    await until(lambda: not node.keyring.lacks_secret)
+    await wait_until(lambda: not node.keyring.lacks_secret)
     node.keyring.suspect_outdated()
-    await settled()
+    await settle()
 
     store.replace(msgspec.json.encode(SecretRecord(b"n" * SECRET_BYTES)))
     for handler in rumor_bus.handlers:
         handler("record", msgspec.json.encode(store.revision))
 
-    await until(lambda: node.keyring.signing_secret == b"n" * SECRET_BYTES)
+    await wait_until(lambda: node.keyring.signing_secret == b"n" * SECRET_BYTES)
