--- a/src/radishwind/sidecar/app.py
+++ b/src/radishwind/sidecar/app.py
@@ -317,7 +317,7 @@
             callers=self._callers,
             attempts=self._attempts,
             target=self._target.pipeline,
-            farewell=DepartureNotices(
+            notices=DepartureNotices(
                 self._say_leaving, self._membership.advertise_left
             ),
         )
@@ -373,7 +373,7 @@
 
     def _words_left_out(self) -> dict[str, int]:
         return {
-            "heartbeats": self._control.heartbeats.malformed,
+            "heartbeats": self._control.heartbeats.malformed_count,
             "store": self._items_left_out,
         }
 
--- a/src/radishwind/sidecar/control.py
+++ b/src/radishwind/sidecar/control.py
@@ -1,4 +1,4 @@
-"""The control listener: heartbeats of the server beside."""
+"""The handlers of heartbeats and of readiness checks."""
 
 from collections.abc import Callable
 
@@ -18,103 +18,114 @@
 from radishwind.target.server_process import ServerProcess
 from radishwind.telemetry.logs import PartLogger
 
-#: The part of the bound on acknowledging that keeping the word may take; the
-#: server gives up on a call after a second and calls again.
-KEEP_WITHIN_S = 0.8
+#: Longest wait for storing that an incarnation is leaving. The server gives up
+#: on a call after 1 s and calls again.
+PERSIST_TIMEOUT_S = 0.8
 
 _JSON = (("Content-Type", "application/json"),)
-_ACKNOWLEDGED = b"{}"
+_EMPTY_BODY = b"{}"
 
 
 class HeartbeatListener:
-    """Acknowledges heartbeats, those of one that leaves once that is kept."""
+    """Acknowledges heartbeats and deregistrations of the local server.
+
+    One that announces that the server is leaving is acknowledged only once that
+    is stored.
+    """
 
     def __init__(
         self,
         *,
         clock: Clock,
         register: Callable[[Registration], bool],
-        meant_by: Callable[[ServerProcess], ServerProcess],
-        serves: Callable[[str], bool],
+        resolve: Callable[[ServerProcess], ServerProcess],
+        is_service_allowed: Callable[[str], bool],
         records: LeavingRecords,
-        known: Callable[[], bool],
+        are_records_loaded: Callable[[], bool],
     ) -> None:
         """Wires the listener.
 
         Args:
           clock: the clock.
-          register: takes what a heartbeat tells.
-          meant_by: returns the life that one told without its start is.
-          serves: returns whether a service is one that may stand here.
-          records: keeps which incarnations leave.
-          known: returns whether the records of before are known.
+          register: accepts the registration in a heartbeat.
+          resolve: returns the server process that is meant where a call does
+            not name its start time.
+          is_service_allowed: returns whether a server of the service may run
+            beside this node.
+          records: stores which incarnations are leaving.
+          are_records_loaded: returns whether the leaving records stored before
+            the start of this node are loaded.
         """
         self._register = register
-        self._meant_by = meant_by
-        self._serves = serves
-        self.malformed = 0
+        self._resolve = resolve
+        self._is_service_allowed = is_service_allowed
+        self.malformed_count = 0
         self._records = records
-        self._known = known
+        self._are_records_loaded = are_records_loaded
         self._pending: Registration | None = None
         self._log = PartLogger("control", clock)
 
     async def handle(self, request: Request) -> Response:
-        """Answers one call of the server beside."""
+        """Handles one call of the local backend server."""
         body = await whole_body(request.body)
         try:
             heartbeat = read_call(request, body)
         except RadishwindError as exc:
-            return self._left_out(exc.code, str(exc))
+            return self._refuse(exc.code, str(exc))
         if heartbeat is None:
             return problem_response(
                 ResultCode.SERVICE_UNKNOWN,
                 f"expected a heartbeat, got {request.path[:80]!r}",
                 "not-run",
             )
-        if heartbeat.service and not self._serves(heartbeat.service):
-            return self._left_out(
+        if heartbeat.service and not self._is_service_allowed(
+            heartbeat.service
+        ):
+            return self._refuse(
                 ResultCode.PLATFORM_MALFORMED,
                 "heartbeat: expected a service of the configuration, got "
                 f"{heartbeat.service[:80]!r}",
             )
-        told = _registration(heartbeat)
-        if told.is_leaving:
-            return await self._leave(told)
-        if self._known():
-            self._register(told)
+        registration = _registration(heartbeat)
+        if registration.is_leaving:
+            return await self._leave(registration)
+        if self._are_records_loaded():
+            self._register(registration)
         else:
-            self._pending = told
-        return Response(200, _JSON, _ACKNOWLEDGED, len(_ACKNOWLEDGED))
+            self._pending = registration
+        return Response(200, _JSON, _EMPTY_BODY, len(_EMPTY_BODY))
 
-    def _left_out(self, code: ResultCode, reason: str) -> Response:
-        """Refuses a call that names no server to use; the others hold."""
-        self.malformed += 1
-        self._log.warning("A heartbeat is left out.", reason=reason)
+    def _refuse(self, code: ResultCode, reason: str) -> Response:
+        """Refuses a malformed call; earlier heartbeats stay in force."""
+        self.malformed_count += 1
+        self._log.warning("A malformed heartbeat is left out.", reason=reason)
         return problem_response(code, reason, "not-run")
 
-    def records_known(self) -> None:
-        """Takes that the records of before are known now."""
+    def on_records_loaded(self) -> None:
+        """Registers the heartbeat that waited for the leaving records."""
         pending, self._pending = self._pending, None
         if pending is not None:
             self._register(pending)
 
-    async def _leave(self, told: Registration) -> Response:
-        """Stops new work at once, and acknowledges once that is kept."""
-        life = self._meant_by(told.process)
+    async def _leave(self, registration: Registration) -> Response:
+        """Stops new work at once; acknowledges once the record is stored."""
+        process = self._resolve(registration.process)
         pending = self._pending
-        if pending and pending.process.may_equal(life):
+        if pending and pending.process.may_equal(process):
             self._pending = None
-            if not life.started_ms:
-                life = pending.process
-                told = msgspec.structs.replace(told, started_ms=life.started_ms)
-        self._register(told)
-        if await self._records.persist(life, KEEP_WITHIN_S):
-            return Response(200, _JSON, _ACKNOWLEDGED, len(_ACKNOWLEDGED))
+            if not process.started_ms:
+                process = pending.process
+                registration = msgspec.structs.replace(
+                    registration, started_ms=process.started_ms
+                )
+        self._register(registration)
+        if await self._records.persist(process, PERSIST_TIMEOUT_S):
+            return Response(200, _JSON, _EMPTY_BODY, len(_EMPTY_BODY))
         return problem_response(
             ResultCode.STORE_UNAVAILABLE,
-            "Nobody keeps the word yet; call again.",
+            "The leaving record is not stored yet; call again.",
             "not-run",
-            KEEP_WITHIN_S,
+            PERSIST_TIMEOUT_S,
         )
 
 
@@ -132,20 +143,20 @@
 
 
 class Readiness:
-    """Answers the platform's question whether the node takes callers.
+    """Answers the readiness checks of the platform.
 
     Attributes:
-      refusals: how often it was told that the node does not.
+      not_ready_count: number of checks answered "not ready".
     """
 
-    def __init__(self, ready: Callable[[], bool]) -> None:
-        """Answers by what `ready` returns."""
-        self._ready = ready
-        self.refusals = 0
+    def __init__(self, is_ready: Callable[[], bool]) -> None:
+        """Answers checks by the result of `is_ready`."""
+        self._is_ready = is_ready
+        self.not_ready_count = 0
 
     async def handle(self, request: Request) -> Response:
-        """Answers one question."""
-        if self._ready():
+        """Answers one readiness check."""
+        if self._is_ready():
             return Response(200, (), b"", 0)
-        self.refusals += 1
+        self.not_ready_count += 1
         return Response(503, (), b"", 0)
--- a/src/radishwind/sidecar/control_side.py
+++ b/src/radishwind/sidecar/control_side.py
@@ -124,17 +124,17 @@
         self.heartbeats = HeartbeatListener(
             clock=clock,
             register=target.register,
-            meant_by=target.server.resolve,
-            serves=self._serves,
+            resolve=target.server.resolve,
+            is_service_allowed=self._is_service_allowed,
             records=self._records,
-            known=lambda: self._records_at_start.known,
+            are_records_loaded=lambda: self._records_loader.is_done,
         )
-        self._records_at_start = LeavingRecordsLoader(
+        self._records_loader = LeavingRecordsLoader(
             clock=clock,
             records=self._records,
             first_start=settings.first_start,
             node_count=membership.node_count,
-            learned=self.heartbeats.records_known,
+            on_loaded=self.heartbeats.on_records_loaded,
         )
 
     def listen_on(self, peers: PeerListener) -> None:
@@ -151,7 +151,7 @@
         """Starts the tasks in `tasks`."""
         tasks.start_soon(self._feed.run)
         self._recency.start(tasks, self._feed)
-        tasks.start_soon(self._records_at_start.run)
+        tasks.start_soon(self._records_loader.run)
         tasks.start_soon(self._habits.run)
 
     def take(self, settings: PlacedSettings) -> None:
@@ -180,7 +180,7 @@
             if member.name != self._settings.node
         ]
 
-    def _serves(self, service: str) -> bool:
+    def _is_service_allowed(self, service: str) -> bool:
         """Returns whether a server of `service` may stand beside this node."""
         cfg = self._routes.cfg
         if cfg is None or service == self._settings.service:
--- a/src/radishwind/sidecar/entry_side.py
+++ b/src/radishwind/sidecar/entry_side.py
@@ -43,8 +43,8 @@
 from radishwind.sidecar.link_side import LinkSide
 from radishwind.sidecar.options import cost_weights_for
 from radishwind.sidecar.options import MAX_RETRY_AFTER_S
-from radishwind.sidecar.options import RETRY_S
-from radishwind.sidecar.options import RETRY_SPREAD
+from radishwind.sidecar.options import RETRY_AFTER_S
+from radishwind.sidecar.options import RETRY_AFTER_SPREAD
 from radishwind.sidecar.switches import Switches
 from radishwind.sidecar.target_side import SidecarTarget
 from radishwind.telemetry.logs import PartLogger
@@ -172,9 +172,9 @@
             quarantine=target.quarantine,
             observers=observers,
             retry_after=RetryAfter(
-                RETRY_S,
+                RETRY_AFTER_S,
                 MAX_RETRY_AFTER_S,
-                RETRY_SPREAD if switches.spread else 0.0,
+                RETRY_AFTER_SPREAD if switches.spread else 0.0,
                 rng,
             ),
             respond=respond,
--- a/src/radishwind/sidecar/graceful_shutdown.py
+++ b/src/radishwind/sidecar/graceful_shutdown.py
@@ -1,11 +1,12 @@
-"""The planned stop: no request that was read goes without its answer.
-
-1. The platform is told that the node isn't ready, and each answer closes its
-   connection. The server beside goes on with new work: until the callers have
-   been sent elsewhere its slots are as good as before.
-2. Once they have, other nodes are told, and the target takes nothing new.
-3. What is in progress is finished. A request that comes so late that its answer
-   could miss the end of the grace is refused, which is true: it has not run.
+"""The planned shutdown, which answers every request that was read.
+
+1. The readiness endpoint reports "not ready" to the platform, and each response
+   closes its connection. The local backend server still accepts new work, since
+   its slots are needed until the callers are routed to other nodes.
+2. Once they are, other nodes are notified, and the target refuses new work.
+3. Requests in progress are finished. A request so late that its response might
+   not be sent before the end of the grace period is refused, truthfully as not
+   run.
 4. The listeners close.
 """
 
@@ -24,50 +25,52 @@
 from radishwind.outcomes import NotRun
 from radishwind.platform.answers import respond
 from radishwind.sidecar.control import Readiness
-from radishwind.sidecar.options import RETRY_S
+from radishwind.sidecar.options import RETRY_AFTER_S
 from radishwind.target.pipeline import TargetPipeline
 from radishwind.telemetry.logs import PartLogger
 
-#: Answers "not ready" after which the platform sends no caller here any more.
-REFUSALS_ENOUGH = 2
+#: Number of "not ready" responses after which the platform no longer routes
+#: callers to this node.
+NOT_READY_RESPONSES = 2
 
-#: Callers are taken for this long after the signal at the most (s): the
-#: platform asks once a second and takes a node out after two misses.
+#: Longest wait for these responses after the signal. The platform checks once a
+#: second and removes a node after two failed checks.
 NOTICE_S = 2.3
 
-#: A request already on its way to us when the platform took the node out comes
-#: within this time (s): 8 ms to callers, and a wait for the processor.
+#: A request already on its way when the platform removed the node arrives
+#: within this time: 8 ms of network delay to callers, and a wait for the
+#: processor.
 QUIET_S = 0.2
 
-#: How often it is looked whether the platform has asked (s).
-_LOOK_S = 0.05
+#: Interval between checks of the number of "not ready" responses.
+_POLL_INTERVAL_S = 0.05
 
-#: Requests are taken up to this part of the grace. In the other half of 6 s a
-#: run of the longest kind ends, 0.5 s at a pace of 5.
-TAKE_PART = 0.45
+#: Fraction of the grace period in which requests are accepted. The rest of a
+#: grace period of 6 s suffices for the longest runs, of 0.5 s at a pace of 5.
+ACCEPT_FRACTION = 0.45
 
-#: From the signal until connections are closed at the latest, as a part of the
-#: grace; the rest is for the way out of the process.
-CLOSE_PART = 0.88
+#: Fraction of the grace period after which connections are closed at the
+#: latest. The rest is for the exit of the process.
+CLOSE_FRACTION = 0.88
 
-#: Time kept for saying that it has left (s).
-_SAY_LEFT_S = 0.6
+#: Time reserved for advertising that the node has left.
+_ADVERTISE_LEFT_S = 0.6
 
 
 class DepartureNotices(msgspec.Struct, frozen=True):
-    """What a stopping node tells others.
+    """What a node that shuts down tells other nodes.
 
     Attributes:
-      leaving: tells that the target takes nothing new.
-      left: tells that the node is gone.
+      advertise_leaving: advertises that the target refuses new work.
+      advertise_left: advertises that the node has left.
     """
 
-    leaving: Callable[[], None]
-    left: Callable[[], Awaitable[object]]
+    advertise_leaving: Callable[[], None]
+    advertise_left: Callable[[], Awaitable[object]]
 
 
 class GracefulShutdown:
-    """Ends a node's part in the traffic; the steps are those above."""
+    """Shuts a node down in the steps described above."""
 
     def __init__(
         self,
@@ -78,18 +81,19 @@
         callers: RequestsInProgress,
         attempts: RequestsInProgress,
         target: TargetPipeline,
-        farewell: DepartureNotices,
+        notices: DepartureNotices,
     ) -> None:
-        """Wires a stop.
+        """Wires the shutdown.
 
         Args:
           clock: the clock.
-          grace_s: what the platform grants from the signal to the kill (s).
-          readiness: counts how often the platform was told "not ready".
-          callers: requests of callers.
-          attempts: of other nodes, for the target here.
-          target: runs them.
-          farewell: tells others.
+          grace_s: time that the platform grants between the signal and the kill
+            of the process (s).
+          readiness: counts the "not ready" responses to the platform.
+          callers: requests of callers in progress.
+          attempts: attempts forwarded by other nodes in progress.
+          target: the own target, which runs the attempts.
+          notices: notify other nodes.
         """
         self._clock = clock
         self._grace_s = grace_s
@@ -97,58 +101,58 @@
         self._callers = callers
         self._attempts = attempts
         self._target = target
-        self._farewell = farewell
+        self._notices = notices
         self._log = PartLogger("stop", clock)
 
     async def run(self, servers: Sequence[Server]) -> None:
-        """Returns once every listener in `servers` is closed."""
+        """Shuts the node down; returns once all `servers` are closed."""
         began = self._clock.monotonic()
         self._callers.request_connection_close()
-        told = self._readiness.refusals
-        await self._until_callers_gone(began)
+        not_ready_before = self._readiness.not_ready_count
+        await self._wait_until_callers_rerouted(began)
         self._log.change(
-            "Callers are sent elsewhere; the target takes nothing new.",
+            "Callers are routed to other nodes; the target refuses new work.",
             after_s=round(self._elapsed_s(began), 3),
-            told_not_ready=self._readiness.refusals - told,
+            told_not_ready=self._readiness.not_ready_count - not_ready_before,
             in_progress=self._callers.count,
         )
-        self._farewell.leaving()
+        self._notices.advertise_leaving()
         self._target.refuse_new_work()
         self._attempts.request_connection_close()
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._refuse_late, began)
-            await self._finish(began)
+            tasks.start_soon(self._refuse_late_requests, began)
+            await self._wait_until_finished(began)
             tasks.cancel_scope.cancel()
         self._log.change(
-            "Nothing is in progress."
+            "All requests are finished."
             if not self._callers.count
-            else "The grace ends before what is in progress.",
+            else "The grace period ends with requests in progress.",
             after_s=round(self._clock.monotonic() - began, 3),
             callers=self._callers.count,
         )
-        await self._farewell.left()
-        left_s = self._grace_s * CLOSE_PART - self._elapsed_s(began)
+        await self._notices.advertise_left()
+        remaining_s = self._grace_s * CLOSE_FRACTION - self._elapsed_s(began)
         async with anyio.create_task_group() as tasks:
             for server in servers:
-                tasks.start_soon(server.close, max(0.1, left_s))
+                tasks.start_soon(server.close, max(0.1, remaining_s))
 
-    async def _until_callers_gone(self, began: float) -> None:
-        """Waits until the platform sends no caller here any more."""
-        told = self._readiness.refusals + REFUSALS_ENOUGH
+    async def _wait_until_callers_rerouted(self, began: float) -> None:
+        """Waits until the platform routes no more callers to this node."""
+        required = self._readiness.not_ready_count + NOT_READY_RESPONSES
         while self._elapsed_s(began) < NOTICE_S:
-            if self._readiness.refusals >= told:
+            if self._readiness.not_ready_count >= required:
                 return
-            await anyio.sleep(_LOOK_S)
+            await anyio.sleep(_POLL_INTERVAL_S)
 
-    async def _refuse_late(self, began: float) -> None:
-        take_s = self._grace_s * TAKE_PART - self._elapsed_s(began)
-        await anyio.sleep(max(0.0, take_s))
+    async def _refuse_late_requests(self, began: float) -> None:
+        accept_s = self._grace_s * ACCEPT_FRACTION - self._elapsed_s(began)
+        await anyio.sleep(max(0.0, accept_s))
         self._callers.refuse_new_requests()
 
-    async def _finish(self, began: float) -> None:
-        """Waits for what is in progress, as long as the grace allows."""
-        most_s = self._grace_s * CLOSE_PART - _SAY_LEFT_S
-        with anyio.move_on_after(max(0.5, most_s - self._elapsed_s(began))):
+    async def _wait_until_finished(self, began: float) -> None:
+        """Waits for requests in progress, limited by the grace period."""
+        limit_s = self._grace_s * CLOSE_FRACTION - _ADVERTISE_LEFT_S
+        with anyio.move_on_after(max(0.5, limit_s - self._elapsed_s(began))):
             await self._callers.wait_quiet(QUIET_S)
             await self._callers.wait_idle()
             await self._target.wait_drained()
@@ -160,5 +164,7 @@
 
 
 def late_request_response() -> Response:
-    """Returns the answer to a caller that comes late in a planned stop."""
-    return respond(NotRun(ResultCode.LEAVING, "The node stops.", RETRY_S))
+    """Returns the response to a request that arrives late in a shutdown."""
+    return respond(
+        NotRun(ResultCode.LEAVING, "The node is shutting down.", RETRY_AFTER_S)
+    )
--- a/src/radishwind/sidecar/leaving_records_loader.py
+++ b/src/radishwind/sidecar/leaving_records_loader.py
@@ -1,4 +1,7 @@
-"""Learns at the start which incarnations leave, before the server gets work."""
+"""Loads at the start which incarnations are leaving.
+
+Until that is known, no heartbeat is accepted, so the server gets no requests.
+"""
 
 from collections.abc import Callable
 
@@ -7,20 +10,19 @@
 from radishwind.core.clock import Clock
 from radishwind.target.leaving_records import LeavingRecords
 
-#: Without the records of the store a node that has found peers goes on after
-#: this time (s), and one that has found nobody after the other.
-RECORDS_FROM_PEERS_S = 0.5
-RECORDS_FROM_NOBODY_S = 3.0
+#: Longest wait for the store's records: of a node that found peers, which may
+#: have sent the records, and of one that found none.
+TIMEOUT_WITH_PEERS_S = 0.5
+TIMEOUT_ALONE_S = 3.0
 
-#: The store is asked again after this time (s).
-_AGAIN_S = 0.2
+_RETRY_DELAY_S = 0.2
 
 
 class LeavingRecordsLoader:
-    """Reads the records of the store; peers may have them where it is away.
+    """Loads the leaving records, from peers if the store is unavailable.
 
     Attributes:
-      known: whether heartbeats may be taken.
+      is_done: whether heartbeats may be accepted.
     """
 
     def __init__(
@@ -30,38 +32,39 @@
         records: LeavingRecords,
         first_start: bool,
         node_count: Callable[[], int],
-        learned: Callable[[], None],
+        on_loaded: Callable[[], None],
     ) -> None:
         """Wires the task.
 
         Args:
           clock: the clock.
-          records: reads them.
-          first_start: whether nothing can have been kept before.
-          node_count: returns how many nodes are known, with this one.
-          learned: called once they are known.
+          records: loads the records.
+          first_start: whether the whole system starts for the first time, so
+            that no record can have been stored.
+          node_count: returns how many nodes are known, including this one.
+          on_loaded: called once the records are loaded or given up.
         """
         self._clock = clock
         self._records = records
         self._first_start = first_start
         self._node_count = node_count
-        self._learned = learned
-        self.known = False
+        self._on_loaded = on_loaded
+        self.is_done = False
 
     async def run(self) -> None:
-        """Returns once the records are known, or nobody can tell them."""
+        """Returns once the records are loaded or the wait has timed out."""
         began = self._clock.monotonic()
         while not self._first_start:
             if await self._records.load():
                 break
-            if self._waited_enough(self._clock.monotonic() - began):
+            if self._has_timed_out(self._clock.monotonic() - began):
                 break
-            await anyio.sleep(_AGAIN_S)
-        self.known = True
-        self._learned()
+            await anyio.sleep(_RETRY_DELAY_S)
+        self.is_done = True
+        self._on_loaded()
 
-    def _waited_enough(self, waited_s: float) -> bool:
-        alone = self._node_count() <= 1
-        if not alone and waited_s >= RECORDS_FROM_PEERS_S:
+    def _has_timed_out(self, elapsed_s: float) -> bool:
+        is_alone = self._node_count() <= 1
+        if not is_alone and elapsed_s >= TIMEOUT_WITH_PEERS_S:
             return True
-        return waited_s >= RECORDS_FROM_NOBODY_S
+        return elapsed_s >= TIMEOUT_ALONE_S
--- a/src/radishwind/sidecar/options.py
+++ b/src/radishwind/sidecar/options.py
@@ -40,12 +40,12 @@
 
 #: A refused request may come back after about this time (s); callers heed at
 #: most a third of the time they have left.
-RETRY_S = 0.15
+RETRY_AFTER_S = 0.15
 
 #: Nobody is told to come back later than this (s): the time limits of the
 #: deployments are 0.25 to 2.5 s. Returns are spread by this part.
 MAX_RETRY_AFTER_S = 0.25
-RETRY_SPREAD = 0.3
+RETRY_AFTER_SPREAD = 0.3
 
 #: The first calls of the store wait up to this long, at random (s).
 START_SPREAD_S = 0.15
--- a/src/radishwind/sidecar/tests/test_control.py
+++ b/src/radishwind/sidecar/tests/test_control.py
@@ -1,4 +1,4 @@
-"""What the server beside tells, before and after the records are known."""
+"""Heartbeats before and after the leaving records are loaded."""
 
 import json
 
@@ -18,18 +18,18 @@
 
 class Records:
     def __init__(self):
-        self.kept = []
-        self.keeps = True
+        self.persisted = []
+        self.is_persisted = True
 
-    async def persist(self, life, within_s):
-        self.kept.append(life)
-        return self.keeps
+    async def persist(self, process, timeout_s):
+        self.persisted.append(process)
+        return self.is_persisted
 
 
-class Stage:
-    def __init__(self, known=True):
+class Harness:
+    def __init__(self, are_records_loaded=True):
         clock = ManualClock()
-        self.known = known
+        self.are_records_loaded = are_records_loaded
         self.records = Records()
         self.server = RegisteredServer(
             "t", "s", Address("10.0.0.9", 80), clock, lambda ready: None
@@ -37,13 +37,13 @@
         self.listener = HeartbeatListener(
             clock=clock,
             register=self.server.register,
-            meant_by=self.server.resolve,
-            serves=lambda service: service == "s",
+            resolve=self.server.resolve,
+            is_service_allowed=lambda service: service == "s",
             records=self.records,
-            known=lambda: self.known,
+            are_records_loaded=lambda: self.are_records_loaded,
         )
 
-    async def beat(self, started_ms, seq=1, **other):
+    async def send_heartbeat(self, started_ms, seq=1, **other):
         body = {
             "service": "s",
             "address": "10.0.0.9:80",
@@ -65,50 +65,50 @@
         return (await self.listener.handle(request)).status
 
 
-async def test_a_heartbeat_waits_until_the_records_are_known():
-    stage = Stage(known=False)
+async def test_heartbeat_waits_until_records_are_loaded():
+    harness = Harness(are_records_loaded=False)
 
-    assert await stage.beat(FIRST) == 200
-    assert stage.server.incarnation == ""
-    stage.listener.records_known()
+    assert await harness.send_heartbeat(FIRST) == 200
+    assert harness.server.incarnation == ""
+    harness.listener.on_records_loaded()
 
-    assert stage.server.process == ServerProcess("i-1", FIRST)
+    assert harness.server.process == ServerProcess("i-1", FIRST)
 
 
-async def test_one_that_ends_before_is_the_one_that_waits():
-    stage = Stage(known=False)
-    await stage.beat(FIRST)
+async def test_deregistration_ends_the_waiting_incarnation():
+    harness = Harness(are_records_loaded=False)
+    await harness.send_heartbeat(FIRST)
 
-    assert await stage.deregister() == 200
-    stage.listener.records_known()
+    assert await harness.deregister() == 200
+    harness.listener.on_records_loaded()
 
-    assert stage.records.kept == [ServerProcess("i-1", FIRST)]
-    assert stage.server.incarnation == ""
-    stage.known = True
-    assert await stage.beat(SECOND) == 200
-    assert stage.server.process == ServerProcess("i-1", SECOND)
+    assert harness.records.persisted == [ServerProcess("i-1", FIRST)]
+    assert harness.server.incarnation == ""
+    harness.are_records_loaded = True
+    assert await harness.send_heartbeat(SECOND) == 200
+    assert harness.server.process == ServerProcess("i-1", SECOND)
 
 
-async def test_leaving_is_acknowledged_once_the_word_is_kept():
-    stage = Stage()
-    await stage.beat(FIRST)
-    stage.records.keeps = False
+async def test_leaving_is_acknowledged_once_it_is_stored():
+    harness = Harness()
+    await harness.send_heartbeat(FIRST)
+    harness.records.is_persisted = False
 
-    assert await stage.beat(FIRST, 2, state="draining") == 503
-    assert stage.server.is_draining
-    stage.records.keeps = True
+    assert await harness.send_heartbeat(FIRST, 2, state="draining") == 503
+    assert harness.server.is_draining
+    harness.records.is_persisted = True
 
-    assert await stage.beat(FIRST, 3, state="draining") == 200
+    assert await harness.send_heartbeat(FIRST, 3, state="draining") == 200
 
 
 @pytest.mark.parametrize(
     "wrong", [{"service": "other"}, {"state": "asleep"}, {"slots": "six"}]
 )
-async def test_a_word_of_another_writer_is_counted_and_changes_nothing(wrong):
-    stage = Stage()
-    await stage.beat(FIRST)
+async def test_malformed_heartbeat_is_counted_and_ignored(wrong):
+    harness = Harness()
+    await harness.send_heartbeat(FIRST)
 
-    assert await stage.beat(SECOND, **wrong) >= 400
+    assert await harness.send_heartbeat(SECOND, **wrong) >= 400
 
-    assert stage.server.process == ServerProcess("i-1", FIRST)
-    assert stage.listener.malformed == 1
+    assert harness.server.process == ServerProcess("i-1", FIRST)
+    assert harness.listener.malformed_count == 1
--- a/src/radishwind/sidecar/tests/test_graceful_shutdown.py
+++ b/src/radishwind/sidecar/tests/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""What a planned stop does in which order, on a clock of our own."""
+"""The order and times of a graceful shutdown, in virtual time."""
 
 import heapq
 import itertools
@@ -18,16 +18,16 @@
 pytestmark = pytest.mark.anyio
 
 GRACE_S = 6.0
-READ = Request("GET", "/x")
+REQUEST = Request("GET", "/x")
 
 
-class Day:
-    """Time goes on when everybody sleeps; notes what happened and when."""
+class VirtualTime:
+    """Advances once all tasks sleep; records events with their times."""
 
     def __init__(self, monkeypatch):
         self.clock = ManualClock()
         self.began = self.clock.monotonic()
-        self.done = []
+        self.events = []
         self._sleepers = []
         self._order = itertools.count()
         monkeypatch.setattr(graceful_shutdown.anyio, "sleep", self.sleep)
@@ -39,26 +39,26 @@
     def now(self):
         return round(self.clock.monotonic() - self.began, 3)
 
-    def note(self, what):
-        self.done.append((what, self.now))
+    def record(self, event):
+        self.events.append((event, self.now))
 
-    def at(self, what):
-        return dict(self.done)[what]
+    def at(self, event):
+        return dict(self.events)[event]
 
-    async def sleep(self, for_s):
+    async def sleep(self, duration_s):
         awake = anyio.Event()
-        due = self.clock.monotonic() + for_s
+        due = self.clock.monotonic() + duration_s
         heapq.heappush(self._sleepers, (due, next(self._order), awake))
         await awake.wait()
 
-    def move_on_after(self, for_s):
+    def move_on_after(self, duration_s):
         scope = anyio.CancelScope()
-        due = self.clock.monotonic() + for_s
-        item = (due, next(self._order), _Cancels(scope))
+        due = self.clock.monotonic() + duration_s
+        item = (due, next(self._order), _Canceler(scope))
         heapq.heappush(self._sleepers, item)
         return scope
 
-    async def play(self):
+    async def run(self):
         while True:
             await anyio.wait_all_tasks_blocked()
             if not self._sleepers:
@@ -68,134 +68,145 @@
             sleeper.set()
 
 
-class _Cancels:
+class _Canceler:
     def __init__(self, scope):
         self.set = scope.cancel
 
 
 class Target:
-    def __init__(self, day):
-        self.refuse_new_work = lambda: day.note("target leaves")
+    def __init__(self, time):
+        self.refuse_new_work = lambda: time.record("target leaves")
 
     async def wait_drained(self):
         pass
 
 
 class Listener:
-    def __init__(self, day):
-        self._day = day
+    def __init__(self, time):
+        self._time = time
 
     async def close(self, grace_s):
-        self._day.note("closed")
+        self._time.record("closed")
 
 
-class Stage:
-    def __init__(self, day):
-        self.day = day
+class Shutdown:
+    def __init__(self, time):
+        self.time = time
         self.release = anyio.Event()
         self.readiness = Readiness(lambda: False)
         self.callers = RequestsInProgress(
-            self._slow,
-            day.clock,
+            self._handle,
+            time.clock,
             make_refusal=lambda: Response(503, (), b"late"),
         )
-        self.attempts = RequestsInProgress(self._slow, day.clock)
-        self.stop = GracefulShutdown(
-            clock=day.clock,
+        self.attempts = RequestsInProgress(self._handle, time.clock)
+        self.shutdown = GracefulShutdown(
+            clock=time.clock,
             grace_s=GRACE_S,
             readiness=self.readiness,
             callers=self.callers,
             attempts=self.attempts,
-            target=Target(day),
-            farewell=DepartureNotices(
-                lambda: day.note("says leaving"), self._say_left
+            target=Target(time),
+            notices=DepartureNotices(
+                lambda: time.record("says leaving"), self._advertise_left
             ),
         )
-        self.answers = []
+        self.responses = []
 
-    async def _slow(self, request):
+    async def _handle(self, request):
         await self.release.wait()
         return Response(200, (), b"done")
 
-    async def _say_left(self):
-        self.day.note("says left")
+    async def _advertise_left(self):
+        self.time.record("says left")
 
-    async def ask(self, at_s):
-        await self.day.sleep(at_s)
-        answer = await self.callers.handle(READ)
-        self.day.note(f"answered at {at_s}")
-        self.answers.append((at_s, answer))
+    async def send(self, at_s):
+        await self.time.sleep(at_s)
+        response = await self.callers.handle(REQUEST)
+        self.time.record(f"answered at {at_s}")
+        self.responses.append((at_s, response))
 
-    async def platform(self, first_s, every_s=1.0):
-        await self.day.sleep(first_s)
+    async def check_readiness(self, first_s, interval_s=1.0):
+        await self.time.sleep(first_s)
         for _ in range(2):
             await self.readiness.handle(Request("GET", "/-/ready"))
-            await self.day.sleep(every_s)
+            await self.time.sleep(interval_s)
 
     async def run(self):
-        await self.stop.run([Listener(self.day)])
+        await self.shutdown.run([Listener(self.time)])
 
 
 @pytest.fixture
-def stage(monkeypatch):
-    return Stage(Day(monkeypatch))
+def shutdown(monkeypatch):
+    return Shutdown(VirtualTime(monkeypatch))
 
 
-async def play(stage, *others):
+async def run_with(shutdown, *others):
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(stage.run)
+        tasks.start_soon(shutdown.run)
         for other in others:
             tasks.start_soon(*other)
-        await stage.day.play()
+        await shutdown.time.run()
         tasks.cancel_scope.cancel()
 
 
-async def test_it_ends_soon_once_the_platform_was_told_twice(stage):
-    stage.release.set()
+async def test_shutdown_proceeds_after_two_not_ready_responses(shutdown):
+    shutdown.release.set()
 
-    await play(stage, (stage.platform, 0.3))
+    await run_with(shutdown, (shutdown.check_readiness, 0.3))
 
-    assert stage.day.at("target leaves") == pytest.approx(1.3, abs=0.1)
-    assert stage.day.at("closed") < 2.0
+    assert shutdown.time.at("target leaves") == pytest.approx(1.3, abs=0.1)
+    assert shutdown.time.at("closed") < 2.0
 
 
-async def test_the_server_serves_on_until_the_callers_are_gone(stage):
-    stage.release.set()
+async def test_target_serves_until_callers_are_rerouted(shutdown):
+    shutdown.release.set()
 
-    await play(stage)
+    await run_with(shutdown)
 
-    assert stage.day.at("says leaving") == pytest.approx(
+    assert shutdown.time.at("says leaving") == pytest.approx(
         graceful_shutdown.NOTICE_S, abs=0.1
     )
-    names = [what for what, _ in stage.day.done]
+    names = [event for event, _ in shutdown.time.events]
     assert names == ["says leaving", "target leaves", "says left", "closed"]
 
 
-async def test_what_is_in_progress_is_answered_before_the_listeners_close(
-    stage,
+async def test_requests_in_progress_finish_before_listeners_close(
+    shutdown,
 ):
-    async def let():
-        await stage.day.sleep(4.0)
-        stage.release.set()
-
-    await play(stage, (stage.ask, 0.0), (stage.platform, 0.3), (let,))
+    async def release():
+        await shutdown.time.sleep(4.0)
+        shutdown.release.set()
+
+    await run_with(
+        shutdown,
+        (shutdown.send, 0.0),
+        (shutdown.check_readiness, 0.3),
+        (release,),
+    )
 
-    assert stage.day.at("answered at 0.0") == 4.0
-    assert stage.day.at("closed") >= 4.0
-    ((_, answer),) = stage.answers
-    assert ("Connection", "close") in answer.headers
+    assert shutdown.time.at("answered at 0.0") == 4.0
+    assert shutdown.time.at("closed") >= 4.0
+    ((_, response),) = shutdown.responses
+    assert ("Connection", "close") in response.headers
 
 
-async def test_what_comes_late_in_the_grace_is_refused_at_once(stage):
-    await play(stage, (stage.ask, 0.0), (stage.ask, 3.8))
+async def test_late_request_is_refused_at_once(shutdown):
+    await run_with(shutdown, (shutdown.send, 0.0), (shutdown.send, 3.8))
 
-    late = dict(stage.answers)[3.8]
-    assert stage.day.at("answered at 3.8") == 3.8
+    late = dict(shutdown.responses)[3.8]
+    assert shutdown.time.at("answered at 3.8") == 3.8
     assert late.status == 503
     assert ("Connection", "close") in late.headers
 
 
-async def test_it_closes_within_the_grace_whatever_still_runs(stage):
-    await play(stage, (stage.ask, 0.0), (stage.platform, 0.3))
+async def test_listeners_close_within_grace_period_despite_running_requests(
+    shutdown,
+):
+    await run_with(
+        shutdown, (shutdown.send, 0.0), (shutdown.check_readiness, 0.3)
+    )
 
-    assert stage.day.at("closed") <= GRACE_S * graceful_shutdown.CLOSE_PART
+    assert (
+        shutdown.time.at("closed") <= GRACE_S * graceful_shutdown.CLOSE_FRACTION
+    )
--- a/src/radishwind/sidecar/tests/test_leaving_records_loader.py
+++ b/src/radishwind/sidecar/tests/test_leaving_records_loader.py
@@ -1,4 +1,4 @@
-"""Heartbeats wait for the records of before, but not for good."""
+"""Heartbeats wait for the leaving records only for a bounded time."""
 
 import pytest
 
@@ -10,57 +10,57 @@
 
 
 class Records:
-    """Cannot be read `fails` times."""
+    """Fails to load `failures` times."""
 
-    def __init__(self, clock, fails):
+    def __init__(self, clock, failures):
         self.clock = clock
-        self.fails = fails
-        self.reads = 0
+        self.failures = failures
+        self.loads = 0
 
     async def load(self):
-        self.reads += 1
+        self.loads += 1
         self.clock.advance(0.2)
-        return self.reads > self.fails
+        return self.loads > self.failures
 
 
-async def learn(fails, *, first_start=False, nodes=1):
+async def load(failures, *, first_start=False, nodes=1):
     clock = ManualClock()
-    kept = Records(clock, fails)
-    told = []
-    start = LeavingRecordsLoader(
+    records = Records(clock, failures)
+    loaded_at = []
+    loader = LeavingRecordsLoader(
         clock=clock,
-        records=kept,
+        records=records,
         first_start=first_start,
         node_count=lambda: nodes,
-        learned=lambda: told.append(clock.monotonic()),
+        on_loaded=lambda: loaded_at.append(clock.monotonic()),
     )
     began = clock.monotonic()
-    await start.run()
-    assert start.known
-    assert len(told) == 1
-    return kept.reads, told[0] - began
+    await loader.run()
+    assert loader.is_done
+    assert len(loaded_at) == 1
+    return records.loads, loaded_at[0] - began
 
 
 @pytest.fixture(autouse=True)
-def no_pause(monkeypatch):
-    monkeypatch.setattr(leaving_records_loader, "_AGAIN_S", 0.0)
+def no_retry_delay(monkeypatch):
+    monkeypatch.setattr(leaving_records_loader, "_RETRY_DELAY_S", 0.0)
 
 
-async def test_they_are_read_before_a_heartbeat_is_taken():
-    assert (await learn(0))[0] == 1
+async def test_records_are_loaded_before_heartbeats_are_accepted():
+    assert (await load(0))[0] == 1
 
 
-async def test_a_store_that_fails_is_asked_again():
-    assert (await learn(2))[0] == 3
+async def test_load_is_retried():
+    assert (await load(2))[0] == 3
 
 
-async def test_at_the_first_start_of_all_there_are_none():
-    assert (await learn(0, first_start=True))[0] == 0
+async def test_first_start_loads_nothing():
+    assert (await load(0, first_start=True))[0] == 0
 
 
-async def test_peers_tell_them_where_the_store_is_away():
-    assert (await learn(99, nodes=3))[1] == pytest.approx(0.6)
+async def test_node_with_peers_waits_a_short_time():
+    assert (await load(99, nodes=3))[1] == pytest.approx(0.6)
 
 
-async def test_a_node_alone_waits_longer_and_not_for_good():
-    assert (await learn(99))[1] == pytest.approx(3.0)
+async def test_node_alone_waits_longer_but_not_forever():
+    assert (await load(99))[1] == pytest.approx(3.0)
