--- a/bench/forwarder.py
+++ b/bench/forwarder.py
@@ -25,7 +25,7 @@
 from radishwind.http import Request
 from radishwind.http import Response
 from radishwind.http import Sender
-from radishwind.http.types import whole_body
+from radishwind.http.types import read_body
 
 _ANSWER = Response(200, (("Server", "backend"),), b"x" * 1500)
 _WARM_UP = 500
@@ -113,7 +113,7 @@
     async def some() -> None:
         for _ in range(requests // at_once):
             response = await sender.send(to, request, 1.0)
-            body = await whole_body(response.body)
+            body = await read_body(response.body)
             assert len(body) == 1500, "a whole answer"
 
     async with asyncio.TaskGroup() as tasks:
--- a/src/radishwind/claims/claim_record.py
+++ b/src/radishwind/claims/claim_record.py
@@ -8,7 +8,7 @@
 
 from radishwind.entry.call import Call
 from radishwind.entry.call import CALLER_FIELD
-from radishwind.http.types import header
+from radishwind.http.types import get_header
 from radishwind.http.types import Headers
 
 CLAIM_PREFIX = "/radishwind/claims/"
@@ -94,7 +94,7 @@
     def from_call(cls, call: Call) -> "KeyedRequest":
         """Returns the keyed request of `call`, which must have a key."""
         assert call.key is not None
-        caller = header(call.request.headers, CALLER_FIELD) or ""
+        caller = get_header(call.request.headers, CALLER_FIELD) or ""
         return cls(call.service, call.key, fingerprint(call), caller)
 
     @property
--- a/src/radishwind/claims/tests/test_at_most_once_guard.py
+++ b/src/radishwind/claims/tests/test_at_most_once_guard.py
@@ -10,7 +10,7 @@
 from radishwind.http import ConnectFailedError
 from radishwind.http import Response
 from radishwind.http.types import BodyStream
-from radishwind.http.types import header
+from radishwind.http.types import get_header
 from radishwind.store import Delete
 from radishwind.store import EtcdStore
 from radishwind.store import StoreEntry
@@ -65,8 +65,8 @@
 
 def _summary(response: Response) -> tuple[int, str | None, int]:
     """Returns status, outcome and result code of a response."""
-    code = header(response.headers, "radishwind-code") or "0"
-    outcome = header(response.headers, "radishwind-outcome")
+    code = get_header(response.headers, "radishwind-code") or "0"
+    outcome = get_header(response.headers, "radishwind-outcome")
     return response.status, outcome, int(code)
 
 
@@ -81,7 +81,7 @@
     for node in (site.a, site.b):
         response = await node.send("k", b"x")
         assert response.body == b"booked x"
-        assert header(response.headers, "radishwind-replayed") == "true"
+        assert get_header(response.headers, "radishwind-replayed") == "true"
 
     assert site.runs == 1
 
@@ -126,7 +126,7 @@
     unknown = await site.b.send("k", b"x")
 
     assert _summary(running) == (409, "unknown", ResultCode.CLAIM_RUNNING)
-    assert header(running.headers, "retry-after") is not None
+    assert get_header(running.headers, "retry-after") is not None
     assert _summary(unknown) == (409, "unknown", ResultCode.CLAIM_UNKNOWN)
     assert site.runs == 0
 
@@ -209,7 +209,7 @@
         response = await site.a.send(f"k{number}", b"x")
 
     assert len(site.cluster.sender.sent) == sent
-    assert header(response.headers, "retry-after") is not None
+    assert get_header(response.headers, "retry-after") is not None
 
 
 async def test_claim_whose_response_is_lost_is_confirmed_by_a_read(site):
--- a/src/radishwind/claims/tests/test_random_faults.py
+++ b/src/radishwind/claims/tests/test_random_faults.py
@@ -17,7 +17,7 @@
 from radishwind.claims import ClaimGuard
 from radishwind.claims import NoClaims
 from radishwind.core import ResultCode
-from radishwind.http.types import header
+from radishwind.http.types import get_header
 from radishwind.outcomes import NotRun
 from radishwind.outcomes import Outcome
 from radishwind.outcomes import Unknown
@@ -98,7 +98,7 @@
             body += b" other"
         ran_before = self.cluster.servers.runs_by_body[body]
         response = await node.send(key, body)
-        outcome = header(response.headers, "radishwind-outcome")
+        outcome = get_header(response.headers, "radishwind-outcome")
         if outcome == "not-run" and ran_before:
             self.violations.append(f"{key} had run but was reported as not run")
         if outcome is None:
--- a/src/radishwind/cli/admin.py
+++ b/src/radishwind/cli/admin.py
@@ -7,7 +7,7 @@
 from radishwind.http import make_sender
 from radishwind.http import Request
 from radishwind.http import SendError
-from radishwind.http.types import whole_body
+from radishwind.http.types import read_body
 from radishwind.settings import SettingError
 
 #: How long a connection may take (s).
@@ -36,7 +36,7 @@
         response = await sender.send(
             where, Request("GET", path), _CONNECT_TIMEOUT_S
         )
-        body = await whole_body(response.body)
+        body = await read_body(response.body)
     except SendError as exc:
         raise AdminError(
             f"{address}: expected a node's admin listener, got {exc.args[0]}"
--- a/src/radishwind/entry/call.py
+++ b/src/radishwind/entry/call.py
@@ -9,7 +9,7 @@
 from radishwind.config.model import ServiceRules
 from radishwind.core.codes import ResultCode
 from radishwind.core.errors import RadishwindError
-from radishwind.http.hygiene import NODE_FIELD_PREFIX
+from radishwind.http.sanitization import NODE_FIELD_PREFIX
 from radishwind.http.types import Request
 
 #: Header fields that callers may send; described in `docs/callers.md`.
--- a/src/radishwind/entry/tests/test_call.py
+++ b/src/radishwind/entry/tests/test_call.py
@@ -15,7 +15,7 @@
 from radishwind.entry.call import classify
 from radishwind.entry.call import server_request
 from radishwind.entry.call import ServiceUnknownError
-from radishwind.http.types import header
+from radishwind.http.types import get_header
 from radishwind.http.types import Request
 
 RULES = ServiceRules(idempotent_paths=("/tags/read",), max_deadline_ms=5_000)
@@ -96,8 +96,8 @@
 
     headers = server_request(call, now=100.25).headers
 
-    assert header(headers, "radishwind-timeout-ms") == "650"
-    assert header(headers, "radishwind-depth") == "4"
+    assert get_header(headers, "radishwind-timeout-ms") == "650"
+    assert get_header(headers, "radishwind-depth") == "4"
     assert len(headers) == 2
 
 
--- a/src/radishwind/entry/tests/test_call_executor.py
+++ b/src/radishwind/entry/tests/test_call_executor.py
@@ -17,7 +17,7 @@
 from radishwind.hedging import HedgePolicy
 from radishwind.http.types import Address
 from radishwind.http.types import BodyStream
-from radishwind.http.types import header
+from radishwind.http.types import get_header
 from radishwind.http.types import Request
 from radishwind.http.types import Response
 from radishwind.membership.directory import Directory
@@ -153,7 +153,7 @@
 
     response = await entry.send("POST")
 
-    assert header(response.headers, "radishwind-outcome") == "unknown"
+    assert get_header(response.headers, "radishwind-outcome") == "unknown"
     assert len(entry.runner.attempts) == 1
 
 
@@ -168,7 +168,7 @@
 
     response = await entry.send("GET", Stream())
 
-    assert header(response.headers, "radishwind-outcome") == "not-run"
+    assert get_header(response.headers, "radishwind-outcome") == "not-run"
     assert len(entry.runner.attempts) == 1
 
 
@@ -177,14 +177,14 @@
 
     response = await entry.send("POST")
 
-    assert header(response.headers, "retry-after") == "1"
-    assert header(response.headers, "radishwind-outcome") == "not-run"
+    assert get_header(response.headers, "retry-after") == "1"
+    assert get_header(response.headers, "radishwind-outcome") == "not-run"
 
 
 async def test_call_without_a_target_is_not_run():
     response = await EntryHarness(targets=0).send()
 
-    assert header(response.headers, "radishwind-code") == "3001"
+    assert get_header(response.headers, "radishwind-code") == "3001"
 
 
 async def test_malformed_field_is_answered_with_its_result_code():
@@ -193,7 +193,7 @@
     response = await EntryHarness().pipeline.handle(request)
 
     assert response.status == 400
-    assert header(response.headers, "radishwind-code") == "2001"
+    assert get_header(response.headers, "radishwind-code") == "2001"
 
 
 async def test_slow_attempt_is_cancelled_if_the_hedge_responds_first():
@@ -317,4 +317,4 @@
     response = await entry.send()
 
     assert len(entry.runner.attempts) == 2
-    assert header(response.headers, "radishwind-outcome") == "unknown"
+    assert get_header(response.headers, "radishwind-outcome") == "unknown"
--- a/src/radishwind/experiment/callers.py
+++ b/src/radishwind/experiment/callers.py
@@ -11,7 +11,7 @@
 from radishwind.experiment.report import Answered
 from radishwind.experiment.report import End
 from radishwind.experiment.scenario import Kind
-from radishwind.http.types import header
+from radishwind.http.types import get_header
 from radishwind.http.types import Request
 from radishwind.http.types import Response
 from radishwind.platform.other_ends import Sending
@@ -84,7 +84,7 @@
             return None
 
     def _return_s(self, response: Response | None, left_s: float) -> float:
-        told = header(response.headers, "retry-after") if response else None
+        told = get_header(response.headers, "retry-after") if response else None
         wait_s = float(told) if told else _RETURN_S * self._rng.random()
         return min(wait_s, left_s * _HEED_PART)
 
--- a/src/radishwind/http/__init__.py
+++ b/src/radishwind/http/__init__.py
@@ -10,10 +10,10 @@
 from radishwind.http.factory import HttpLibrary
 from radishwind.http.factory import make_sender
 from radishwind.http.factory import make_server
-from radishwind.http.limits import ServerLimits
 from radishwind.http.sender import Sender
 from radishwind.http.server import Handler
 from radishwind.http.server import Server
+from radishwind.http.server_limits import ServerLimits
 from radishwind.http.types import Address
 from radishwind.http.types import Body
 from radishwind.http.types import BodyStream
--- a/src/radishwind/http/aiohttp_sender.py
+++ b/src/radishwind/http/aiohttp_sender.py
@@ -12,9 +12,9 @@
 from radishwind.http.errors import ConnectFailedError
 from radishwind.http.errors import ExchangeBrokenError
 from radishwind.http.sender import Sender
-from radishwind.http.silence import KEEPALIVE_S
-from radishwind.http.silence import watch_silence
-from radishwind.http.strict_protocol import StrictResponseHandler
+from radishwind.http.strict_response_handler import StrictResponseHandler
+from radishwind.http.tcp_keepalive import enable_dead_peer_detection
+from radishwind.http.tcp_keepalive import KEEPALIVE_S
 from radishwind.http.types import Address
 from radishwind.http.types import Body
 from radishwind.http.types import BodyStream
@@ -129,7 +129,7 @@
     family, kind, proto, _, _ = addr_info
     sock = socket.socket(family=family, type=kind, proto=proto)
     sock.setblocking(False)
-    watch_silence(sock)
+    enable_dead_peer_detection(sock)
     return sock
 
 
--- a/src/radishwind/http/aiohttp_server.py
+++ b/src/radishwind/http/aiohttp_server.py
@@ -12,15 +12,15 @@
 from radishwind.core.timelimit import TimeLimit
 from radishwind.http.errors import ExchangeBrokenError
 from radishwind.http.errors import RequestRejectedError
-from radishwind.http.httptools_connection import MayRunAhead
-from radishwind.http.limits import ServerLimits
-from radishwind.http.pipelined import PipelinedProtocol
-from radishwind.http.problems import problem_body
+from radishwind.http.pipelined_protocol import PipelinedProtocol
+from radishwind.http.problems import make_problem_response
+from radishwind.http.rejections import body_too_large_error
 from radishwind.http.rejections import rejected
-from radishwind.http.rejections import too_large
-from radishwind.http.rejections import too_slow
+from radishwind.http.rejections import sender_too_slow_error
 from radishwind.http.server import Handler
 from radishwind.http.server import Server
+from radishwind.http.server_connection import MayRunInParallel
+from radishwind.http.server_limits import ServerLimits
 from radishwind.http.types import Address
 from radishwind.http.types import BodyStream
 from radishwind.http.types import Request
@@ -46,16 +46,16 @@
             if not piece:
                 return
             taken += len(piece)
-            if taken > self._limits.body_bytes:
-                raise too_large(self._limits)
+            if taken > self._limits.max_body_bytes:
+                raise body_too_large_error(self._limits)
             yield piece
 
     async def _read(self) -> bytes:
         try:
-            with TimeLimit(self._limits.body_pause_s):
+            with TimeLimit(self._limits.body_timeout_s):
                 return await self._request.content.readany()
         except TimeoutError as exc:
-            raise too_slow(self._limits) from exc
+            raise sender_too_slow_error(self._limits) from exc
         except (RequestPayloadError, OSError) as exc:
             raise ExchangeBrokenError(f"request cut: {exc!r}") from exc
 
@@ -99,7 +99,7 @@
         else:
             code, detail = ResultCode.INTERNAL_ERROR, "The node failed."
             outcome = "unknown"
-        response = problem_body(code, status, detail, outcome)
+        response = make_problem_response(code, status, detail, outcome)
         out = _whole(response)
         if not self.runs_ahead:
             out.force_close()
@@ -113,7 +113,7 @@
         self,
         handler: Handler,
         limits: ServerLimits,
-        may_run_ahead: MayRunAhead,
+        may_run_in_parallel: MayRunInParallel,
     ) -> None:
         async def serve(request: web.BaseRequest) -> web.StreamResponse:
             return await _serve(request, limits)
@@ -121,34 +121,34 @@
         super().__init__(serve, handler_cancellation=True)
         self._handler = handler
         self._limits = limits
-        self._may_run_ahead = may_run_ahead
+        self._may_run_in_parallel = may_run_in_parallel
 
     def __call__(self) -> PipelinedProtocol:
         return _Protocol(
             self,
             handler=self._handler,
             limits=self._limits,
-            may_run_ahead=self._may_run_ahead,
+            may_run_in_parallel=self._may_run_in_parallel,
             is_crowded=self._is_crowded,
             loop=asyncio.get_running_loop(),
-            keepalive_timeout=self._limits.idle_s,
+            keepalive_timeout=self._limits.idle_timeout_s,
             access_log=None,  # type: ignore[arg-type]
-            max_line_size=self._limits.field_bytes,
-            max_field_size=self._limits.field_bytes,
-            max_headers=self._limits.fields,
+            max_line_size=self._limits.max_field_bytes,
+            max_field_size=self._limits.max_field_bytes,
+            max_headers=self._limits.max_fields,
             auto_decompress=False,
             lingering_time=self._limits.linger_s,
         )
 
     def _is_crowded(self) -> bool:
-        most = self._limits.connections * self._limits.crowded_part
+        most = self._limits.max_connections * self._limits.crowded_fraction
         return len(self.connections) > most
 
     def connection_made(  # type: ignore[override]
         self, handler: PipelinedProtocol, transport: asyncio.Transport
     ) -> None:
         super().connection_made(handler, transport)
-        if len(self.connections) > self._limits.connections:
+        if len(self.connections) > self._limits.max_connections:
             transport.abort()
 
 
@@ -156,22 +156,24 @@
     """Receives by aiohttp; see `Server` for what it promises."""
 
     def __init__(
-        self, limits: ServerLimits, may_run_ahead: MayRunAhead | None = None
+        self,
+        limits: ServerLimits,
+        may_run_in_parallel: MayRunInParallel | None = None,
     ) -> None:
         """Makes a listener.
 
         Args:
           limits: what it takes.
-          may_run_ahead: decides which pipelined requests run before their
+          may_run_in_parallel: decides which pipelined requests run before their
             turn; by default none do.
         """
         self._limits = limits
-        self._may_run_ahead = may_run_ahead or _never
+        self._may_run_in_parallel = may_run_in_parallel or _never
         self._runner: web.ServerRunner | None = None
         self._site: web.TCPSite | None = None
 
     async def start(self, handler: Handler, listen: Address) -> Address:
-        server = _WebServer(handler, self._limits, self._may_run_ahead)
+        server = _WebServer(handler, self._limits, self._may_run_in_parallel)
         self._runner = web.ServerRunner(server, shutdown_timeout=0.0)
         await self._runner.setup()
         self._site = web.TCPSite(
@@ -215,8 +217,8 @@
 
 async def _received(request: web.BaseRequest, limits: ServerLimits) -> Request:
     length = request.content_length
-    if length is not None and length > limits.body_bytes:
-        raise too_large(limits)
+    if length is not None and length > limits.max_body_bytes:
+        raise body_too_large_error(limits)
     headers = [
         (key.decode("ascii"), value.decode("utf-8", "surrogateescape"))
         for key, value in request.raw_headers
@@ -269,10 +271,10 @@
     if content.is_eof() or content.total_bytes == request.content_length:
         return await content.read(-1)
     try:
-        with TimeLimit(limits.body_pause_s):
+        with TimeLimit(limits.body_timeout_s):
             return await content.read(-1)
     except TimeoutError as exc:
-        raise too_slow(limits) from exc
+        raise sender_too_slow_error(limits) from exc
     except (RequestPayloadError, OSError) as exc:
         raise RequestRejectedError("expected a whole body, got a part") from exc
 
--- a/src/radishwind/http/meter.py
+++ b/src/radishwind/http/byte_meter.py
@@ -7,21 +7,21 @@
     """Takes what was sent and received."""
 
     @abc.abstractmethod
-    def sent(self, size: int) -> None:
+    def record_sent(self, size: int) -> None:
         """Takes that `size` bytes were handed to a connection."""
 
     @abc.abstractmethod
-    def received(self, size: int) -> None:
+    def record_received(self, size: int) -> None:
         """Takes that `size` bytes came from a connection."""
 
 
 class NoMeter(ByteMeter):
     """Counts nothing."""
 
-    def sent(self, size: int) -> None:
+    def record_sent(self, size: int) -> None:
         """Forgets it."""
 
-    def received(self, size: int) -> None:
+    def record_received(self, size: int) -> None:
         """Forgets it."""
 
 
--- a/src/radishwind/http/httptools_exchange.py
+++ b/src/radishwind/http/client_connection.py
@@ -11,22 +11,22 @@
 
 import httptools
 
+from radishwind.http.byte_meter import ByteMeter
+from radishwind.http.byte_meter import NO_METER
 from radishwind.http.errors import ExchangeBrokenError
-from radishwind.http.heads import chunk
 from radishwind.http.heads import decode_fields
-from radishwind.http.heads import framing_of
+from radishwind.http.heads import encode_chunk
 from radishwind.http.heads import has_body
 from radishwind.http.heads import LAST_CHUNK
-from radishwind.http.incoming import IncomingBody
-from radishwind.http.meter import ByteMeter
-from radishwind.http.meter import NO_METER
+from radishwind.http.heads import parse_framing
+from radishwind.http.incoming_body import IncomingBody
 from radishwind.http.types import BodyStream
 from radishwind.http.types import Request
 from radishwind.http.types import Response
 from radishwind.http.types import SMALL_BODY_BYTES
 
 #: The longest head of an answer (bytes).
-MOST_HEAD_BYTES = 256 * 1024
+MAX_RESPONSE_HEAD_BYTES = 256 * 1024
 
 _SWITCHING = 101
 
@@ -36,7 +36,7 @@
 
     Attributes:
       usable: whether a further exchange may begin on it.
-      rested_since: when the last exchange ended (s, of the loop).
+      idle_since: when the last exchange ended (s, of the loop).
       answered: whether anything came for the exchange that runs.
     """
 
@@ -70,7 +70,7 @@
         self._to_head = False
         self._lost = False
         self.usable = True
-        self.rested_since = 0.0
+        self.idle_since = 0.0
         self.answered = False
 
     # What the sender calls.
@@ -122,7 +122,7 @@
             self.abort()
             return
         self.answered = True
-        self._meter.received(len(data))
+        self._meter.record_received(len(data))
         if self._in_head:
             self._head_bytes += len(data)
         try:
@@ -130,8 +130,10 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as exc:
             self._broke(f"expected an answer of HTTP/1.1: {exc}")
             return
-        if self._in_head and self._head_bytes > MOST_HEAD_BYTES:
-            self._broke(f"expected a head of {MOST_HEAD_BYTES} bytes at most")
+        if self._in_head and self._head_bytes > MAX_RESPONSE_HEAD_BYTES:
+            self._broke(
+                f"expected a head of {MAX_RESPONSE_HEAD_BYTES} bytes at most"
+            )
 
     def eof_received(self) -> None:
         if self._until_close:
@@ -174,7 +176,7 @@
         self._in_head = False
         self._head_bytes = 0
         headers = decode_fields(self._fields)
-        framing = framing_of(headers)
+        framing = parse_framing(headers)
         if not framing.clean:
             self._broke("expected a body in chunks or of a told length")
             return
@@ -233,7 +235,7 @@
         if not keeps or not sent:
             self._transport.close()
             return
-        self.rested_since = asyncio.get_running_loop().time()
+        self.idle_since = asyncio.get_running_loop().time()
         self.usable = True
         self._released(self)
 
@@ -260,7 +262,7 @@
 
     def _send(self, data: bytes) -> None:
         self._transport.write(data)
-        self._meter.sent(len(data))
+        self._meter.record_sent(len(data))
 
     async def _send_body(self, request: Request) -> None:
         """Sends the pieces of a body as they come."""
@@ -270,7 +272,7 @@
             async for piece in request.body:
                 if not piece:
                     continue
-                self._send(chunk(piece) if in_chunks else piece)
+                self._send(encode_chunk(piece) if in_chunks else piece)
                 if not self._writes:
                     loop = asyncio.get_running_loop()
                     self._writable = loop.create_future()
--- a/src/radishwind/http/factory.py
+++ b/src/radishwind/http/factory.py
@@ -2,9 +2,9 @@
 
 import enum
 
-from radishwind.http.limits import ServerLimits
 from radishwind.http.sender import Sender
 from radishwind.http.server import Server
+from radishwind.http.server_limits import ServerLimits
 
 
 class HttpLibrary(enum.StrEnum):
--- a/src/radishwind/http/heads.py
+++ b/src/radishwind/http/heads.py
@@ -26,7 +26,7 @@
 _REASONS = {status.value: status.phrase for status in http.HTTPStatus}
 
 
-class HeadMalformedError(ValueError):
+class MalformedHeadError(ValueError):
     """A head would hold a line break of its sender's."""
 
 
@@ -58,7 +58,7 @@
     )
 
 
-def framing_of(headers: Headers) -> Framing:
+def parse_framing(headers: Headers) -> Framing:
     """Returns what `headers` say of the body and of the connection."""
     length: int | None = None
     chunked = closes = continues = False
@@ -81,7 +81,7 @@
     return Framing(length, chunked, closes, continues, clean, hosts)
 
 
-def request_head(request: Request, address: Address) -> bytes:
+def encode_request_head(request: Request, address: Address) -> bytes:
     """Returns the head of `request` with the length of its body.
 
     Args:
@@ -89,7 +89,7 @@
       address: where to; told as its host where it names none.
 
     Raises:
-      HeadMalformedError: a field holds a line break.
+      MalformedHeadError: a field holds a line break.
     """
     lines = [f"{request.method} {request.path} HTTP/1.1"]
     names_host = False
@@ -108,7 +108,7 @@
     return _encoded(lines)
 
 
-def response_head(
+def encode_response_head(
     response: Response, *, to_head: bool, chunks: bool
 ) -> tuple[bytes, bool]:
     """Returns the head of `response`, and whether its body goes in chunks.
@@ -119,7 +119,7 @@
       chunks: whether the receiver reads chunks.
 
     Raises:
-      HeadMalformedError: a field holds a line break.
+      MalformedHeadError: a field holds a line break.
     """
     status = response.status
     lines = [f"HTTP/1.1 {status} {_REASONS.get(status, '')}"]
@@ -148,8 +148,8 @@
     return _encoded(lines), in_chunks
 
 
-def chunk(piece: bytes) -> bytes:
-    """Returns `piece` as one chunk of a body."""
+def encode_chunk(piece: bytes) -> bytes:
+    """Returns `piece` as one encode_chunk of a body."""
     return b"%x\r\n%b\r\n" % (len(piece), piece)
 
 
@@ -162,7 +162,7 @@
     return status >= 200 and status not in _BODILESS_STATUS
 
 
-def is_whole(body: Body) -> bool:
+def is_buffered(body: Body) -> bool:
     """Returns whether `body` is at hand and not streamed."""
     return isinstance(body, bytes)
 
@@ -176,5 +176,5 @@
 def _encoded(lines: list[str]) -> bytes:
     head = "\r\n".join(lines)
     if head.count("\n") != len(lines) - 1 or head.count("\r") != len(lines) - 1:
-        raise HeadMalformedError("expected fields without line breaks, got one")
+        raise MalformedHeadError("expected fields without line breaks, got one")
     return f"{head}\r\n\r\n".encode("utf-8", "surrogateescape")
--- a/src/radishwind/http/httptools_sender.py
+++ b/src/radishwind/http/httptools_sender.py
@@ -4,28 +4,28 @@
 import collections
 
 from radishwind.core.timelimit import TimeLimit
+from radishwind.http.byte_meter import ByteMeter
+from radishwind.http.byte_meter import NO_METER
+from radishwind.http.client_connection import ClientConnection
 from radishwind.http.errors import ConnectFailedError
 from radishwind.http.errors import ExchangeBrokenError
-from radishwind.http.heads import request_head
-from radishwind.http.httptools_exchange import ClientConnection
-from radishwind.http.meter import ByteMeter
-from radishwind.http.meter import NO_METER
+from radishwind.http.heads import encode_request_head
 from radishwind.http.sender import Sender
-from radishwind.http.silence import KEEPALIVE_S
-from radishwind.http.silence import watch_silence
+from radishwind.http.tcp_keepalive import enable_dead_peer_detection
+from radishwind.http.tcp_keepalive import KEEPALIVE_S
 from radishwind.http.types import Address
 from radishwind.http.types import Request
 from radishwind.http.types import Response
 
 #: A connection that breaks so soon after a request was sent was forgotten (s);
 #: one that breaks later may have carried it.
-AT_ONCE_S = 0.015
+STALE_DETECTION_S = 0.015
 
 #: The least rest after which a connection may still be used again (s).
-LEAST_REST_S = 0.05
+MIN_IDLE_LIMIT_S = 0.05
 
-#: How long a server that forgot a connection is taken to forget others (s).
-FORGETFUL_S = 20.0
+#: How long the limit of the idle time applies after a stale connection (s).
+IDLE_LIMIT_DURATION_S = 20.0
 
 
 class _Pool:
@@ -37,20 +37,22 @@
         self.waiting: collections.deque[asyncio.Future[None]] = (
             collections.deque()
         )
-        # Connections that rested longer are not used before `forgets_until`
+        # Connections that rested longer are not used before `idle_limit_until`
         # (monotonic s).
-        self.most_rest_s = float("inf")
-        self.forgets_until = 0.0
+        self.idle_limit_s = float("inf")
+        self.idle_limit_until = 0.0
 
-    def trusted_rest_s(self, now: float) -> float:
+    def max_idle_s(self, now: float) -> float:
         """Returns how long a connection may have rested to be used again."""
-        return self.most_rest_s if now < self.forgets_until else float("inf")
+        return (
+            self.idle_limit_s if now < self.idle_limit_until else float("inf")
+        )
 
-    def forgot(self, rested_s: float, now: float) -> None:
+    def record_stale(self, idle_s: float, now: float) -> None:
         """Takes that a connection which rested was gone unsaid."""
-        known_s = self.trusted_rest_s(now)
-        self.most_rest_s = max(LEAST_REST_S, min(known_s, rested_s / 2))
-        self.forgets_until = now + FORGETFUL_S
+        known_s = self.max_idle_s(now)
+        self.idle_limit_s = max(MIN_IDLE_LIMIT_S, min(known_s, idle_s / 2))
+        self.idle_limit_until = now + IDLE_LIMIT_DURATION_S
 
 
 class HttptoolsSender(Sender):
@@ -87,17 +89,17 @@
         pool = self._pools.get(address)
         if pool is None:
             pool = self._pools[address] = _Pool()
-        head = request_head(request, address)
-        conn, rested_s = await self._take(pool, address, connect_timeout_s)
+        head = encode_request_head(request, address)
+        conn, idle_s = await self._take(pool, address, connect_timeout_s)
         loop = asyncio.get_running_loop()
         began = loop.time()
         try:
             return await conn.exchange(head, request)
         except ExchangeBrokenError:
             now = loop.time()
-            at_once = not conn.answered and now - began < AT_ONCE_S
-            if rested_s and at_once:
-                pool.forgot(rested_s, now)
+            at_once = not conn.answered and now - began < STALE_DETECTION_S
+            if idle_s and at_once:
+                pool.record_stale(idle_s, now)
             raise
 
     async def close(self) -> None:
@@ -122,12 +124,12 @@
         """
         while True:
             now = asyncio.get_running_loop().time()
-            most_s = min(self._keepalive_s, pool.trusted_rest_s(now))
+            most_s = min(self._keepalive_s, pool.max_idle_s(now))
             while pool.idle:
                 conn = pool.idle.pop()
-                rested_s = now - conn.rested_since
-                if conn.usable and rested_s < most_s:
-                    return conn, rested_s
+                idle_s = now - conn.idle_since
+                if conn.usable and idle_s < most_s:
+                    return conn, idle_s
                 conn.abort()
             if pool.open < self._connections:
                 return await self._connect(
@@ -177,7 +179,7 @@
             pool.open -= 1
             self._let_next(pool)
             raise
-        watch_silence(transport.get_extra_info("socket"))
+        enable_dead_peer_detection(transport.get_extra_info("socket"))
         return conn
 
     def _let_next(self, pool: _Pool) -> None:
@@ -200,7 +202,7 @@
         kept = False
         for pool in self._pools.values():
             for conn in list(pool.idle):
-                if now - conn.rested_since >= self._keepalive_s:
+                if now - conn.idle_since >= self._keepalive_s:
                     pool.idle.remove(conn)
                     conn.abort()
             kept = kept or bool(pool.idle)
--- a/src/radishwind/http/httptools_server.py
+++ b/src/radishwind/http/httptools_server.py
@@ -2,13 +2,13 @@
 
 import asyncio
 
-from radishwind.http.httptools_connection import MayRunAhead
-from radishwind.http.httptools_connection import ServerConnection
-from radishwind.http.limits import ServerLimits
-from radishwind.http.meter import ByteMeter
-from radishwind.http.meter import NO_METER
+from radishwind.http.byte_meter import ByteMeter
+from radishwind.http.byte_meter import NO_METER
 from radishwind.http.server import Handler
 from radishwind.http.server import Server
+from radishwind.http.server_connection import MayRunInParallel
+from radishwind.http.server_connection import ServerConnection
+from radishwind.http.server_limits import ServerLimits
 from radishwind.http.types import Address
 from radishwind.http.types import Request
 
@@ -24,20 +24,20 @@
     def __init__(
         self,
         limits: ServerLimits,
-        may_run_ahead: MayRunAhead | None = None,
+        may_run_in_parallel: MayRunInParallel | None = None,
         meter: ByteMeter = NO_METER,
     ) -> None:
         """Makes a listener.
 
         Args:
           limits: what it takes.
-          may_run_ahead: decides which pipelined requests run before their
+          may_run_in_parallel: decides which pipelined requests run before their
             turn; by default none do.
           meter: counts the bytes of all connections.
         """
         self._meter = meter
         self._limits = limits
-        self._may_run_ahead = may_run_ahead or _never
+        self._may_run_in_parallel = may_run_in_parallel or _never
         self._connections: set[ServerConnection] = set()
         self._server: asyncio.Server | None = None
 
@@ -46,7 +46,7 @@
             return ServerConnection(
                 handler=handler,
                 limits=self._limits,
-                may_run_ahead=self._may_run_ahead,
+                may_run_in_parallel=self._may_run_in_parallel,
                 opened=self._opened,
                 closed=self._connections.discard,
                 is_crowded=self._is_crowded,
@@ -83,13 +83,13 @@
 
     def _opened(self, conn: ServerConnection) -> bool:
         """Takes a connection; returns whether it is not one too many."""
-        if len(self._connections) >= self._limits.connections:
+        if len(self._connections) >= self._limits.max_connections:
             return False
         self._connections.add(conn)
         return True
 
     def _is_crowded(self) -> bool:
-        most = self._limits.connections * self._limits.crowded_part
+        most = self._limits.max_connections * self._limits.crowded_fraction
         return len(self._connections) > most
 
 
--- a/src/radishwind/http/httpx_sender.py
+++ b/src/radishwind/http/httpx_sender.py
@@ -15,7 +15,7 @@
 from radishwind.http.types import Response
 from radishwind.http.types import SMALL_BODY_BYTES
 
-#: See `radishwind.http.silence.KEEPALIVE_S`.
+#: See `radishwind.http.tcp_keepalive.KEEPALIVE_S`.
 KEEPALIVE_S = 4.0
 
 
--- a/src/radishwind/http/hypercorn_server.py
+++ b/src/radishwind/http/hypercorn_server.py
@@ -13,12 +13,12 @@
 from hypercorn.config import Config
 
 from radishwind.http.errors import ExchangeBrokenError
-from radishwind.http.limits import ServerLimits
 from radishwind.http.server import Handler
 from radishwind.http.server import Server
+from radishwind.http.server_limits import ServerLimits
 from radishwind.http.types import Address
 from radishwind.http.types import BodyStream
-from radishwind.http.types import header
+from radishwind.http.types import get_header
 from radishwind.http.types import Request
 from radishwind.http.types import Response
 from radishwind.http.types import SMALL_BODY_BYTES
@@ -61,7 +61,7 @@
         listener.setblocking(False)
         host, port = listener.getsockname()[:2]
         self._cfg.bind = [f"fd://{listener.detach()}"]
-        self._cfg.keep_alive_timeout = self._limits.idle_s
+        self._cfg.keep_alive_timeout = self._limits.idle_timeout_s
         self._cfg.keep_alive_max_requests = 2**31
         self._cfg.accesslog = None
         self._cfg.errorlog = None
@@ -142,9 +142,9 @@
         (key.decode("ascii"), value.decode("utf-8", "surrogateescape"))
         for key, value in scope["headers"]
     )
-    text = header(headers, "content-length")
+    text = get_header(headers, "content-length")
     length = int(text) if text is not None else None
-    chunked = header(headers, "transfer-encoding") is not None
+    chunked = get_header(headers, "transfer-encoding") is not None
     if length is None and not chunked:
         length = 0
     stream = _RequestStream(receive)
--- a/src/radishwind/http/pipelined.py
+++ b/src/radishwind/http/pipelined_protocol.py
@@ -24,9 +24,9 @@
 from aiohttp.streams import EMPTY_PAYLOAD
 from aiohttp.web_protocol import RequestHandler
 
-from radishwind.http.httptools_connection import MayRunAhead
-from radishwind.http.limits import ServerLimits
 from radishwind.http.server import Handler
+from radishwind.http.server_connection import MayRunInParallel
+from radishwind.http.server_limits import ServerLimits
 from radishwind.http.types import abort_body
 from radishwind.http.types import Request
 from radishwind.http.types import Response
@@ -38,7 +38,7 @@
     """A connection whose pipelined requests may run at once.
 
     Attributes:
-      told_to_close: whether its last answer said that it closes.
+      has_announced_close: whether its last answer said that it closes.
     """
 
     __slots__ = (
@@ -48,8 +48,8 @@
         "_is_crowded",
         "_limits",
         "_linger",
-        "_may_run_ahead",
-        "told_to_close",
+        "_may_run_in_parallel",
+        "has_announced_close",
     )
 
     def __init__(
@@ -58,7 +58,7 @@
         *,
         handler: Handler,
         limits: ServerLimits,
-        may_run_ahead: MayRunAhead,
+        may_run_in_parallel: MayRunInParallel,
         is_crowded: Callable[[], bool],
         **options: Any,
     ) -> None:
@@ -68,7 +68,7 @@
           manager: the library's server.
           handler: answers requests.
           limits: of the listener.
-          may_run_ahead: decides which requests need not wait.
+          may_run_in_parallel: decides which requests need not wait.
           is_crowded: returns whether the listener has connections enough, so
             that each answer is the last one on its connection.
           **options: of the library's protocol.
@@ -76,7 +76,7 @@
         super().__init__(manager, **options)
         self._handler = handler
         self._limits = limits
-        self._may_run_ahead = may_run_ahead
+        self._may_run_in_parallel = may_run_in_parallel
         self._is_crowded = is_crowded
         # Requests that began before their turn, in the order of their turns:
         # always the first ones that wait.
@@ -86,7 +86,7 @@
         # The request whose turn it is.
         self._in_turn: Request | None = None
         self._linger: asyncio.TimerHandle | None = None
-        self.told_to_close = False
+        self.has_announced_close = False
 
     @property
     def runs_ahead(self) -> int:
@@ -94,7 +94,7 @@
         return len(self._ahead)
 
     def data_received(self, data: bytes) -> None:
-        if self.told_to_close:
+        if self.has_announced_close:
             return
         super().data_received(data)
         if self._messages and self._in_turn is not None:
@@ -114,7 +114,7 @@
         start_time: float | None,
     ) -> tuple[web.StreamResponse, bool]:
         finished = await super().finish_response(request, resp, start_time)
-        if self.told_to_close and not self._ahead:
+        if self.has_announced_close and not self._ahead:
             # The caller closes; closing first could reset what it still reads.
             loop = asyncio.get_running_loop()
             self._linger = loop.call_later(
@@ -136,12 +136,15 @@
 
     def start_ahead(self) -> None:
         """Begins the waiting requests that need not wait for their turn."""
-        if self._in_turn is None or not self._limits.ahead:
+        if self._in_turn is None or not self._limits.max_pipelined:
             return
         if not self._ahead and not self._is_read(self._in_turn):
             return
         for message, payload in list(self._messages)[len(self._ahead) :]:
-            if len(self._ahead) >= self._limits.ahead or self.told_to_close:
+            if (
+                len(self._ahead) >= self._limits.max_pipelined
+                or self.has_announced_close
+            ):
                 return
             if not isinstance(message, RawRequestMessage):
                 return
@@ -159,7 +162,7 @@
         """Returns whether others may run beside `request`."""
         if request.method not in _BODILESS_METHODS:
             return False
-        return self._may_run_ahead(request)
+        return self._may_run_in_parallel(request)
 
     async def _run(self, request: Request) -> Response:
         return await self._handler(request)
@@ -167,7 +170,11 @@
     def _in_order(self, response: Response) -> Response:
         """Returns the answer whose turn it is; only the last one closes."""
         closes = [x for x in response.headers if _closes(*x)]
-        if not closes and not self.told_to_close and not self._is_crowded():
+        if (
+            not closes
+            and not self.has_announced_close
+            and not self._is_crowded()
+        ):
             return response
         kept = tuple(x for x in response.headers if not _closes(*x))
         self.stop_reading()
@@ -179,7 +186,7 @@
 
     def stop_reading(self) -> None:
         """Reads no further request; what waits and has not begun is dropped."""
-        self.told_to_close = True
+        self.has_announced_close = True
         while len(self._messages) > len(self._ahead):
             self._messages.pop()
 
--- a/src/radishwind/http/problems.py
+++ b/src/radishwind/http/problems.py
@@ -33,7 +33,7 @@
     retry_after_s: float | None = None
 
 
-def problem_body(
+def make_problem_response(
     code: ResultCode,
     status: int,
     detail: str,
--- a/src/radishwind/http/request_reader.py
+++ b/src/radishwind/http/request_reader.py
@@ -13,11 +13,11 @@
 from radishwind.http.errors import RequestRejectedError
 from radishwind.http.heads import decode_fields
 from radishwind.http.heads import Framing
-from radishwind.http.heads import framing_of
-from radishwind.http.incoming import IncomingBody
-from radishwind.http.limits import ServerLimits
-from radishwind.http.rejections import long_head
-from radishwind.http.rejections import too_large
+from radishwind.http.heads import parse_framing
+from radishwind.http.incoming_body import IncomingBody
+from radishwind.http.rejections import body_too_large_error
+from radishwind.http.rejections import head_too_long_error
+from radishwind.http.server_limits import ServerLimits
 from radishwind.http.types import Headers
 from radishwind.http.types import Request
 from radishwind.http.types import SMALL_BODY_BYTES
@@ -38,7 +38,7 @@
 _MOST_LINES = 8
 
 
-class ProtocolAskedError(Exception):
+class UpgradeRequestedError(Exception):
     """The sender asks to speak another protocol from here on."""
 
 
@@ -89,7 +89,7 @@
         return self._body is not None
 
     @property
-    def holds_back(self) -> bool:
+    def is_buffering_body(self) -> bool:
         """Whether a request waits for the rest of its small body."""
         return self._body is not None and not self._delivered
 
@@ -102,19 +102,19 @@
 
         Raises:
           RequestRejectedError: they are no request to be taken.
-          ProtocolAskedError: what stands behind the last request is none.
+          UpgradeRequestedError: what stands behind the last request is none.
         """
         if self._in_head:
             self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade as exc:
-            raise ProtocolAskedError from exc
+            raise UpgradeRequestedError from exc
         except httptools.HttpParserError as exc:
             self._refuse_unparsed(exc)
-        most = _MOST_LINES * self._limits.field_bytes
+        most = _MOST_LINES * self._limits.max_field_bytes
         if self._in_head and self._head_bytes > most:
-            raise long_head(self._limits)
+            raise head_too_long_error(self._limits)
 
     def end_body(self, exc: Exception) -> bool:
         """Ends the body that arrives; returns whether its reader hears of it.
@@ -152,18 +152,18 @@
 
     def on_url(self, url: bytes) -> None:
         self._url += url
-        if len(self._url) > self._limits.field_bytes:
-            raise long_head(self._limits)
+        if len(self._url) > self._limits.max_field_bytes:
+            raise head_too_long_error(self._limits)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if not self._in_head:
             return
         self._fields.append((name, value))
-        if len(name) + len(value) > self._limits.field_bytes:
-            raise long_head(self._limits)
-        if len(self._fields) > self._limits.fields:
+        if len(name) + len(value) > self._limits.max_field_bytes:
+            raise head_too_long_error(self._limits)
+        if len(self._fields) > self._limits.max_fields:
             raise RequestRejectedError(
-                f"expected {self._limits.fields} fields at most, got more"
+                f"expected {self._limits.max_fields} fields at most, got more"
             )
 
     def on_headers_complete(self) -> None:
@@ -172,7 +172,7 @@
         if self._stopped:
             return
         headers = decode_fields(self._fields)
-        framing = framing_of(headers)
+        framing = parse_framing(headers)
         method = self._parser.get_method().decode("ascii")
         self._check(method, framing)
         self.takes_chunks = self._parser.get_http_version() != "1.0"
@@ -190,8 +190,8 @@
         if body is None:
             return
         self._body_bytes += len(piece)
-        if self._body_bytes > self._limits.body_bytes:
-            raise too_large(self._limits)
+        if self._body_bytes > self._limits.max_body_bytes:
+            raise body_too_large_error(self._limits)
         body.feed(piece)
         if not self._delivered and self._body_bytes > SMALL_BODY_BYTES:
             self._deliver_stream(body, None)
@@ -229,8 +229,8 @@
             raise RequestRejectedError(
                 "expected a body in chunks or of a told length, got another"
             )
-        if (framing.length or 0) > self._limits.body_bytes:
-            raise too_large(self._limits)
+        if (framing.length or 0) > self._limits.max_body_bytes:
+            raise body_too_large_error(self._limits)
 
     def _request(self, method: str, headers: Headers) -> Request:
         path = self._url.decode("ascii")
--- a/src/radishwind/http/answer_writer.py
+++ b/src/radishwind/http/response_writer.py
@@ -2,20 +2,20 @@
 
 import asyncio
 
+from radishwind.http.byte_meter import ByteMeter
+from radishwind.http.byte_meter import NO_METER
 from radishwind.http.errors import ExchangeBrokenError
-from radishwind.http.heads import chunk
+from radishwind.http.heads import encode_chunk
+from radishwind.http.heads import encode_response_head
 from radishwind.http.heads import has_body
-from radishwind.http.heads import HeadMalformedError
 from radishwind.http.heads import LAST_CHUNK
-from radishwind.http.heads import response_head
-from radishwind.http.meter import ByteMeter
-from radishwind.http.meter import NO_METER
+from radishwind.http.heads import MalformedHeadError
 from radishwind.http.types import abort_body
 from radishwind.http.types import BodyStream
 from radishwind.http.types import Response
 
 
-class AnswerWriter:
+class ResponseWriter:
     """Writes one answer after the other.
 
     What can't be written whole cuts the connection: it must not end neatly.
@@ -55,10 +55,10 @@
           chunks: whether the reader reads chunks.
         """
         try:
-            head, in_chunks = response_head(
+            head, in_chunks = encode_response_head(
                 response, to_head=to_head, chunks=chunks
             )
-        except HeadMalformedError:
+        except MalformedHeadError:
             abort_body(response.body)
             self._transport.abort()
             return False
@@ -82,7 +82,7 @@
                 if self._lost:
                     raise ExchangeBrokenError("the caller has left")
                 if piece:
-                    self._send(chunk(piece) if in_chunks else piece)
+                    self._send(encode_chunk(piece) if in_chunks else piece)
                 if not self._writes:
                     await self._until_writable()
             if in_chunks:
@@ -97,7 +97,7 @@
 
     def _send(self, data: bytes) -> None:
         self._transport.write(data)
-        self._meter.sent(len(data))
+        self._meter.record_sent(len(data))
 
     def _wake(self) -> None:
         if self._writable is not None and not self._writable.done():
--- a/src/radishwind/http/hygiene.py
+++ b/src/radishwind/http/sanitization.py
@@ -39,7 +39,7 @@
 NODE_FIELD_PREFIX = "radishwind-node-"
 
 
-def end_to_end(headers: Headers) -> Headers:
+def strip_hop_by_hop_fields(headers: Headers) -> Headers:
     """Returns `headers` as they may go on, in one pass.
 
     Hop-by-hop fields, listed or well known, and fields of nodes are removed.
@@ -67,7 +67,7 @@
     return (_HOP_BY_HOP | tokens) - {"host", "content-length"}
 
 
-def origin_path(path: str) -> str:
+def to_origin_form(path: str) -> str:
     """Returns the request target in origin form, `/PATH?QUERY`.
 
     Raises:
@@ -93,7 +93,7 @@
     return path
 
 
-def check_request(request: Request) -> None:
+def validate_request(request: Request) -> None:
     """Checks what the parser lets pass.
 
     Raises:
--- a/src/radishwind/http/httptools_connection.py
+++ b/src/radishwind/http/server_connection.py
@@ -13,25 +13,25 @@
 from typing import cast
 from typing import TypeAlias
 
-from radishwind.http.answer_writer import AnswerWriter
+from radishwind.http.byte_meter import ByteMeter
+from radishwind.http.byte_meter import NO_METER
 from radishwind.http.errors import ExchangeBrokenError
 from radishwind.http.errors import RequestRejectedError
-from radishwind.http.incoming import IncomingBody
-from radishwind.http.limits import ServerLimits
-from radishwind.http.meter import ByteMeter
-from radishwind.http.meter import NO_METER
+from radishwind.http.incoming_body import IncomingBody
 from radishwind.http.rejections import failed
 from radishwind.http.rejections import rejected
-from radishwind.http.rejections import too_slow
-from radishwind.http.request_reader import ProtocolAskedError
+from radishwind.http.rejections import sender_too_slow_error
 from radishwind.http.request_reader import RequestReader
+from radishwind.http.request_reader import UpgradeRequestedError
+from radishwind.http.response_writer import ResponseWriter
 from radishwind.http.server import Handler
+from radishwind.http.server_limits import ServerLimits
 from radishwind.http.types import abort_body
 from radishwind.http.types import Request
 from radishwind.http.types import Response
 
 #: Returns whether a request may run before the ones ahead of it are answered.
-MayRunAhead: TypeAlias = Callable[[Request], bool]
+MayRunInParallel: TypeAlias = Callable[[Request], bool]
 
 _BODILESS_METHODS = frozenset({"GET", "HEAD"})
 
@@ -72,7 +72,7 @@
     """Reads requests of one connection and answers them in order.
 
     Attributes:
-      told_to_close: whether its last answer said that it closes.
+      has_announced_close: whether its last answer said that it closes.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         *,
         handler: Handler,
         limits: ServerLimits,
-        may_run_ahead: MayRunAhead,
+        may_run_in_parallel: MayRunInParallel,
         opened: Callable[["ServerConnection"], bool],
         closed: Callable[["ServerConnection"], None],
         is_crowded: Callable[[], bool],
@@ -91,7 +91,7 @@
         Args:
           handler: answers requests.
           limits: of the listener.
-          may_run_ahead: decides which requests need not wait.
+          may_run_in_parallel: decides which requests need not wait.
           opened: takes the connection; returns whether it may stay.
           closed: called once it is lost.
           is_crowded: returns whether the listener has connections enough, so
@@ -101,21 +101,21 @@
         self._meter = meter
         self._handler = handler
         self._limits = limits
-        self._may_run_ahead = may_run_ahead
+        self._may_run_in_parallel = may_run_in_parallel
         self._opened = opened
         self._closed = closed
         self._is_crowded = is_crowded
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport
         self._reader: RequestReader
-        self._writer: AnswerWriter
+        self._writer: ResponseWriter
         self._turns: collections.deque[_Turn] = collections.deque()
         self._reads = True
         self._reading = True
         self._lost = False
         self._deadline = math.inf
         self._timer: asyncio.TimerHandle | None = None
-        self.told_to_close = False
+        self.has_announced_close = False
 
     @property
     def is_busy(self) -> bool:
@@ -137,14 +137,14 @@
         self._reader = RequestReader(
             self._transport, remote, self._limits, self._deliver
         )
-        self._writer = AnswerWriter(self._transport, self._meter)
+        self._writer = ResponseWriter(self._transport, self._meter)
         if not self._opened(self):
             self._transport.abort()
             return
-        self._expire_in(self._limits.idle_s)
+        self._expire_in(self._limits.idle_timeout_s)
 
     def data_received(self, data: bytes) -> None:
-        self._meter.received(len(data))
+        self._meter.record_received(len(data))
         reader = self._reader
         # The body of the last request is read, and nothing behind it.
         if not self._reads and not reader.is_in_body:
@@ -154,14 +154,14 @@
             reader.feed(data)
         except RequestRejectedError as exc:
             self._reject(exc)
-        except ProtocolAskedError:
+        except UpgradeRequestedError:
             # Nothing else is spoken here: the request is answered as it is.
             self._stop_reading()
         if reader.is_in_body:
-            self._expire_in(self._limits.body_pause_s)
+            self._expire_in(self._limits.body_timeout_s)
         elif was_in_body and not self._turns:
             # It was answered before its end; the next one may come.
-            self._expire_in(self._limits.idle_s)
+            self._expire_in(self._limits.idle_timeout_s)
 
     def eof_received(self) -> None:
         """Takes that the caller has left; the transport closes by itself."""
@@ -209,13 +209,17 @@
                 if place and not self._may_begin(place, turn):
                     return
                 turn.task = self._loop.create_task(self._run(turn))
-            if place >= self._limits.ahead:
+            if place >= self._limits.max_pipelined:
                 return
             if len(self._turns) > 1 and not self._is_read(turn):
                 return
 
     def _may_begin(self, place: int, turn: _Turn) -> bool:
-        if place > self._limits.ahead or self.told_to_close or turn.closes:
+        if (
+            place > self._limits.max_pipelined
+            or self.has_announced_close
+            or turn.closes
+        ):
             return False
         return self._is_read(turn)
 
@@ -225,7 +229,7 @@
             turn.is_read = (
                 turn.request.method in _BODILESS_METHODS
                 and turn.response is None
-                and self._may_run_ahead(turn.request)
+                and self._may_run_in_parallel(turn.request)
             )
         return turn.is_read
 
@@ -267,7 +271,7 @@
     def _in_order(self, turn: _Turn, response: Response) -> Response:
         """Returns the answer whose turn it is; only the last one closes."""
         closes = any(_closes(*item) for item in response.headers)
-        closes = closes or turn.closes or self.told_to_close
+        closes = closes or turn.closes or self.has_announced_close
         if not closes and not self._is_crowded():
             return response
         kept = tuple(x for x in response.headers if not _closes(*x))
@@ -281,7 +285,7 @@
 
     def _stop_reading(self) -> None:
         """Reads no further request; what waits and has not begun is dropped."""
-        self.told_to_close = True
+        self.has_announced_close = True
         self._read_no_more()
         while len(self._turns) > 1 and self._turns[-1].task is None:
             if self._turns[-1].response is not None:
@@ -294,7 +298,7 @@
             return
         if self._lost:
             return
-        if self.told_to_close or turn.closes:
+        if self.has_announced_close or turn.closes:
             self._finish(turn)
             return
         if turn.body is not None and not turn.body.complete:
@@ -302,7 +306,7 @@
             turn.body.discard()
             self._expire_in(self._limits.linger_s)
             return
-        self._expire_in(self._limits.idle_s)
+        self._expire_in(self._limits.idle_timeout_s)
 
     def _finish(self, turn: _Turn) -> None:
         """Ends a connection whose last answer is written.
@@ -310,7 +314,7 @@
         The caller closes; closing first could reset what it still reads.
         """
         self._read_no_more()
-        self.told_to_close = True
+        self.has_announced_close = True
         self._reader.discard_body()
         if not turn.chunks:
             # Nothing but the end of the connection ends such an answer.
@@ -353,12 +357,12 @@
         self._timer = None
         left_s = self._deadline - self._loop.time()
         if left_s > 0:
-            later_s = min(left_s, self._limits.idle_s)
+            later_s = min(left_s, self._limits.idle_timeout_s)
             self._timer = self._loop.call_later(later_s, self._expire)
             return
         reader = self._reader
-        if reader.holds_back or (reader.is_in_body and self._turns):
-            self._reject(too_slow(self._limits))
+        if reader.is_buffering_body or (reader.is_in_body and self._turns):
+            self._reject(sender_too_slow_error(self._limits))
         elif not self._turns:
             self._transport.abort()
 
--- a/src/radishwind/http/silence.py
+++ b/src/radishwind/http/tcp_keepalive.py
@@ -12,22 +12,28 @@
 
 #: An idle connection is asked after this silence, and again after it (s): the
 #: least that the system takes.
-SILENCE_S = 1
+KEEPALIVE_PROBE_INTERVAL_S = 1
 
 #: Unanswered segments after which a connection counts as dead.
-SILENT_PROBES = 2
+MAX_UNANSWERED_PROBES = 2
 
 #: Bytes not acknowledged for so long mean the same (ms); a lost packet is
 #: sent again within 0.2 to 1 s.
 USER_TIMEOUT_MS = 2_500
 
 
-def watch_silence(sock: socket.socket) -> None:
+def enable_dead_peer_detection(sock: socket.socket) -> None:
     """Sets what lets `sock` notice that its other end is silent."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, SILENCE_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, SILENCE_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, SILENT_PROBES)
+    sock.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_PROBE_INTERVAL_S
+    )
+    sock.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_PROBE_INTERVAL_S
+    )
+    sock.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_KEEPCNT, MAX_UNANSWERED_PROBES
+    )
     sock.setsockopt(
         socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
     )
--- a/src/radishwind/http/tests/test_differential.py
+++ b/src/radishwind/http/tests/test_differential.py
@@ -19,10 +19,10 @@
 
 from radishwind.http import Response
 from radishwind.http import ServerLimits
-from radishwind.http.httptools_connection import ServerConnection
-from radishwind.http.types import whole_body
+from radishwind.http.server_connection import ServerConnection
+from radishwind.http.types import read_body
 
-LIMITS = ServerLimits(body_bytes=1000, ahead=0)
+LIMITS = ServerLimits(max_body_bytes=1000, max_pipelined=0)
 
 
 class Transport(asyncio.Transport):
@@ -63,14 +63,14 @@
     handled = []
 
     async def handle(request):
-        body = await whole_body(request.body)
+        body = await read_body(request.body)
         handled.append((request.method, request.path, body))
         return Response(200, (), b"")
 
     conn = ServerConnection(
         handler=handle,
         limits=LIMITS,
-        may_run_ahead=lambda request: False,
+        may_run_in_parallel=lambda request: False,
         opened=lambda conn: True,
         closed=lambda conn: None,
         is_crowded=lambda: False,
--- a/src/radishwind/http/tests/test_strict_protocol.py
+++ b/src/radishwind/http/tests/test_malformed_responses.py
@@ -11,8 +11,8 @@
 from radishwind.http.errors import ExchangeBrokenError
 from radishwind.http.httptools_sender import HttptoolsSender
 from radishwind.http.types import Address
+from radishwind.http.types import read_body
 from radishwind.http.types import Request
-from radishwind.http.types import whole_body
 
 pytestmark = pytest.mark.anyio
 
@@ -96,7 +96,7 @@
 
     async with RawServer(script) as server:
         response = await server.ask()
-        assert await whole_body(response.body) == b"whole"
+        assert await read_body(response.body) == b"whole"
 
 
 async def test_an_answer_without_a_length_that_is_reset_is_not_complete():
@@ -113,7 +113,7 @@
         ready.set()
         with pytest.raises(ExchangeBrokenError):
             with anyio.fail_after(10):
-                await whole_body(response.body)
+                await read_body(response.body)
 
 
 async def test_bytes_behind_an_answer_are_not_the_answer_to_the_next():
--- a/src/radishwind/http/tests/test_pipelined.py
+++ b/src/radishwind/http/tests/test_pipelining.py
@@ -11,7 +11,7 @@
 from radishwind.http import ServerLimits
 from radishwind.http.aiohttp_server import AiohttpServer
 from radishwind.http.httptools_server import HttptoolsServer
-from radishwind.http.types import whole_body
+from radishwind.http.types import read_body
 
 pytestmark = pytest.mark.anyio
 
@@ -22,7 +22,7 @@
     Service.library = request.param
 
 
-LIMITS = ServerLimits(ahead=3, linger_s=0.2)
+LIMITS = ServerLimits(max_pipelined=3, linger_s=0.2)
 WITHIN_S = 10.0
 
 
@@ -72,7 +72,7 @@
     async def handle(self, request):
         path = request.path
         self._note(self.began, path)
-        await whole_body(request.body)
+        await read_body(request.body)
         try:
             await self.gate(path).wait()
         except BaseException:
@@ -96,14 +96,14 @@
         self._news = anyio.Event()
 
 
-def may_run_ahead(request):
+def may_run_in_parallel(request):
     return not request.path.startswith("/once")
 
 
 @contextlib.asynccontextmanager
 async def connected(limits=LIMITS):
     service = Service()
-    server = Service.library(limits, may_run_ahead)
+    server = Service.library(limits, may_run_in_parallel)
     address = await server.start(service.handle, Address("127.0.0.1", 0))
     stream = await anyio.connect_tcp(*address)
     try:
@@ -266,10 +266,10 @@
 
 
 async def test_a_crowded_listener_keeps_no_connection_idle():
-    limits = ServerLimits(connections=8, crowded_part=0.5, linger_s=0.2)
+    limits = ServerLimits(max_connections=8, crowded_fraction=0.5, linger_s=0.2)
     service = Service()
     service.let("/1")
-    server = Service.library(limits, may_run_ahead)
+    server = Service.library(limits, may_run_in_parallel)
     address = await server.start(service.handle, Address("127.0.0.1", 0))
     async with contextlib.AsyncExitStack() as stack:
         streams = []
--- a/src/radishwind/http/tests/test_hygiene.py
+++ b/src/radishwind/http/tests/test_sanitization.py
@@ -4,9 +4,9 @@
 
 from radishwind.http import Request
 from radishwind.http.errors import RequestRejectedError
-from radishwind.http.hygiene import check_request
-from radishwind.http.hygiene import end_to_end
-from radishwind.http.hygiene import origin_path
+from radishwind.http.sanitization import strip_hop_by_hop_fields
+from radishwind.http.sanitization import to_origin_form
+from radishwind.http.sanitization import validate_request
 from radishwind.node.caller_listener import sanitize_request
 
 
@@ -19,13 +19,13 @@
         ("X-Yours", "2"),
     )
 
-    assert end_to_end(headers) == (("Host", "a"), ("X-Yours", "2"))
+    assert strip_hop_by_hop_fields(headers) == (("Host", "a"), ("X-Yours", "2"))
 
 
 def test_every_connection_field_counts():
     headers = (("Connection", "A"), ("connection", "B"), ("A", ""), ("B", ""))
 
-    assert end_to_end(headers) == ()
+    assert strip_hop_by_hop_fields(headers) == ()
 
 
 @pytest.mark.parametrize(
@@ -34,12 +34,12 @@
 )
 def test_paths_that_servers_may_read_differently_are_refused(path):
     with pytest.raises(RequestRejectedError):
-        origin_path(path)
+        to_origin_form(path)
 
 
 def test_absolute_form_becomes_origin_form():
-    assert origin_path("http://other:80/a/b?c=%20d") == "/a/b?c=%20d"
-    assert origin_path("/a/..b/c?x=/../") == "/a/..b/c?x=/../"
+    assert to_origin_form("http://other:80/a/b?c=%20d") == "/a/b?c=%20d"
+    assert to_origin_form("/a/..b/c?x=/../") == "/a/..b/c?x=/../"
 
 
 @pytest.mark.parametrize(
@@ -53,7 +53,7 @@
 )
 def test_ambiguous_requests_are_refused(request_):
     with pytest.raises(RequestRejectedError):
-        check_request(request_)
+        validate_request(request_)
 
 
 def test_callers_cannot_forge_fields_that_only_nodes_send():
--- a/src/radishwind/http/tests/test_senders.py
+++ b/src/radishwind/http/tests/test_senders.py
@@ -14,7 +14,7 @@
 from radishwind.http import Request
 from radishwind.http import Response
 from radishwind.http.types import abort_body
-from radishwind.http.types import whole_body
+from radishwind.http.types import read_body
 
 pytestmark = [
     pytest.mark.anyio,
@@ -68,7 +68,7 @@
 
 async def whole_answer(sender, address):
     response = await sender.send(address, Request("GET", "/"), 1.0)
-    return await whole_body(response.body)
+    return await read_body(response.body)
 
 
 @pytest.mark.parametrize("method", ["GET", "PUT", "DELETE", "POST"])
@@ -134,7 +134,7 @@
 
         response = await sender.send(address, Request("GET", "/next"), 1.0)
 
-        assert await whole_body(response.body) == b"ok"
+        assert await read_body(response.body) == b"ok"
         assert server.connections == 2
 
 
@@ -149,7 +149,7 @@
 
         response = await sender.send(address, Request("GET", "/next"), 1.0)
 
-        assert await whole_body(response.body) == b"ok"
+        assert await read_body(response.body) == b"ok"
         assert server.connections == 2
 
 
@@ -164,7 +164,7 @@
     async with sending(library) as sender:
         for _ in range(2):
             response = await sender.send(address, Request("HEAD", "/"), 1.0)
-            assert await whole_body(response.body) == b""
+            assert await read_body(response.body) == b""
             fields = {k.lower(): v for k, v in response.headers}
             assert fields["content-length"] == str(length)
     await server.close(0.0)
--- a/src/radishwind/http/tests/test_server_edges.py
+++ b/src/radishwind/http/tests/test_server_edges.py
@@ -18,13 +18,13 @@
 from radishwind.http import Request
 from radishwind.http import Response
 from radishwind.http import ServerLimits
-from radishwind.http.types import whole_body
+from radishwind.http.types import read_body
 
 pytestmark = pytest.mark.anyio
 
 GOOD = b"GET /on HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
 LENGTH = (("Content-Length", "100000"),)
-LIMITS = ServerLimits(body_bytes=200_000, connections=8, linger_s=0.1)
+LIMITS = ServerLimits(max_body_bytes=200_000, max_connections=8, linger_s=0.1)
 
 
 class CutStream(BodyStream):
@@ -56,7 +56,7 @@
         return Response(200, LENGTH)
     if request.path == "/fails":
         raise RuntimeError("a fault of ours")
-    body = await whole_body(request.body)
+    body = await read_body(request.body)
     return Response(200, (), request.path.encode() + b" " + body)
 
 
@@ -127,7 +127,7 @@
         response = await sender.send(address, Request("GET", "/cut"), 1.0)
 
         with pytest.raises(ExchangeBrokenError):
-            await whole_body(response.body)
+            await read_body(response.body)
         await sender.close()
 
 
@@ -177,7 +177,7 @@
 
 
 async def test_a_body_that_pauses_too_long_is_refused_and_told():
-    limits = ServerLimits(body_pause_s=0.1, linger_s=0.1)
+    limits = ServerLimits(body_timeout_s=0.1, linger_s=0.1)
     server = make_server(Chosen.library, limits)
     address = await server.start(echo, Address("127.0.0.1", 0))
     raw = b"POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nshort"
@@ -226,7 +226,7 @@
 
 async def test_connections_above_the_limit_are_closed():
     async with listening() as address, contextlib.AsyncExitStack() as stack:
-        for _ in range(LIMITS.connections):
+        for _ in range(LIMITS.max_connections):
             stream = await anyio.connect_tcp(*address)
             await stack.enter_async_context(stream)
             await stream.send(b"GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -249,7 +249,7 @@
     request = Request("POST", "/x?y=1", (("Host", "a"),), body, len(body))
     response = await sender.send(address, request, 1.0)
 
-    assert await whole_body(response.body) == b"/x?y=1 " + body
+    assert await read_body(response.body) == b"/x?y=1 " + body
     await sender.close()
     await server.close(0.0)
 
--- a/src/radishwind/http/tests/test_uploads.py
+++ b/src/radishwind/http/tests/test_uploads.py
@@ -11,8 +11,8 @@
 from radishwind.http import ServerLimits
 from radishwind.http.httptools_sender import HttptoolsSender
 from radishwind.http.httptools_server import HttptoolsServer
-from radishwind.http.types import is_at_hand
-from radishwind.http.types import whole_body
+from radishwind.http.types import is_resendable
+from radishwind.http.types import read_body
 
 pytestmark = pytest.mark.anyio
 
@@ -35,11 +35,11 @@
         self.at_hand = []
 
     async def handle(self, request):
-        self.at_hand.append(is_at_hand(request.body))
+        self.at_hand.append(is_resendable(request.body))
         if request.path == "/refused":
             return Response(429, (), b"no", 2)
-        size = len(await whole_body(request.body))
-        self.at_hand.append(is_at_hand(request.body))
+        size = len(await read_body(request.body))
+        self.at_hand.append(is_resendable(request.body))
         return Response(200, (), str(size).encode())
 
 
--- a/src/radishwind/http/types.py
+++ b/src/radishwind/http/types.py
@@ -54,7 +54,7 @@
         return False
 
     @property
-    def is_whole(self) -> bool:
+    def is_fully_buffered(self) -> bool:
         """Whether all of it has come, so that it can't break off."""
         return False
 
@@ -62,7 +62,7 @@
 Body: TypeAlias = bytes | BodyStream
 
 
-def header(headers: Headers, name: str) -> str | None:
+def get_header(headers: Headers, name: str) -> str | None:
     """Returns the first value of the field `name` (lower case), or `None`."""
     for key, value in headers:
         if key.lower() == name:
@@ -111,14 +111,14 @@
     body_bytes: int | None = None
 
 
-async def whole_body(body: Body) -> bytes:
+async def read_body(body: Body) -> bytes:
     """Returns the whole of `body`; for messages known to be small."""
     if isinstance(body, bytes):
         return body
     return b"".join([piece async for piece in body])
 
 
-def is_at_hand(body: Body) -> bool:
+def is_resendable(body: Body) -> bool:
     """Returns whether the whole of `body` can still be sent."""
     return isinstance(body, bytes) or body.is_unread
 
--- a/src/radishwind/loads/link_meter.py
+++ b/src/radishwind/loads/link_meter.py
@@ -1,7 +1,7 @@
 """Measures the utilization and free capacity of the node's network link."""
 
 from radishwind.core.clock import Clock
-from radishwind.http.meter import ByteMeter
+from radishwind.http.byte_meter import ByteMeter
 
 #: Length of a bucket of byte counts (s), and the number of buckets kept.
 BUCKET_S = 0.1
@@ -47,14 +47,14 @@
         self.sent_bytes = 0
         self.received_bytes = 0
 
-    def sent(self, size: int) -> None:
+    def record_sent(self, size: int) -> None:
         self._advance()
         self._sent[self._bucket % BUCKET_COUNT] += size
         self._queue_s = self._remaining_queue_s() + self.transmission_s(size)
         self._queue_updated = self._clock.monotonic()
         self.sent_bytes += size
 
-    def received(self, size: int) -> None:
+    def record_received(self, size: int) -> None:
         self._advance()
         self._received[self._bucket % BUCKET_COUNT] += size
         self.received_bytes += size
--- a/src/radishwind/loads/tests/test_link_admission.py
+++ b/src/radishwind/loads/tests/test_link_admission.py
@@ -47,7 +47,7 @@
         while self.running and self.running[0][0] <= until:
             ends_at, size, response_bytes = self.running.pop(0)
             self.clock.advance(max(0.0, ends_at - self.clock.monotonic()))
-            self.meter.sent(response_bytes)
+            self.meter.record_sent(response_bytes)
             self.admission.release(size)
             self.longest_queue_s = max(
                 self.longest_queue_s, self.meter.queue_s()
--- a/src/radishwind/loads/tests/test_link_meter.py
+++ b/src/radishwind/loads/tests/test_link_meter.py
@@ -16,7 +16,7 @@
 
 def transmit(meter, clock, bytes_per_s, duration_s):
     for _ in range(round(duration_s / 0.01)):
-        meter.sent(int(bytes_per_s / 100))
+        meter.record_sent(int(bytes_per_s / 100))
         clock.advance(0.01)
 
 
@@ -31,7 +31,7 @@
 
 def test_busier_direction_determines_the_utilization(clock):
     meter = LinkMeter(8, clock)
-    meter.received(900_000)
+    meter.record_received(900_000)
     transmit(meter, clock, 100_000, 0.9)
 
     assert meter.utilization() > 0.4
@@ -57,7 +57,7 @@
 
 def test_link_of_unknown_rate_reports_zero(clock):
     meter = LinkMeter(0, clock)
-    meter.sent(1_000)
+    meter.record_sent(1_000)
 
     assert meter.utilization() == 0
     assert meter.free_kbps() == 0
@@ -70,7 +70,7 @@
     clock = ManualClock()
     meter = LinkMeter(10, clock)
     for size, pause_s in transfers:
-        meter.sent(size)
+        meter.record_sent(size)
         clock.advance(pause_s)
         assert 0 <= meter.utilization() <= 1
         assert 0 <= meter.recent_utilization() <= 1
--- a/src/radishwind/node/caller_listener.py
+++ b/src/radishwind/node/caller_listener.py
@@ -4,9 +4,9 @@
 from radishwind.http import Request
 from radishwind.http import Response
 from radishwind.http.errors import RequestRejectedError
-from radishwind.http.hygiene import check_request
-from radishwind.http.hygiene import end_to_end
-from radishwind.http.hygiene import origin_path
+from radishwind.http.sanitization import strip_hop_by_hop_fields
+from radishwind.http.sanitization import to_origin_form
+from radishwind.http.sanitization import validate_request
 from radishwind.outcomes import problem_response
 
 
@@ -25,7 +25,7 @@
         response = await self._entry.handle(clean)
         return Response(
             response.status,
-            end_to_end(response.headers),
+            strip_hop_by_hop_fields(response.headers),
             response.body,
             response.body_bytes,
         )
@@ -35,13 +35,13 @@
     """Returns `request` with only what may go on to a server.
 
     Raises:
-      RequestRejectedError: it breaks a rule of `radishwind.http.hygiene`.
+      RequestRejectedError: it breaks a rule of `radishwind.http.sanitization`.
     """
-    check_request(request)
+    validate_request(request)
     return Request(
         request.method,
-        origin_path(request.path),
-        end_to_end(request.headers),
+        to_origin_form(request.path),
+        strip_hop_by_hop_fields(request.headers),
         request.body,
         request.body_bytes,
         request.remote,
--- a/src/radishwind/node/config_tasks.py
+++ b/src/radishwind/node/config_tasks.py
@@ -25,7 +25,7 @@
 from radishwind.http import Address
 from radishwind.http import Request
 from radishwind.http import Response
-from radishwind.http.types import whole_body
+from radishwind.http.types import read_body
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
 from radishwind.membership.directory import MemberState
@@ -156,7 +156,7 @@
     async def handle_control(self, request: Request) -> Response:
         """Answers the pull of a peer."""
         try:
-            content = await whole_body(request.body)
+            content = await read_body(request.body)
             return _json(self.exchange.handle_pull(content))
         except RevisionRefusedError as exc:
             return problem_response(
--- a/src/radishwind/node/membership_tasks.py
+++ b/src/radishwind/node/membership_tasks.py
@@ -13,7 +13,7 @@
 from radishwind.http import Request
 from radishwind.http import Response
 from radishwind.http.types import Address
-from radishwind.http.types import whole_body
+from radishwind.http.types import read_body
 from radishwind.membership import AdvertisedState
 from radishwind.membership import Gossip
 from radishwind.membership import GossipDirectory
@@ -309,7 +309,7 @@
         return reply
 
     async def _handle(self, request: Request) -> Response:
-        body = await whole_body(request.body)
+        body = await read_body(request.body)
         try:
             message = decode_message(body)
         except MessageError as exc:
--- a/src/radishwind/node/requests_in_progress.py
+++ b/src/radishwind/node/requests_in_progress.py
@@ -8,7 +8,7 @@
 from radishwind.http import Handler
 from radishwind.http import Request
 from radishwind.http import Response
-from radishwind.http.streams import NotifyingStream
+from radishwind.http.notifying_stream import NotifyingStream
 from radishwind.http.types import BodyStream
 
 _CLOSE = ("Connection", "close")
--- a/src/radishwind/outcomes/responses.py
+++ b/src/radishwind/outcomes/responses.py
@@ -1,7 +1,7 @@
 """Creates the responses to callers from outcomes, as JSON problem details."""
 
 from radishwind.core.codes import ResultCode
-from radishwind.http.problems import problem_body
+from radishwind.http.problems import make_problem_response
 from radishwind.http.types import Response
 from radishwind.outcomes.model import Done
 from radishwind.outcomes.model import NotRun
@@ -62,4 +62,4 @@
         _STATUS_NOT_RUN if outcome == "not-run" else _STATUS_UNKNOWN
     )
     status = _STATUS_BY_CODE.get(code, default_status)
-    return problem_body(code, status, detail, outcome, retry_after_s)
+    return make_problem_response(code, status, detail, outcome, retry_after_s)
--- a/src/radishwind/peers/attempts.py
+++ b/src/radishwind/peers/attempts.py
@@ -13,9 +13,9 @@
 from radishwind.core.errors import RadishwindError
 from radishwind.entry.call import Call
 from radishwind.entry.pipeline import AttemptResult
-from radishwind.http.hygiene import NODE_FIELD_PREFIX
+from radishwind.http.sanitization import NODE_FIELD_PREFIX
 from radishwind.http.types import abort_body
-from radishwind.http.types import header
+from radishwind.http.types import get_header
 from radishwind.http.types import Headers
 from radishwind.http.types import Request
 from radishwind.http.types import Response
@@ -113,7 +113,7 @@
 
 def is_forwarded_attempt(request: Request) -> bool:
     """Returns whether a peer's request is a forwarded attempt."""
-    return header(request.headers, ATTEMPT_FIELD.lower()) is not None
+    return get_header(request.headers, ATTEMPT_FIELD.lower()) is not None
 
 
 def split_node_fields(headers: Headers) -> tuple[dict[str, str], Headers]:
@@ -287,7 +287,7 @@
 
 def _decode_answer(response: Response, attempt_id: str) -> AnswerInfo | None:
     """Decodes `ANSWER_FIELD`; `None` if malformed or for another attempt."""
-    field = header(response.headers, ANSWER_FIELD.lower())
+    field = get_header(response.headers, ANSWER_FIELD.lower())
     if field is None:
         return None
     try:
--- a/src/radishwind/peers/fleet_security.py
+++ b/src/radishwind/peers/fleet_security.py
@@ -15,7 +15,7 @@
 
 from radishwind.core.clock import Clock
 from radishwind.http.types import Address
-from radishwind.http.types import header
+from radishwind.http.types import get_header
 from radishwind.http.types import Headers
 from radishwind.http.types import Response
 from radishwind.peers.keyring import Keyring
@@ -121,7 +121,7 @@
         return base64.urlsafe_b64encode(head + tag).decode()
 
     def should_sign_again(self, to: Address, response: Response) -> bool:
-        start_id_hex = header(response.headers, START_FIELD.lower())
+        start_id_hex = get_header(response.headers, START_FIELD.lower())
         if start_id_hex is None or self._keyring.signing_secret is None:
             return False
         try:
--- a/src/radishwind/peers/peer_client.py
+++ b/src/radishwind/peers/peer_client.py
@@ -11,8 +11,8 @@
 from radishwind.http.sender import Sender
 from radishwind.http.types import Address
 from radishwind.http.types import Headers
+from radishwind.http.types import read_body
 from radishwind.http.types import Request
-from radishwind.http.types import whole_body
 from radishwind.peers.peer_traffic import PeerTraffic
 from radishwind.peers.signing import AUTH_FIELD
 from radishwind.peers.signing import RequestSigner
@@ -82,7 +82,7 @@
                     self._signed_request(address, name, payload),
                     CONNECT_TIMEOUT_S,
                 )
-                body = await whole_body(response.body)
+                body = await read_body(response.body)
             size = len(payload) + len(body)
             self._traffic.record_control(address, name, size)
         except ConnectFailedError as exc:
--- a/src/radishwind/peers/peer_listener.py
+++ b/src/radishwind/peers/peer_listener.py
@@ -16,9 +16,9 @@
 from radishwind.entry.pipeline import AttemptResult
 from radishwind.http.types import abort_body
 from radishwind.http.types import Headers
+from radishwind.http.types import read_body
 from radishwind.http.types import Request
 from radishwind.http.types import Response
-from radishwind.http.types import whole_body
 from radishwind.loads.link_admission import LinkAdmission
 from radishwind.outcomes import NotRun
 from radishwind.outcomes import Outcome
@@ -210,7 +210,7 @@
                 f"expected a body of at most {control.max_bytes} bytes, "
                 f"got {size}",
             )
-        body = await whole_body(request.body)
+        body = await read_body(request.body)
         handler = control.handler
         try:
             self._verify(request, auth, body)
--- a/src/radishwind/peers/tests/test_security.py
+++ b/src/radishwind/peers/tests/test_security.py
@@ -17,7 +17,7 @@
 from radishwind.http import Address
 from radishwind.http import Request
 from radishwind.http import Response
-from radishwind.http.types import header
+from radishwind.http.types import get_header
 from radishwind.membership import Member
 from radishwind.outcomes import Done
 from radishwind.outcomes import NotRun
@@ -164,7 +164,7 @@
         Request("POST", PATH, ((AUTH_FIELD, auth),))
     )
 
-    assert header(response.headers, "radishwind-code") == "6001"
+    assert get_header(response.headers, "radishwind-code") == "6001"
 
 
 async def test_replayed_message_is_refused():
@@ -174,7 +174,7 @@
 
     response = await node.listener.handle(first)
 
-    assert header(response.headers, "radishwind-code") == "6003"
+    assert get_header(response.headers, "radishwind-code") == "6003"
 
 
 @pytest.mark.parametrize("size", [101, None])
@@ -186,7 +186,7 @@
     )
 
     assert response.status == 413
-    assert header(response.headers, "radishwind-code") == "6005"
+    assert get_header(response.headers, "radishwind-code") == "6005"
 
 
 @pytest.mark.parametrize(
@@ -200,7 +200,7 @@
 async def test_malformed_request_is_refused(request_):
     response = await ListeningNode().listener.handle(request_)
 
-    assert header(response.headers, "radishwind-code") == "6002"
+    assert get_header(response.headers, "radishwind-code") == "6002"
 
 
 async def test_signed_attempt_runs():
@@ -232,7 +232,7 @@
 
     response = await node.listener.handle(first)
 
-    info = msgspec.json.decode(header(response.headers, ANSWER_FIELD))
+    info = msgspec.json.decode(get_header(response.headers, ANSWER_FIELD))
     assert info[1:3] == ["unknown", 6003]
     assert len(node.ran) == 1
 
@@ -252,7 +252,7 @@
 
     response = await restarted.handle(first)
 
-    assert header(response.headers, "radishwind-code") == "6004"
+    assert get_header(response.headers, "radishwind-code") == "6004"
     assert len(node.ran) == 1
 
 
--- a/src/radishwind/platform/answers.py
+++ b/src/radishwind/platform/answers.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from radishwind.core.codes import ResultCode
-from radishwind.http.problems import problem_body
+from radishwind.http.problems import make_problem_response
 from radishwind.http.types import Response
 from radishwind.outcomes import Done
 from radishwind.outcomes import NotRun
@@ -51,6 +51,6 @@
     status, said = (
         (503, "not-run") if isinstance(outcome, NotRun) else (502, "unknown")
     )
-    return problem_body(
+    return make_problem_response(
         outcome.code, status, outcome.detail, said, outcome.retry_after_s
     )
--- a/src/radishwind/platform/caller.py
+++ b/src/radishwind/platform/caller.py
@@ -2,7 +2,7 @@
 
 from radishwind.entry.call import CallRejectedError
 from radishwind.entry.routed_classifier import CallerFields
-from radishwind.http.types import header
+from radishwind.http.types import get_header
 from radishwind.http.types import Headers
 from radishwind.platform.fields import ACCOUNT
 from radishwind.platform.fields import CALLER_SERVICE
@@ -65,7 +65,7 @@
 
 def host_of(headers: Headers) -> str:
     """Returns the host that a request names; empty where it names none."""
-    return _host(header(headers, "host") or "")
+    return _host(get_header(headers, "host") or "")
 
 
 def named_accounts(headers: Headers) -> tuple[str, ...]:
--- a/src/radishwind/platform/dialect.py
+++ b/src/radishwind/platform/dialect.py
@@ -1,7 +1,7 @@
 """How a request and its answer look between a node and the server beside."""
 
 from radishwind.entry.call import Call
-from radishwind.http.types import header
+from radishwind.http.types import get_header
 from radishwind.http.types import Request
 from radishwind.http.types import Response
 from radishwind.platform.fields import ANSWERING_INCARNATION
@@ -73,10 +73,12 @@
 
     def parse_health_response(self, response: Response) -> ResponseMetadata:
         return ResponseMetadata(
-            incarnation=header(response.headers, ANSWERING_INCARNATION.lower())
+            incarnation=get_header(
+                response.headers, ANSWERING_INCARNATION.lower()
+            )
             or "",
-            load=_load(header(response.headers, LOAD.lower())),
-            warmup_left_s=_cold_s(header(response.headers, WARMUP.lower())),
+            load=_load(get_header(response.headers, LOAD.lower())),
+            warmup_left_s=_cold_s(get_header(response.headers, WARMUP.lower())),
         )
 
 
@@ -88,7 +90,7 @@
     told = found.get(SENDING_ID.lower())
     if told is None:
         return not_run
-    return told == header(call.request.headers, SENDING_ID.lower())
+    return told == get_header(call.request.headers, SENDING_ID.lower())
 
 
 def _is_another(response: Response) -> bool:
--- a/src/radishwind/platform/other_ends.py
+++ b/src/radishwind/platform/other_ends.py
@@ -5,7 +5,7 @@
 
 import dataclasses
 
-from radishwind.http.types import header
+from radishwind.http.types import get_header
 from radishwind.http.types import Request
 from radishwind.http.types import Response
 from radishwind.platform.fields import ANSWERING_INCARNATION
@@ -47,9 +47,11 @@
 
 def read_sending(request: Request) -> Sending:
     """Returns what a backend server reads of a request."""
-    timeout_ms = header(request.headers, TIMEOUT.lower())
+    timeout_ms = get_header(request.headers, TIMEOUT.lower())
     timeout_s = float(timeout_ms) / 1000 if timeout_ms else _NO_TIMEOUT_S
-    return Sending(header(request.headers, SENDING_ID.lower()) or "", timeout_s)
+    return Sending(
+        get_header(request.headers, SENDING_ID.lower()) or "", timeout_s
+    )
 
 
 def answer(
--- a/src/radishwind/platform/store.py
+++ b/src/radishwind/platform/store.py
@@ -16,9 +16,9 @@
 from radishwind.http.errors import SendError
 from radishwind.http.sender import Sender
 from radishwind.http.types import Address
+from radishwind.http.types import read_body
 from radishwind.http.types import Request
 from radishwind.http.types import Response
-from radishwind.http.types import whole_body
 from radishwind.platform.routes import KEY as ROUTES_KEY
 from radishwind.store.base import Compare
 from radishwind.store.base import Delete
@@ -271,7 +271,7 @@
 
 async def _drained(response: Response) -> bytes:
     try:
-        return await whole_body(response.body)
+        return await read_body(response.body)
     except SendError as exc:
         raise StoreAnswerLostError(f"answer cut: {exc}") from exc
 
--- a/src/radishwind/probing/prober.py
+++ b/src/radishwind/probing/prober.py
@@ -13,8 +13,8 @@
 from radishwind.http.errors import ConnectFailedError
 from radishwind.http.errors import SendError
 from radishwind.http.sender import Sender
+from radishwind.http.types import read_body
 from radishwind.http.types import Request
-from radishwind.http.types import whole_body
 from radishwind.probing.budget import ProbeBudget
 from radishwind.probing.health import HealthEstimator
 from radishwind.probing.policy import Occupancy
@@ -130,7 +130,7 @@
                 response = await self._sender.send(
                     view.address, request, PROBE_TIMEOUT_S
                 )
-                body = await whole_body(response.body)
+                body = await read_body(response.body)
         except ConnectFailedError:
             self._on_connect_failed()
             return None
--- a/src/radishwind/retries/fleet.py
+++ b/src/radishwind/retries/fleet.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from radishwind.core.codes import ResultCode
-from radishwind.http.types import is_at_hand
+from radishwind.http.types import is_resendable
 from radishwind.http.types import is_server_error
 from radishwind.outcomes.model import Done
 from radishwind.outcomes.model import NotRun
@@ -183,7 +183,7 @@
     ) -> bool:
         if attempts >= MAX_ATTEMPTS or now + MIN_TIME_LEFT_S >= call.deadline:
             return False
-        if not is_at_hand(call.request.body):
+        if not is_resendable(call.request.body):
             return False
         if isinstance(outcome, NotRun):
             if outcome.code in _FINAL:
--- a/src/radishwind/routes/route_feed.py
+++ b/src/radishwind/routes/route_feed.py
@@ -17,9 +17,9 @@
 
 from radishwind.core.clock import Clock
 from radishwind.core.errors import RadishwindError
+from radishwind.http.types import read_body
 from radishwind.http.types import Request
 from radishwind.http.types import Response
-from radishwind.http.types import whole_body
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
 from radishwind.membership.records import MAX_RUMOR_VALUE_CHARS
@@ -188,7 +188,7 @@
 
     async def handle(self, request: Request) -> Response:
         """Handles a `RouteUpdate` or an `UpdateRequest` of a peer."""
-        body = await whole_body(request.body)
+        body = await read_body(request.body)
         try:
             message = decode_message(body)
             if isinstance(message, RouteUpdate):
--- a/src/radishwind/routes/unsigned_requests.py
+++ b/src/radishwind/routes/unsigned_requests.py
@@ -7,9 +7,9 @@
 """
 
 from radishwind.core.clock import Clock
+from radishwind.http.types import read_body
 from radishwind.http.types import Request
 from radishwind.http.types import Response
-from radishwind.http.types import whole_body
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
 from radishwind.outcomes import problem_response
@@ -58,7 +58,7 @@
 
     async def handle(self, request: Request) -> Response:
         """Replies `NoUpdate` after the push, whether or not it succeeded."""
-        body = await whole_body(request.body)
+        body = await read_body(request.body)
         try:
             message = decode(body)
         except FeedMalformedError as exc:
--- a/src/radishwind/sidecar/app.py
+++ b/src/radishwind/sidecar/app.py
@@ -301,7 +301,7 @@
             heartbeats=self._control.heartbeats.handle,
             ready=self._readiness.handle,
             metrics=MetricsListener(self._metrics).handle,
-            may_run_ahead=self._entry.classifier.is_idempotent,
+            may_run_in_parallel=self._entry.classifier.is_idempotent,
         )
         ahead = AHEAD if self._switches.ahead else 0
         self._servers = await listening(
--- a/src/radishwind/sidecar/control.py
+++ b/src/radishwind/sidecar/control.py
@@ -7,9 +7,9 @@
 from radishwind.core.clock import Clock
 from radishwind.core.codes import ResultCode
 from radishwind.core.errors import RadishwindError
+from radishwind.http.types import read_body
 from radishwind.http.types import Request
 from radishwind.http.types import Response
-from radishwind.http.types import whole_body
 from radishwind.outcomes import problem_response
 from radishwind.platform.heartbeats import Heartbeat
 from radishwind.platform.heartbeats import read_call
@@ -67,7 +67,7 @@
 
     async def handle(self, request: Request) -> Response:
         """Handles one call of the local backend server."""
-        body = await whole_body(request.body)
+        body = await read_body(request.body)
         try:
             heartbeat = read_call(request, body)
         except RadishwindError as exc:
--- a/src/radishwind/sidecar/listeners.py
+++ b/src/radishwind/sidecar/listeners.py
@@ -4,12 +4,12 @@
 
 import msgspec
 
-from radishwind.http.httptools_connection import MayRunAhead
+from radishwind.http.byte_meter import ByteMeter
+from radishwind.http.byte_meter import NO_METER
 from radishwind.http.httptools_server import HttptoolsServer
-from radishwind.http.limits import ServerLimits
-from radishwind.http.meter import ByteMeter
-from radishwind.http.meter import NO_METER
 from radishwind.http.server import Handler
+from radishwind.http.server_connection import MayRunInParallel
+from radishwind.http.server_limits import ServerLimits
 from radishwind.http.types import Address
 from radishwind.node.error_logging import with_error_logging
 from radishwind.settings.placed import PlacedSettings
@@ -30,8 +30,8 @@
       heartbeats: what the server beside tells.
       ready: the platform's question whether the node takes callers.
       metrics: the metrics.
-      may_run_ahead: decides which pipelined requests of callers run before
-        their turn.
+      may_run_in_parallel: whether a pipelined request of a caller may run
+        before the ones ahead of it are answered.
     """
 
     callers: Handler
@@ -39,13 +39,13 @@
     heartbeats: Handler
     ready: Handler
     metrics: Handler
-    may_run_ahead: MayRunAhead
+    may_run_in_parallel: MayRunInParallel
 
 
 async def listening(
     settings: PlacedSettings,
     handlers: Handlers,
-    ahead: int,
+    max_pipelined: int,
     log: PartLogger,
     link: ByteMeter,
 ) -> Sequence[HttptoolsServer]:
@@ -54,18 +54,24 @@
     Args:
       settings: where they listen.
       handlers: who answers.
-      ahead: pipelined requests of a caller that run before their turn.
+      max_pipelined: pipelined requests of a caller that run in parallel.
       log: told of handlers that fail.
       link: counts what passes between nodes.
     """
     callers = ServerLimits(
-        connections=MAX_CALLER_CONNECTIONS, idle_s=CALLER_IDLE_S, ahead=ahead
+        max_connections=MAX_CALLER_CONNECTIONS,
+        idle_timeout_s=CALLER_IDLE_S,
+        max_pipelined=max_pipelined,
     )
     peers = ServerLimits(
-        connections=MAX_PEER_CONNECTIONS, idle_s=PEER_IDLE_S, ahead=0
+        max_connections=MAX_PEER_CONNECTIONS,
+        idle_timeout_s=PEER_IDLE_S,
+        max_pipelined=0,
     )
     others = ServerLimits(
-        connections=MAX_OTHER_CONNECTIONS, idle_s=CALLER_IDLE_S, ahead=0
+        max_connections=MAX_OTHER_CONNECTIONS,
+        idle_timeout_s=CALLER_IDLE_S,
+        max_pipelined=0,
     )
     wanted = [
         (handlers.peers, settings.peers, peers),
@@ -79,7 +85,7 @@
     servers = []
     for handler, listen, limits in wanted:
         meter = link if limits is peers else NO_METER
-        server = HttptoolsServer(limits, handlers.may_run_ahead, meter)
+        server = HttptoolsServer(limits, handlers.may_run_in_parallel, meter)
         await server.start(with_error_logging(handler, log), listen)
         servers.append(server)
     return servers
--- a/src/radishwind/sidecar/tests/test_forged.py
+++ b/src/radishwind/sidecar/tests/test_forged.py
@@ -14,7 +14,7 @@
 from radishwind.core import ResultCode
 from radishwind.http import Address
 from radishwind.http import Request
-from radishwind.http.types import header
+from radishwind.http.types import get_header
 from radishwind.loads.load_message import encode as encode_load
 from radishwind.loads.load_message import LoadMessage
 from radishwind.membership.envelope import encode_envelope
@@ -198,7 +198,7 @@
             *self.signed(path, msgspec.json.encode(signed)),
         )
         self.answer = answer = await self.here.request(path, b"", fields)
-        field = header(answer.headers, ANSWER_FIELD.lower())
+        field = get_header(answer.headers, ANSWER_FIELD.lower())
         return msgspec.json.decode(field)[2]
 
 
@@ -417,14 +417,14 @@
     sender.signer._sequence = 0
 
     assert await sender.forward() == ResultCode.PEER_REPLAYED
-    assert header(sender.answer.headers, START_FIELD.lower()) is None
+    assert get_header(sender.answer.headers, START_FIELD.lower()) is None
 
 
 async def test_forward_that_did_not_run_is_told_how_to_sign(here):
     sender = Sender(here, FOREIGN)
 
     assert await sender.forward() == ResultCode.PEER_UNAUTHENTICATED
-    assert header(sender.answer.headers, START_FIELD.lower()) is not None
+    assert get_header(sender.answer.headers, START_FIELD.lower()) is not None
 
 
 async def test_unsigned_forward_without_account_needs_a_public_route(here):
@@ -451,7 +451,7 @@
     answer = await here.request(CONTROL_PREFIX + GOSSIP, b"", ())
 
     assert answer.status == 401
-    told = header(answer.headers, "radishwind-node-start")
+    told = get_header(answer.headers, "radishwind-node-start")
     assert told == here.peers._start_ids.own.hex()
 
 
--- a/src/radishwind/standins/backend.py
+++ b/src/radishwind/standins/backend.py
@@ -17,7 +17,7 @@
 
 from radishwind.core.clock import Clock
 from radishwind.http.types import BodyStream
-from radishwind.http.types import header
+from radishwind.http.types import get_header
 from radishwind.http.types import Request
 from radishwind.http.types import Response
 from radishwind.standins.counters import BackendCounters
@@ -191,7 +191,9 @@
 
     async def _run(self, request: Request, size: int) -> Response:
         self.counters.ran(_name(request))
-        if CRASH_TEXT in request.path or header(request.headers, CRASH_FIELD):
+        if CRASH_TEXT in request.path or get_header(
+            request.headers, CRASH_FIELD
+        ):
             self._crash()
         began = self._clock.monotonic()
         try:
@@ -325,17 +327,20 @@
 
 def _wanted_bytes(request: Request) -> int | None:
     path = request.path.partition("?")[0]
-    text = header(request.headers, BYTES_FIELD) or path.partition(BYTES_TEXT)[2]
+    text = (
+        get_header(request.headers, BYTES_FIELD)
+        or path.partition(BYTES_TEXT)[2]
+    )
     return int(text) if text.isdigit() else None
 
 
 def _timeout_s(request: Request) -> float | None:
-    text = header(request.headers, "radishwind-timeout-ms")
+    text = get_header(request.headers, "radishwind-timeout-ms")
     return int(text) / 1000 if text and text.isdigit() else None
 
 
 def _name(request: Request) -> str:
-    key = header(request.headers, "idempotency-key")
+    key = get_header(request.headers, "idempotency-key")
     return key or f"{request.method} {request.path}"
 
 
--- a/src/radishwind/standins/load.py
+++ b/src/radishwind/standins/load.py
@@ -16,10 +16,10 @@
 from radishwind.http.problems import OUTCOME_FIELD
 from radishwind.http.sender import Sender
 from radishwind.http.types import Address
-from radishwind.http.types import header
+from radishwind.http.types import get_header
 from radishwind.http.types import Headers
+from radishwind.http.types import read_body
 from radishwind.http.types import Request
-from radishwind.http.types import whole_body
 
 #: How long a connection may take (s).
 _CONNECT_TIMEOUT_S = 1.0
@@ -133,7 +133,7 @@
         response = await sender.send(
             planned.entry, planned.request, _CONNECT_TIMEOUT_S
         )
-        await whole_body(response.body)
+        await read_body(response.body)
     except ConnectFailedError:
         count.not_run += 1
         return
@@ -144,7 +144,7 @@
 
 
 def _count_answer(headers: Headers, count: LoadCounts) -> None:
-    told = header(headers, OUTCOME_FIELD.lower())
+    told = get_header(headers, OUTCOME_FIELD.lower())
     if told is None:
         count.answered += 1
     elif told == "not-run":
--- a/src/radishwind/standins/store.py
+++ b/src/radishwind/standins/store.py
@@ -15,9 +15,9 @@
 from radishwind.core.clock import Clock
 from radishwind.http.errors import ExchangeBrokenError
 from radishwind.http.types import BodyStream
+from radishwind.http.types import read_body
 from radishwind.http.types import Request
 from radishwind.http.types import Response
-from radishwind.http.types import whole_body
 from radishwind.standins.store_state import CallError
 from radishwind.standins.store_state import StoreState
 
@@ -104,7 +104,7 @@
         if kind is None:
             return _error(404, 5, "not found")
         self.calls[kind] = self.calls.get(kind, 0) + 1
-        body = await whole_body(request.body)
+        body = await read_body(request.body)
         if not await self._reachable():
             return Response(200, (), _CutBody())
         self.state.lapse()
@@ -150,7 +150,7 @@
         return not self._faults.down
 
     async def _handle_faults(self, request: Request) -> Response:
-        body = await whole_body(request.body)
+        body = await read_body(request.body)
         try:
             faults = msgspec.json.decode(body, type=StoreFaults)
         except msgspec.MsgspecError as exc:
--- a/src/radishwind/store/etcd_store.py
+++ b/src/radishwind/store/etcd_store.py
@@ -13,9 +13,9 @@
 from radishwind.http.types import abort_body
 from radishwind.http.types import Address
 from radishwind.http.types import Body
+from radishwind.http.types import read_body
 from radishwind.http.types import Request
 from radishwind.http.types import Response
-from radishwind.http.types import whole_body
 from radishwind.store import gateway
 from radishwind.store.base import Compare
 from radishwind.store.base import Operation
@@ -176,7 +176,7 @@
         try:
             with anyio.fail_after(self._timeout_s):
                 response = await self._send(name, msgspec.json.encode(body))
-                content = await whole_body(response.body)
+                content = await read_body(response.body)
         except (ExchangeBrokenError, TimeoutError) as exc:
             raise StoreAnswerLostError(f"{name}: {exc!r}") from exc
         if response.status == 404 and ignore_not_found:
--- a/src/radishwind/target/announcement_handler.py
+++ b/src/radishwind/target/announcement_handler.py
@@ -6,9 +6,9 @@
 
 from radishwind.core.clock import Clock
 from radishwind.core.codes import ResultCode
+from radishwind.http.types import read_body
 from radishwind.http.types import Request
 from radishwind.http.types import Response
-from radishwind.http.types import whole_body
 from radishwind.outcomes.responses import problem_response
 from radishwind.target.backend_server import Announcement
 from radishwind.target.backend_server import AnnouncementRefusedError
@@ -53,7 +53,7 @@
                 f"expected a body of at most {MAX_ANNOUNCEMENT_BYTES} bytes"
             )
         try:
-            announcement = _decoder.decode(await whole_body(request.body))
+            announcement = _decoder.decode(await read_body(request.body))
             is_new = self._server.accept_announcement(
                 announcement, self._clock.monotonic()
             )
--- a/src/radishwind/target/buffered_body.py
+++ b/src/radishwind/target/buffered_body.py
@@ -58,7 +58,7 @@
         budget.reserve(self._left)
 
     @property
-    def is_whole(self) -> bool:
+    def is_fully_buffered(self) -> bool:
         return True
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
--- a/src/radishwind/target/leaving_records.py
+++ b/src/radishwind/target/leaving_records.py
@@ -13,9 +13,9 @@
 import msgspec
 
 from radishwind.core.clock import Clock
+from radishwind.http.types import read_body
 from radishwind.http.types import Request
 from radishwind.http.types import Response
-from radishwind.http.types import whole_body
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
 from radishwind.membership.directory import MemberState
@@ -132,7 +132,7 @@
 
     async def handle(self, request: Request) -> Response:
         """Accepts a record from a peer."""
-        body = await whole_body(request.body)
+        body = await read_body(request.body)
         try:
             key = body.decode()
         except UnicodeDecodeError as exc:
--- a/src/radishwind/target/load_poller.py
+++ b/src/radishwind/target/load_poller.py
@@ -8,7 +8,7 @@
 from radishwind.core.timelimit import TimeLimit
 from radishwind.http.errors import SendError
 from radishwind.http.sender import Sender
-from radishwind.http.types import whole_body
+from radishwind.http.types import read_body
 from radishwind.target.backend_server import ServerView
 from radishwind.target.dialect import ResponseMetadata
 from radishwind.target.dialect import ServerDialect
@@ -94,7 +94,7 @@
                     self._dialect.build_health_request(view.health_path),
                     CHECK_TIMEOUT_S,
                 )
-                await whole_body(response.body)
+                await read_body(response.body)
         except SendError:
             self._monitor.last_reported = began
             self._on_unreachable()
--- a/src/radishwind/target/node_fields.py
+++ b/src/radishwind/target/node_fields.py
@@ -1,8 +1,8 @@
 """Removes fields from a server's response that only nodes may send."""
 
-from radishwind.http.hygiene import NODE_FIELD_PREFIX
 from radishwind.http.problems import CODE_FIELD
 from radishwind.http.problems import OUTCOME_FIELD
+from radishwind.http.sanitization import NODE_FIELD_PREFIX
 from radishwind.http.types import Response
 
 #: Fields by which a node states the outcome of a request. A server that passes
--- a/src/radishwind/target/pipeline.py
+++ b/src/radishwind/target/pipeline.py
@@ -341,7 +341,7 @@
 
 
 def _is_streaming(body: Body) -> bool:
-    return isinstance(body, BodyStream) and not body.is_whole
+    return isinstance(body, BodyStream) and not body.is_fully_buffered
 
 
 def _is_success(outcome: Outcome | None) -> bool:
--- a/src/radishwind/target/server_exchange.py
+++ b/src/radishwind/target/server_exchange.py
@@ -10,11 +10,11 @@
 from radishwind.entry.call import server_request
 from radishwind.http.errors import ConnectFailedError
 from radishwind.http.errors import ExchangeBrokenError
+from radishwind.http.notifying_stream import NotifyingStream
 from radishwind.http.sender import Sender
-from radishwind.http.streams import NotifyingStream
 from radishwind.http.types import abort_body
 from radishwind.http.types import BodyStream
-from radishwind.http.types import header
+from radishwind.http.types import get_header
 from radishwind.http.types import Response
 from radishwind.outcomes.model import Done
 from radishwind.outcomes.model import NotRun
@@ -118,7 +118,7 @@
 def _was_shed(response: Response) -> bool:
     if response.status != _SHED_STATUS:
         return False
-    return header(response.headers, SHED_FIELD) is not None
+    return get_header(response.headers, SHED_FIELD) is not None
 
 
 class SlotHoldingStream(NotifyingStream):
--- a/src/radishwind/target/tests/test_buffered_body.py
+++ b/src/radishwind/target/tests/test_buffered_body.py
@@ -11,7 +11,7 @@
 from radishwind.http import Response
 from radishwind.http import ServerLimits
 from radishwind.http.httptools_server import HttptoolsServer
-from radishwind.http.types import whole_body
+from radishwind.http.types import read_body
 from radishwind.target.buffered_body import BufferBudget
 from radishwind.target.buffered_body import BufferedBody
 from radishwind.target.buffered_body import CHUNK_BYTES
@@ -54,10 +54,10 @@
 async def test_large_response_is_buffered_and_uses_budget_until_read():
     budget, source = BufferBudget(), Source()
     response = await send(budget, source)
-    assert response.body.is_whole
+    assert response.body.is_fully_buffered
     assert source.read_bytes == budget.used_bytes == len(BODY)
 
-    assert await whole_body(response.body) == BODY
+    assert await read_body(response.body) == BODY
     assert budget.used_bytes == 0
 
 
@@ -65,13 +65,13 @@
     budget, source = BufferBudget(len(BODY) + 10), Source()
     first = await send(budget, source)
     second = await send(budget, second_source := Source())
-    assert not second.body.is_whole
+    assert not second.body.is_fully_buffered
     assert second_source.read_bytes == 0
     assert budget.used_bytes == len(BODY)
     first.body.abort()
 
     assert budget.used_bytes == 0
-    assert (await send(budget, Source())).body.is_whole
+    assert (await send(budget, Source())).body.is_fully_buffered
 
 
 async def test_budget_is_released_once_however_a_response_ends():
--- a/src/radishwind/target/verifying_exchange.py
+++ b/src/radishwind/target/verifying_exchange.py
@@ -14,11 +14,11 @@
 from radishwind.entry.call import Call
 from radishwind.http.errors import ConnectFailedError
 from radishwind.http.errors import ExchangeBrokenError
-from radishwind.http.hygiene import end_to_end
+from radishwind.http.sanitization import strip_hop_by_hop_fields
 from radishwind.http.sender import Sender
 from radishwind.http.types import abort_body
 from radishwind.http.types import Body
-from radishwind.http.types import header
+from radishwind.http.types import get_header
 from radishwind.http.types import Response
 from radishwind.http.types import SMALL_BODY_BYTES
 from radishwind.outcomes.model import Done
@@ -156,7 +156,7 @@
         if metadata.is_not_run:
             abort_body(body)
             return self._not_run(metadata, view)
-        headers = end_to_end(metadata.headers)
+        headers = strip_hop_by_hop_fields(metadata.headers)
         if not isinstance(body, bytes):
             return Done(
                 Response(response.status, headers, body, response.body_bytes)
@@ -165,7 +165,7 @@
         size = len(body)
         if size <= SMALL_BODY_BYTES:
             return Done(Response(response.status, headers, body, size))
-        if header(headers, "content-length") is None:
+        if get_header(headers, "content-length") is None:
             headers += (("Content-Length", str(size)),)
         buffered = BufferedBody(body, self.buffer_budget)
         return Done(Response(response.status, headers, buffered, size))
--- a/tests/proofs/plays.py
+++ b/tests/proofs/plays.py
@@ -13,7 +13,7 @@
 from radishwind.claims import ClaimGuard
 from radishwind.claims import NoClaims
 from radishwind.core import ResultCode
-from radishwind.http.types import header
+from radishwind.http.types import get_header
 from radishwind.outcomes import Done
 from radishwind.outcomes import NotRun
 from radishwind.outcomes import Unknown
@@ -53,7 +53,7 @@
 
 def _any_answer(response, attempt_id):
     """Weak: takes what arrives for the answer to this attempt."""
-    field = header(response.headers, peer_attempts.ANSWER_FIELD.lower())
+    field = get_header(response.headers, peer_attempts.ANSWER_FIELD.lower())
     return msgspec.json.decode(field, type=peer_attempts.AnswerInfo)
 
 
--- a/tests/proofs/stage.py
+++ b/tests/proofs/stage.py
@@ -17,7 +17,7 @@
 from radishwind.http import Handler
 from radishwind.http import Request
 from radishwind.http import Response
-from radishwind.http.types import header
+from radishwind.http.types import get_header
 from radishwind.peers.attempts import ANSWER_FIELD
 from radishwind.peers.attempts import AnswerInfo
 from radishwind.peers.attempts import ATTEMPT_FIELD
@@ -150,7 +150,7 @@
         self.note("caller", f"sends {what} to {entry}")
         response = await self.entries[entry].send(key, body, method=method)
         ran = servers.runs_by_body[body]
-        told = header(response.headers, "radishwind-outcome")
+        told = get_header(response.headers, "radishwind-outcome")
         self.note(entry, _told(response))
         if told is None:
             self.done += 1
@@ -181,7 +181,7 @@
 
 
 def _asked(request: Request) -> str:
-    field = header(request.headers, ATTEMPT_FIELD.lower())
+    field = get_header(request.headers, ATTEMPT_FIELD.lower())
     if field is not None:
         info = msgspec.json.decode(field, type=AttemptInfo)
         number = info.attempt_id.rpartition(".")[2]
@@ -194,15 +194,15 @@
 
 
 def _told(response: Response) -> str:
-    field = header(response.headers, ANSWER_FIELD.lower())
+    field = get_header(response.headers, ANSWER_FIELD.lower())
     if field is not None:
         info = msgspec.json.decode(field, type=AnswerInfo)
         return f"answers {info.outcome} {info.code or response.status}"
-    outcome = header(response.headers, "radishwind-outcome")
+    outcome = get_header(response.headers, "radishwind-outcome")
     if outcome is not None:
-        code = header(response.headers, "radishwind-code")
+        code = get_header(response.headers, "radishwind-code")
         return f"answers {response.status}, {outcome} {code}"
-    again = header(response.headers, "radishwind-replayed")
+    again = get_header(response.headers, "radishwind-replayed")
     text = f"answers {response.status}" + (" from the record" if again else "")
     body = response.body
     return f"{text}: {body.decode()}" if isinstance(body, bytes) else text
--- a/tests/support/claim_cluster.py
+++ b/tests/support/claim_cluster.py
@@ -29,7 +29,7 @@
 from radishwind.http import Request
 from radishwind.http import Response
 from radishwind.http.types import Body
-from radishwind.http.types import header
+from radishwind.http.types import get_header
 from radishwind.membership import RumorBus
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
@@ -133,7 +133,7 @@
         await anyio.lowlevel.checkpoint()
         if fault == "before":
             raise ExchangeBrokenError("cut before it ran")
-        key = header(request.headers, "idempotency-key") or ""
+        key = get_header(request.headers, "idempotency-key") or ""
         assert isinstance(request.body, bytes)
         self.runs[key] += 1
         self.runs_by_body[request.body] += 1
--- a/tests/support/configs.py
+++ b/tests/support/configs.py
@@ -30,7 +30,7 @@
 from radishwind.http import Handler
 from radishwind.http import Request
 from radishwind.http import Response
-from radishwind.http.types import whole_body
+from radishwind.http.types import read_body
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
 from radishwind.membership.rumor_bus import NullRumorBus
@@ -98,7 +98,7 @@
         Lets other tasks run first.
         """
         await anyio.lowlevel.checkpoint()
-        body = await whole_body(request.body)
+        body = await read_body(request.body)
         is_swap = request.path == "/v3/kv/txn" and _ROOT in body
         handle = self.on_swap if is_swap else self.standin.handle
         return await handle(request)
