--- a/src/radishwind/node/config.py
+++ b/src/radishwind/node/config.py
@@ -1,4 +1,4 @@
-"""Wires configuration into a node."""
+"""Creates a node's store clients and configuration tasks."""
 
 from collections.abc import Callable
 import dataclasses
@@ -22,25 +22,27 @@
 from radishwind.store import StoreBudget
 from radishwind.telemetry import PartLogger
 
-#: Failures in a row after which claims pause here: they do so themselves.
-_NEVER = 2**31
+#: Number of consecutive failures after which store calls of claims pause: never
+#: reached, because claims have a circuit breaker of their own.
+_NEVER_PAUSE = 2**31
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NodeStores:
-    """The store as two users of a node see it, each with its budget.
+    """Two clients of the store, each with a call budget of its own.
 
     Attributes:
       control: for membership and configuration.
-      claims: for claims, which share out their rates between the nodes and
-        pause by themselves; counted here, and bounded by those rates.
+      claims: for claims, which divide their call rates between the nodes and
+        pause after failures by themselves. This client counts the calls and
+        limits them to the rates of the settings.
     """
 
     control: BudgetedStore
     claims: BudgetedStore
 
     async def close(self) -> None:
-        """Closes the connections."""
+        """Closes the connections to the store."""
         await self.control.close()
         await self.claims.close()
 
@@ -52,13 +54,13 @@
     clock: Clock,
     rng: random.Random,
 ) -> NodeStores:
-    """Returns the store within the node's budgets."""
+    """Returns the store clients, limited by the node's call budgets."""
     control = StoreBudget(settings.store_calls_per_s, settings.store_burst)
     claims_per_s = settings.claim_writes_per_s + settings.claim_reads_per_s
     claims = StoreBudget(
         claims_per_s,
         max(settings.store_burst, int(claims_per_s)),
-        pause_after_failures=_NEVER,
+        pause_after_failures=_NEVER_PAUSE,
     )
     return NodeStores(
         BudgetedStore(
@@ -84,7 +86,7 @@
     observation: Observation,
     on_adopted: Callable[[ConfigIndex], None],
 ) -> ConfigTasks:
-    """Returns the tasks of configuration, with their paths added."""
+    """Returns the configuration tasks; registers their paths and metrics."""
     tasks = ConfigTasks(
         settings=settings,
         clock=clock,
--- a/src/radishwind/node/config_admin.py
+++ b/src/radishwind/node/config_admin.py
@@ -1,4 +1,4 @@
-"""What a node tells operators of its configuration, on the admin listener."""
+"""Reports a node's configuration to operators, on the admin listener."""
 
 import collections
 from typing import Any
@@ -18,27 +18,28 @@
 from radishwind.node.observation import Observation
 from radishwind.store import BudgetedStore
 
-#: Members asked for one report; of more the revision heard last is told.
-_MAX_ASKED = 256
-_ASKED_AT_ONCE = 16
-_MAX_NAMED = 100
+#: Members pulled from for one report. Of any others, the report has the
+#: revision that they last advertised.
+_MAX_PULLS = 256
+_MAX_CONCURRENT_PULLS = 16
+_MAX_NAMES = 100
 
 
 class ConfigAdmin:
-    """Adds the paths and status fields of configuration."""
+    """Registers the paths, status fields and metrics of configuration."""
 
     def __init__(self, tasks: ConfigTasks, *stores: BudgetedStore) -> None:
         self._tasks = tasks
         self._stores = stores
 
     def add_to(self, admin: AdminListener) -> None:
-        """Adds to the admin listener."""
+        """Registers the paths and status fields with the admin listener."""
         admin.add("GET", CONFIG_PATH, self._handle_config)
         admin.add("GET", FLEET_PATH, self._handle_fleet)
         admin.add_status(self._status)
 
     def add_metrics(self, observation: Observation) -> None:
-        """Adds the metrics of configuration and of the store."""
+        """Registers the metrics of configuration and of the store."""
         adopter = self._tasks.adopter
         observation.gauge(
             "config.revision",
@@ -80,10 +81,10 @@
         }
 
     def _store_calls(self) -> dict[str, float]:
-        counted: collections.Counter[str] = collections.Counter()
+        counts: collections.Counter[str] = collections.Counter()
         for store in self._stores:
-            counted.update(store.call_counts)
-        return dict(counted)
+            counts.update(store.call_counts)
+        return dict(counts)
 
     def _store_failures(self) -> dict[str, float]:
         return {
@@ -98,12 +99,12 @@
         )
 
     async def _handle_fleet(self, request: Request) -> Response:
-        return json_response(await self._report())
+        return json_response(await self._build_report())
 
-    async def _report(self) -> FleetReport:
+    async def _build_report(self) -> FleetReport:
         snapshot = self._tasks.adopter.snapshot
         members = self._tasks.other_members()
-        revisions = await self._revisions(members, snapshot.revision)
+        revisions = await self._collect_revisions(members, snapshot.revision)
         lagging = [
             name
             for name, revision in revisions.items()
@@ -117,28 +118,29 @@
             snapshot.change_id,
             len(members) + 1,
             len(members) + 1 - len(lagging) - len(silent),
-            tuple(sorted(lagging)[:_MAX_NAMED]),
-            tuple(sorted(silent)[:_MAX_NAMED]),
-            tuple(sorted(unlisted)[:_MAX_NAMED]),
+            tuple(sorted(lagging)[:_MAX_NAMES]),
+            tuple(sorted(silent)[:_MAX_NAMES]),
+            tuple(sorted(unlisted)[:_MAX_NAMES]),
         )
 
-    async def _revisions(
+    async def _collect_revisions(
         self, members: list[Member], revision: int
     ) -> dict[str, int | None]:
-        """Returns the revision in force at each member.
+        """Returns the revision in force at each member, by name.
 
-        Those already heard to have `revision` aren't asked.
+        Members that already advertised `revision` or a newer one are not
+        called. The revision of a member that does not respond is `None`.
         """
-        heard = {m.name: m.config_revision for m in members}
-        found: dict[str, int | None] = dict(heard)
-        behind = [m for m in members if heard[m.name] < revision]
-        limit = anyio.CapacityLimiter(_ASKED_AT_ONCE)
+        advertised = {m.name: m.config_revision for m in members}
+        revisions: dict[str, int | None] = dict(advertised)
+        behind = [m for m in members if advertised[m.name] < revision]
+        limiter = anyio.CapacityLimiter(_MAX_CONCURRENT_PULLS)
 
-        async def ask(member: Member) -> None:
-            async with limit:
-                found[member.name] = await self._tasks.pull(member.address)
+        async def pull(member: Member) -> None:
+            async with limiter:
+                revisions[member.name] = await self._tasks.pull(member.address)
 
         async with anyio.create_task_group() as tasks:
-            for member in behind[:_MAX_ASKED]:
-                tasks.start_soon(ask, member)
-        return found
+            for member in behind[:_MAX_PULLS]:
+                tasks.start_soon(pull, member)
+        return revisions
--- a/src/radishwind/node/config_periods.py
+++ b/src/radishwind/node/config_periods.py
@@ -15,7 +15,7 @@
         or none is in force yet (s).
       watch_duration_s: duration of a watch before the store is read again (s).
       short_watch_duration_s: the same if the store has compacted the history
-        since the last read (s).
+        since the root's revision, so that the watch starts from now (s).
       rank_check_period_s: between checks whether this node ranks among those
         that watch the store (s).
       read_period_s: between store reads by nodes that don't watch (s).
--- a/src/radishwind/node/config_tasks.py
+++ b/src/radishwind/node/config_tasks.py
@@ -1,10 +1,13 @@
-"""The tasks that keep a node's configuration the newest accepted one.
+"""Tasks that keep a node's configuration at the newest accepted revision.
 
-Three ways lead to it. Peers: whoever adopts a revision tells a few others,
-who ask it for the difference and tell on; a slow random exchange catches what
-that missed. The rumor bus, where there is one. The store
-(`config_store`): a few nodes of each failure domain watch it, the others read
-it rarely.
+New revisions arrive in three ways:
+
+- From peers. A node that adopts a revision notifies a few others, which pull
+  the difference from it and notify others in turn. Periodic pulls from random
+  peers catch what this misses.
+- As rumors, if the rumor bus carries any: a rumor names the newest revision.
+- From the store (`store_follower`). A few nodes of each failure domain watch
+  it, the others read it rarely.
 """
 
 from collections.abc import Callable
@@ -43,31 +46,32 @@
 _RUMOR_KEY = "newest"
 _RUMOR_TTL_S = 60.0
 
-#: Peers said to be ahead that wait to be asked; further ones are dropped.
-_MAX_HEARD_WAITING = 16
+#: Reports of newer revisions that wait for a pull; further ones are dropped.
+_MAX_QUEUED_REPORTS = 16
 
-#: From so many members on, the list of all is made anew only so often (s).
-_MANY_MEMBERS = 256
-_MEMBERS_AGE_S = 10.0
+#: With this number of members or more, the list of members is cached for a
+#: time (s).
+_MIN_CACHED_MEMBERS = 256
+_MAX_MEMBERS_AGE_S = 10.0
 
-_USUAL_PERIODS = ConfigPeriods()
+_DEFAULT_PERIODS = ConfigPeriods()
 
 
-class RumorOfRevision(msgspec.Struct, frozen=True):
-    """What the rumor bus carries: the newest revision.
+class RevisionRumor(msgspec.Struct, frozen=True):
+    """Value of a rumor: the newest revision known.
 
-    It names no node to ask, since all would ask that one.
+    It names no node to pull from, since all nodes would pull from that one.
     """
 
     revision: int
 
 
 class ConfigTasks:
-    """Owns the configuration in force and the tasks that renew it.
+    """Owns the configuration in force and the tasks that update it.
 
     Attributes:
-      adopter: holds the configuration and what was refused.
-      exchange: asks and answers peers.
+      adopter: holds the configuration in force and counts refusals.
+      exchange: pulls from peers and answers their pulls.
       index: look-ups over the configuration in force.
     """
 
@@ -83,21 +87,21 @@
         rumor_bus: RumorBus,
         on_adopted: Callable[[ConfigIndex], None],
         log: Callable[[str], None],
-        periods: ConfigPeriods = _USUAL_PERIODS,
+        periods: ConfigPeriods = _DEFAULT_PERIODS,
     ) -> None:
-        """Wires the tasks.
+        """Creates the tasks; `run` starts them.
 
         Args:
-          settings: of the node.
+          settings: settings of the node.
           clock: the clock.
-          rng: the random source of pauses and choices.
-          store: the store, within the node's budget.
-          directory: the members known.
+          rng: source of the jitter and of random choices.
+          store: the store, limited by the node's call budget.
+          directory: the known members.
           peers: sends control messages.
-          rumor_bus: spreads the newest revision.
-          on_adopted: called with each configuration put in force.
-          log: called with a sentence for the log.
-          periods: how often the tasks act.
+          rumor_bus: disseminates the newest revision.
+          on_adopted: called with each configuration that comes into force.
+          log: called with each log message.
+          periods: intervals at which the tasks act.
         """
         self._settings = settings
         self._clock = clock
@@ -107,16 +111,17 @@
         self._on_adopted = on_adopted
         self._log = log
         self._periods = periods
-        self._send_heard, self._receive_heard = (
+        self._report_sender, self._report_receiver = (
             anyio.create_memory_object_stream[tuple[int, Address]](
-                _MAX_HEARD_WAITING
+                _MAX_QUEUED_REPORTS
             )
         )
-        self._newly_adopted = anyio.Event()
-        self._lagging = anyio.Event()
-        self._known_newest = 1
-        self._known: tuple[Member, ...] = ()
-        self._members_at = clock.monotonic()
+        self._adopted_event = anyio.Event()
+        self._lagging_event = anyio.Event()
+        # 1, so that a node with no configuration in force counts as lagging.
+        self._newest_known = 1
+        self._cached_members: tuple[Member, ...] = ()
+        self._cached_at = clock.monotonic()
         self.adopter = Adopter()
         self.index = ConfigIndex(self.adopter.snapshot.cfg)
         self.exchange = ConfigExchange(
@@ -124,8 +129,8 @@
             peers,
             store,
             advertised_address(settings),
-            self._heard,
-            self._adopted,
+            self._queue_report,
+            self._handle_adopted,
         )
         self._follower = StoreFollower(
             settings=settings,
@@ -134,27 +139,27 @@
             store=store,
             exchange=self.exchange,
             members=self._members,
-            refused=self._refuse,
+            on_refused=self._refuse,
             log=log,
             periods=periods,
         )
-        rumor_bus.subscribe(RUMOR_TOPIC, self._take_rumor)
+        rumor_bus.subscribe(RUMOR_TOPIC, self._handle_rumor)
 
     @property
     def is_watching(self) -> bool:
-        """Whether it is this node's turn to watch the store."""
+        """Whether this node is one of those that watch the store."""
         return self._follower.is_watching
 
     async def run(self) -> None:
         """Runs until cancelled."""
         async with anyio.create_task_group() as tasks:
             self._follower.start(tasks)
-            tasks.start_soon(self._ask_peers)
-            tasks.start_soon(self._ask_heard)
-            tasks.start_soon(self._tell_members)
+            tasks.start_soon(self._pull_periodically)
+            tasks.start_soon(self._pull_reported)
+            tasks.start_soon(self._notify_members)
 
     async def handle_control(self, request: Request) -> Response:
-        """Answers the pull of a peer."""
+        """Answers a peer's pull."""
         try:
             content = await read_body(request.body)
             return _json(self.exchange.handle_pull(content))
@@ -164,7 +169,12 @@
             )
 
     async def pull(self, address: Address) -> int | None:
-        """Asks one peer; returns the revision it told, `None` for no answer."""
+        """Pulls from a peer what is newer there, and adopts it.
+
+        Returns:
+          The revision in force at the peer; `None` if it did not respond or
+          its configuration was refused.
+        """
         try:
             return (await self.exchange.pull_from(address)).revision
         except PeerError:
@@ -174,7 +184,7 @@
             return None
 
     def other_members(self) -> list[Member]:
-        """Returns the members that can be asked."""
+        """Returns the other members, without those considered dead."""
         return [
             member
             for member in self._members()
@@ -183,63 +193,68 @@
         ]
 
     def _members(self) -> tuple[Member, ...]:
-        """Returns the members; of a large fleet those of a moment ago."""
+        """Returns the members; for a large fleet those of the cached list."""
         now = self._clock.monotonic()
-        age_s = now - self._members_at
-        if len(self._known) < _MANY_MEMBERS or age_s > _MEMBERS_AGE_S:
-            self._known = self._directory.members()
-            self._members_at = now
-        return self._known
-
-    def _adopted(self, snapshot: Snapshot, source: Source) -> None:
+        age_s = now - self._cached_at
+        if (
+            len(self._cached_members) < _MIN_CACHED_MEMBERS
+            or age_s > _MAX_MEMBERS_AGE_S
+        ):
+            self._cached_members = self._directory.members()
+            self._cached_at = now
+        return self._cached_members
+
+    def _handle_adopted(self, snapshot: Snapshot, source: Source) -> None:
         self.index = ConfigIndex(snapshot.cfg)
         self._on_adopted(self.index)
         self._log(f"Revision {snapshot.revision} is in force.")
-        self._newly_adopted.set()
+        self._adopted_event.set()
         if source is not Source.STORE:
             return
         self._rumor_bus.publish(
             RUMOR_TOPIC,
             _RUMOR_KEY,
             snapshot.revision,
-            msgspec.json.encode(RumorOfRevision(snapshot.revision)),
+            msgspec.json.encode(RevisionRumor(snapshot.revision)),
             _RUMOR_TTL_S,
         )
 
     def _refuse(self, source: Source, exc: RevisionRefusedError) -> None:
-        """Notes a refusal; reports it unless it was the last one too."""
+        """Counts a refusal; logs it unless it repeats the last one."""
         if self.adopter.refuse(source, exc):
             self._log(f"Refused: {self.adopter.last_refusal}")
 
-    def _heard(self, revision: int, address: Address) -> None:
+    def _queue_report(self, revision: int, address: Address) -> None:
+        """Queues a peer's report of its revision, if that is newer."""
         if revision <= self.adopter.snapshot.revision:
             return
         try:
-            self._send_heard.send_nowait((revision, address))
+            self._report_sender.send_nowait((revision, address))
         except anyio.WouldBlock:
-            # Others told enough; the slow exchange catches what is lost.
+            # The queued reports suffice; periodic pulls catch what is dropped.
             return
 
-    def _take_rumor(self, key: str, value: bytes) -> None:
+    def _handle_rumor(self, key: str, value: bytes) -> None:
         try:
-            rumor = msgspec.json.decode(value, type=RumorOfRevision)
+            rumor = msgspec.json.decode(value, type=RevisionRumor)
         except msgspec.MsgspecError as exc:
             self._log(f"Malformed rumor {key[:40]}: {exc}")
             return
-        if rumor.revision > self._known_newest:
-            self._known_newest = rumor.revision
-            self._lagging.set()
+        if rumor.revision > self._newest_known:
+            self._newest_known = rumor.revision
+            self._lagging_event.set()
 
-    async def _ask_heard(self) -> None:
-        async for revision, address in self._receive_heard:
+    async def _pull_reported(self) -> None:
+        """Pulls from peers that reported a newer revision."""
+        async for revision, address in self._report_receiver:
             if revision > self.adopter.snapshot.revision:
                 await self.pull(address)
 
-    async def _ask_peers(self) -> None:
-        """Asks one at random, more often while a newer revision is known.
+    async def _pull_periodically(self) -> None:
+        """Pulls from a random peer, more often while this node lags.
 
-        Asking those said to have it, not the one that told first, shares the
-        answers out.
+        Peers known to have a newer revision are preferred. Choosing any of
+        them, rather than the first that reported it, distributes the load.
         """
         while True:
             own = self.adopter.snapshot.revision
@@ -247,28 +262,33 @@
             ahead = [m for m in members if m.config_revision > own]
             if members:
                 await self.pull(self._rng.choice(ahead or members).address)
-            if self.adopter.snapshot.revision < self._known_newest:
+            if self.adopter.snapshot.revision < self._newest_known:
                 pause_s = jittered(
                     self._rng, self._periods.lagging_pull_period_s
                 )
                 await anyio.sleep(pause_s)
                 continue
-            self._lagging = anyio.Event()
+            self._lagging_event = anyio.Event()
             with anyio.move_on_after(
                 jittered(self._rng, self._periods.pull_period_s)
             ):
-                await self._lagging.wait()
-                # Whoever adopted it tells others; most need not ask.
+                await self._lagging_event.wait()
+                # Nodes that adopted the revision notify others meanwhile, so
+                # most nodes need no pull of their own.
                 pause_s = jittered(
                     self._rng, self._periods.lagging_pull_period_s
                 )
                 await anyio.sleep(pause_s)
 
-    async def _tell_members(self) -> None:
-        """Tells a few members of each revision adopted; they then ask."""
+    async def _notify_members(self) -> None:
+        """Notifies a few members of each revision that was adopted.
+
+        The notification is a pull, which carries this node's revision; members
+        with an older one then pull from this node.
+        """
         while True:
-            await self._newly_adopted.wait()
-            self._newly_adopted = anyio.Event()
+            await self._adopted_event.wait()
+            self._adopted_event = anyio.Event()
             members = self.other_members()
             count = min(self._periods.notified_members, len(members))
             async with anyio.create_task_group() as tasks:
--- a/src/radishwind/node/store_follower.py
+++ b/src/radishwind/node/store_follower.py
@@ -1,4 +1,4 @@
-"""Follows the newest revision in the store: by a watch, or by rare reads."""
+"""Follows the newest revision in the store, by a watch or by rare reads."""
 
 from collections.abc import Callable
 import random
@@ -24,10 +24,10 @@
 
 
 class StoreFollower:
-    """Watches the store where it is this node's turn, else reads it rarely.
+    """Watches the store if this node ranks as a watcher, else reads it rarely.
 
     Attributes:
-      is_watching: whether it is this node's turn to watch the store.
+      is_watching: whether this node is one of those that watch the store.
     """
 
     def __init__(
@@ -39,22 +39,22 @@
         store: Store,
         exchange: ConfigExchange,
         members: Callable[[], tuple[Member, ...]],
-        refused: Callable[[Source, RevisionRefusedError], None],
+        on_refused: Callable[[Source, RevisionRefusedError], None],
         log: Callable[[str], None],
         periods: ConfigPeriods,
     ) -> None:
-        """Wires the follower.
+        """Creates the follower; `start` starts its tasks.
 
         Args:
-          settings: of the node.
+          settings: settings of the node.
           clock: the clock.
-          rng: the random source of pauses.
-          store: the store, within the node's budget.
+          rng: source of the jitter.
+          store: the store, limited by the node's call budget.
           exchange: reads the store and adopts what is newer there.
-          members: returns the members known.
-          refused: called with a configuration that can't be adopted.
-          log: called with a sentence for the log.
-          periods: how often the tasks act.
+          members: returns the known members.
+          on_refused: called when a configuration in the store is refused.
+          log: called with each log message.
+          periods: intervals at which the tasks act.
         """
         self._settings = settings
         self._clock = clock
@@ -63,17 +63,17 @@
         self._exchange = exchange
         self._adopter = exchange.adopter
         self._members = members
-        self._refused = refused
+        self._on_refused = on_refused
         self._log = log
         self._periods = periods
-        self._turn: anyio.CancelScope | None = None
-        self._read_at = clock.monotonic()
+        self._watch_scope: anyio.CancelScope | None = None
+        self._last_read = clock.monotonic()
         self.is_watching = False
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
         """Follows the store in `tasks` until they are cancelled."""
         tasks.start_soon(self._follow)
-        tasks.start_soon(self._end_turn_when_outranked)
+        tasks.start_soon(self._end_watch_when_outranked)
 
     async def _follow(self) -> None:
         await anyio.sleep(
@@ -91,22 +91,22 @@
             except StoreError:
                 await anyio.sleep(backoff.record_failure())
             except RevisionRefusedError as exc:
-                self._refused(Source.STORE, exc)
+                self._on_refused(Source.STORE, exc)
                 await anyio.sleep(backoff.record_failure())
 
     async def _follow_once(self) -> None:
         self.is_watching = self._is_watcher()
         if self.is_watching:
-            await self._watch_turn()
+            await self._read_and_watch()
             return
-        fresh = self._adopter.snapshot.revision == 0
+        is_unconfigured = self._adopter.snapshot.revision == 0
         period_s = (
             self._periods.initial_read_period_s
-            if fresh
+            if is_unconfigured
             else self._periods.read_period_s
         )
-        since_s = self._clock.monotonic() - self._read_at
-        if since_s >= jittered(self._rng, period_s):
+        elapsed_s = self._clock.monotonic() - self._last_read
+        if elapsed_s >= jittered(self._rng, period_s):
             await self._read_store()
         await anyio.sleep(
             jittered(self._rng, self._periods.rank_check_period_s)
@@ -119,40 +119,49 @@
             self._members(),
         )
 
-    async def _watch_turn(self) -> None:
-        """Reads the store, then watches it for one turn."""
-        stored_at = await self._read_store()
+    async def _read_and_watch(self) -> None:
+        """Reads the store, then watches it from there for some time."""
+        root_revision = await self._read_store()
         try:
-            await self._watch(stored_at + 1, self._periods.watch_duration_s)
+            await self._watch(root_revision + 1, self._periods.watch_duration_s)
         except StoreCompactedError:
             await self._watch(0, self._periods.short_watch_duration_s)
 
-    async def _watch(self, from_revision: int, turn_s: float) -> None:
-        """Watches for about `turn_s` (s), or until others rank before."""
-        with anyio.move_on_after(jittered(self._rng, turn_s)) as self._turn:
+    async def _watch(self, from_revision: int, duration_s: float) -> None:
+        """Watches for about `duration_s` (s), or until outranked.
+
+        Args:
+          from_revision: store revision of the first event; 0 for events from
+            now on.
+          duration_s: mean duration (s).
+        """
+        with anyio.move_on_after(
+            jittered(self._rng, duration_s)
+        ) as self._watch_scope:
             async for event in self._store.watch(ROOT_KEY, from_revision):
-                await self._take_event(event)
+                await self._apply_event(event)
 
-    async def _end_turn_when_outranked(self) -> None:
+    async def _end_watch_when_outranked(self) -> None:
         while True:
             await anyio.sleep(
                 jittered(self._rng, self._periods.rank_check_period_s)
             )
-            if self._turn is not None and not self._is_watcher():
-                self._turn.cancel()
+            if self._watch_scope is not None and not self._is_watcher():
+                self._watch_scope.cancel()
 
-    async def _take_event(self, event: WatchEvent) -> None:
+    async def _apply_event(self, event: WatchEvent) -> None:
         refusals = self._adopter.refusals
         await self._exchange.apply_event(event)
-        self._report_refusal(refusals)
+        self._log_new_refusal(refusals)
 
     async def _read_store(self) -> int:
+        """Reads the store; returns the store revision of the root."""
         refusals = self._adopter.refusals
-        stored_at = await self._exchange.read_store()
-        self._read_at = self._clock.monotonic()
-        self._report_refusal(refusals)
-        return stored_at
+        root_revision = await self._exchange.read_store()
+        self._last_read = self._clock.monotonic()
+        self._log_new_refusal(refusals)
+        return root_revision
 
-    def _report_refusal(self, before: int) -> None:
-        if self._adopter.refusals > before:
+    def _log_new_refusal(self, refusals_before: int) -> None:
+        if self._adopter.refusals > refusals_before:
             self._log(f"Refused: {self._adopter.last_refusal}")
--- a/src/radishwind/node/tests/test_config_tasks.py
+++ b/src/radishwind/node/tests/test_config_tasks.py
@@ -1,4 +1,7 @@
-"""Many nodes in one process: what is accepted is in force and stays so."""
+"""Tests that accepted configurations come into force on many nodes and stay.
+
+The nodes run in one process and share a store stand-in.
+"""
 
 import contextlib
 
@@ -17,7 +20,7 @@
 
 pytestmark = pytest.mark.anyio
 
-QUICK = ConfigPeriods(
+SHORT_PERIODS = ConfigPeriods(
     pull_period_s=0.05,
     lagging_pull_period_s=0.01,
     watch_duration_s=5.0,
@@ -37,17 +40,17 @@
 
 
 @contextlib.asynccontextmanager
-async def running(nodes, testbed=None):
-    fleet = ConfigFleet(testbed or ConfigTestbed(), QUICK)
+async def running_fleet(node_count, testbed=None):
+    fleet = ConfigFleet(testbed or ConfigTestbed(), SHORT_PERIODS)
     async with anyio.create_task_group() as tasks:
-        for number in range(nodes):
+        for number in range(node_count):
             fleet.start(tasks, f"svc-0000-{number}", DOMAINS[number % 3])
         yield fleet, tasks
         tasks.cancel_scope.cancel()
 
 
-async def test_a_change_reaches_all_though_the_store_fails_after_it():
-    async with running(30) as (fleet, _):
+async def test_change_reaches_all_nodes_if_the_store_fails_afterwards():
+    async with running_fleet(30) as (fleet, _):
         testbed = fleet.testbed
         await testbed.apply(inventory())
         await fleet.wait_in_force(1)
@@ -64,8 +67,8 @@
         await fleet.wait_in_force(2)
 
 
-async def test_few_nodes_read_and_watch_the_store():
-    async with running(30) as (fleet, _):
+async def test_only_few_nodes_read_and_watch_the_store():
+    async with running_fleet(30) as (fleet, _):
         await fleet.testbed.apply(inventory())
         await fleet.wait_in_force(1)
         await fleet.wait_until(lambda: fleet.testbed.standin.watching == 6)
@@ -73,14 +76,14 @@
         await fleet.testbed.apply(inventory(slots=4))
         await fleet.wait_in_force(2)
         after = fleet.testbed.standin.calls
-        # The operator's program reads the root, manifest and parts; the
-        # watches told the nodes all that is new.
+        # The operator's program reads the root, manifest and parts; the nodes
+        # receive what is new by their watches.
         assert after["range"] - before["range"] <= 8
         assert after["watch"] == before["watch"]
 
 
-async def test_a_node_started_in_an_outage_gets_the_newest_from_its_peers():
-    async with running(5) as (fleet, tasks):
+async def test_node_started_in_a_store_outage_pulls_from_its_peers():
+    async with running_fleet(5) as (fleet, tasks):
         await fleet.testbed.apply(inventory())
         await fleet.wait_in_force(1)
         await fleet.testbed.apply(inventory(slots=4))
@@ -90,9 +93,9 @@
         await fleet.wait_in_force(2)
 
 
-async def test_a_store_restored_from_an_old_copy_turns_no_node_back():
+async def test_store_restored_from_a_backup_rolls_no_node_back():
     testbed = ConfigTestbed()
-    async with running(6, testbed) as (fleet, tasks):
+    async with running_fleet(6, testbed) as (fleet, tasks):
         await testbed.apply(inventory())
         old = (await testbed.store.get(ROOT_KEY)).value
         await testbed.apply(inventory(slots=4))
@@ -114,9 +117,9 @@
         await fleet.wait_in_force(3)
 
 
-async def test_malformed_values_in_the_store_end_no_node():
+async def test_malformed_values_in_the_store_stop_no_node():
     testbed = ConfigTestbed()
-    async with running(3, testbed) as (fleet, _):
+    async with running_fleet(3, testbed) as (fleet, _):
         await testbed.apply(inventory())
         await fleet.wait_in_force(1)
         good = (await testbed.store.get(ROOT_KEY)).value
@@ -129,8 +132,8 @@
         await fleet.wait_in_force(2)
 
 
-async def test_malformed_pulls_are_answered_with_an_error():
-    async with running(1) as (fleet, _):
+async def test_malformed_pulls_are_rejected():
+    async with running_fleet(1) as (fleet, _):
         node = fleet.nodes["svc-0000-0"]
         for body in (b"", b"[]", b'{"revision": 1}', b"x" * (3 * 1024 * 1024)):
             request = Request("POST", "/radishwind/v1/config", (), body)
@@ -138,8 +141,8 @@
             assert response.status >= 400
 
 
-async def test_a_watch_ends_once_others_rank_before():
-    async with running(0) as (fleet, tasks):
+async def test_watch_ends_once_the_node_is_outranked():
+    async with running_fleet(0) as (fleet, tasks):
         names = sorted((f"svc-0000-{n}" for n in range(6)), key=hash_rank)
         standin = fleet.testbed.standin
         for name in reversed(names):
