--- a/src/radishwind/routes/feed_peers.py
+++ b/src/radishwind/routes/feed_peers.py
@@ -26,7 +26,7 @@
 #: A node that knows no other node of its failure domain watches the store only
 #: after this time from its start (s). It usually discovers the others within a
 #: second. Without the delay, at a simultaneous start each node assumed that it
-#: was alone and watched, so all of them asked for each change of the routes (31
+#: was alone and watched, so all of them read each change of the routes (31
 #: watches by 27 nodes in the logs of a simulation).
 LONE_NODE_GRACE_S = 2.0
 
--- a/src/radishwind/routes/model.py
+++ b/src/radishwind/routes/model.py
@@ -60,7 +60,7 @@
       health_path: path of the health check of its servers; empty for none.
       connections: connections that one of its servers accepts.
       warmup_s: duration of the slow start of a server (s).
-      warmup_per_s: requests per second that a server accepts during slow
+      warmup_rate_per_s: requests per second that a server accepts during slow
         start; `None` for no limit.
     """
 
@@ -68,7 +68,7 @@
     health_path: str = ""
     connections: int = 64
     warmup_s: float = 0.0
-    warmup_per_s: float | None = None
+    warmup_rate_per_s: float | None = None
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
--- a/src/radishwind/sidecar/target_side.py
+++ b/src/radishwind/sidecar/target_side.py
@@ -201,10 +201,10 @@
         self.warmup_limiter.configure(self._warmup_law(info))
 
     def _warmup_law(self, info: ServiceInfo) -> WarmupLimit | None:
-        if info.warmup_per_s is None:
+        if info.warmup_rate_per_s is None:
             return None
         return WarmupLimit(
-            info.warmup_per_s,
+            info.warmup_rate_per_s,
             self._settings.cold_over,
             self._settings.cold_slack,
             info.warmup_s,
