--- a/src/radishwind/cli/explain.py
+++ b/src/radishwind/cli/explain.py
@@ -8,7 +8,7 @@
 
 from radishwind.core.codes import ResultCode
 from radishwind.core.errors import RadishwindError
-from radishwind.telemetry.explain import explain
+from radishwind.telemetry.explain import explain_request
 
 
 class RequestUnloggedError(RadishwindError):
@@ -33,7 +33,7 @@
 ) -> None:
     """Gather what the logs of all nodes tell of one request, by time."""
     try:
-        lines = explain(request_id, logs)
+        lines = explain_request(request_id, logs)
     except OSError as exc:
         raise RequestUnloggedError(f"expected readable logs: {exc}") from exc
     if not lines:
@@ -46,4 +46,4 @@
         print(msgspec.json.encode(lines).decode())
         return
     for line in lines:
-        print(line.as_row())
+        print(line.format_row())
--- a/src/radishwind/cli/losses.py
+++ b/src/radishwind/cli/losses.py
@@ -10,8 +10,8 @@
 from radishwind.settings import SettingError
 from radishwind.telemetry.explain import read_log
 from radishwind.telemetry.losses import Loss
-from radishwind.telemetry.losses import Losses
-from radishwind.telemetry.losses import losses
+from radishwind.telemetry.losses import LossSummary
+from radishwind.telemetry.losses import summarize_losses
 
 
 def add_to(app: typer.Typer) -> None:
@@ -30,7 +30,9 @@
 ) -> None:
     """Tell by what requests lost their worth, by route, the greatest first."""
     try:
-        found = losses(line for path in logs for line in read_log(path))
+        found = summarize_losses(
+            line for path in logs for line in read_log(path)
+        )
     except OSError as exc:
         raise RequestUnloggedError(f"expected readable logs: {exc}") from exc
     typer.echo(_as_table(found))
@@ -42,7 +44,7 @@
         raise SettingError(f"--plot: expected a picture file: {exc}") from exc
 
 
-def _as_table(found: Losses) -> str:
+def _as_table(found: LossSummary) -> str:
     lines = [f"{'route':<24}{'lost by':<24}{'requests':>9}{'mean ms':>9}"]
     lines += [
         f"{row.route:<24}{row.loss:<24}{row.requests:>9}{row.mean_ms:>9.0f}"
@@ -56,7 +58,7 @@
     return "\n".join(lines)
 
 
-def _draw(found: Losses, path: pathlib.Path) -> None:
+def _draw(found: LossSummary, path: pathlib.Path) -> None:
     import matplotlib
 
     matplotlib.use("Agg")
--- a/src/radishwind/core/tests/test_timelimit.py
+++ b/src/radishwind/core/tests/test_time_limit.py
@@ -4,7 +4,7 @@
 import anyio.lowlevel
 import pytest
 
-from radishwind.core.timelimit import TimeLimit
+from radishwind.core.time_limit import TimeLimit
 
 pytestmark = pytest.mark.anyio
 
--- a/src/radishwind/entry/hedge_timer.py
+++ b/src/radishwind/entry/hedge_timer.py
@@ -15,7 +15,7 @@
 
 from radishwind.core.clock import Clock
 from radishwind.entry.race import Race
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 
 class HedgeTimer:
--- a/src/radishwind/entry/request_log.py
+++ b/src/radishwind/entry/request_log.py
@@ -12,7 +12,7 @@
 from radishwind.http.types import is_server_error
 from radishwind.outcomes import Done
 from radishwind.outcomes import Outcome
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 #: Maximum rate of lines for requests that are not ordinary (1/s); it bounds the
 #: cost of logging in an overload.
--- a/src/radishwind/entry/tests/test_key_authenticator.py
+++ b/src/radishwind/entry/tests/test_key_authenticator.py
@@ -25,9 +25,9 @@
 from radishwind.outcomes import Done
 from radishwind.outcomes import NotRun
 from radishwind.outcomes import Unknown
-from radishwind.platform import read_caller
-from radishwind.platform import with_account
-from radishwind.platform.answers import respond
+from radishwind.platform import add_account_field
+from radishwind.platform import decode_caller_fields
+from radishwind.platform.responses import respond
 from radishwind.quotas import QuotaGate
 from radishwind.retries import CappedRetryPolicy
 from radishwind.routes import ActiveRoutes
@@ -135,12 +135,12 @@
                 clock=clock,
                 routes=self.routes,
                 rules=ServiceRules(),
-                decode_fields=lambda headers: read_caller(
+                decode_fields=lambda headers: decode_caller_fields(
                     headers, "own", accounts=self.keys.has_accounts
                 ),
                 normal_run_s=lambda name: 0.0,
                 keys=self.keys,
-                with_account=with_account,
+                with_account=add_account_field,
             ),
             placement=UnrestrictedPlacement(SingleTarget()),
             chooser=RandomChooser(random.Random(1)),
--- a/src/radishwind/entry/tests/test_request_log.py
+++ b/src/radishwind/entry/tests/test_request_log.py
@@ -7,13 +7,13 @@
 from radishwind.entry.key_authenticator import KeyRefusedError
 from radishwind.entry.request_log import MAX_LINES_PER_S
 from radishwind.entry.request_log import RequestLog
-from radishwind.telemetry import logs
+from radishwind.telemetry import part_logger
 
 
 @pytest.fixture
 def lines(monkeypatch):
     written = []
-    monkeypatch.setattr(logs, "_takers", [written.append])
+    monkeypatch.setattr(part_logger, "_sinks", [written.append])
     return written
 
 
--- a/src/radishwind/experiment/callers.py
+++ b/src/radishwind/experiment/callers.py
@@ -14,8 +14,8 @@
 from radishwind.http.types import get_header
 from radishwind.http.types import Request
 from radishwind.http.types import Response
-from radishwind.platform.other_ends import Sending
-from radishwind.platform.other_ends import sent
+from radishwind.platform.simulated_endpoints import build_simulated_request
+from radishwind.platform.simulated_endpoints import SimulatedRequest
 
 #: The host that every route is at.
 HOST = "play.example"
@@ -92,4 +92,6 @@
 def make_request(kind: Kind, name: str, left_s: float) -> Request:
     """Returns a request of `kind` with `left_s` (s) to its deadline."""
     method = "GET" if kind.idempotent else "POST"
-    return sent(method, HOST, f"/{kind.name}/x", Sending(name, left_s))
+    return build_simulated_request(
+        method, HOST, f"/{kind.name}/x", SimulatedRequest(name, left_s)
+    )
--- a/src/radishwind/experiment/servers.py
+++ b/src/radishwind/experiment/servers.py
@@ -18,10 +18,10 @@
 from radishwind.experiment.scenario import ServiceModel
 from radishwind.http.types import Request
 from radishwind.http.types import Response
-from radishwind.platform.other_ends import answer
-from radishwind.platform.other_ends import health
-from radishwind.platform.other_ends import read_sending
-from radishwind.platform.other_ends import refusal
+from radishwind.platform.simulated_endpoints import build_health_response
+from radishwind.platform.simulated_endpoints import build_refusal
+from radishwind.platform.simulated_endpoints import build_simulated_response
+from radishwind.platform.simulated_endpoints import decode_simulated_request
 from radishwind.target.dialect import ServerLoad
 
 HEALTH_PATH = "/health"
@@ -112,10 +112,12 @@
     async def handle(self, request: Request) -> Response:
         """Answers one request, or a health check."""
         if request.path == HEALTH_PATH:
-            return health(self.name, self._load(), self.cold_left_s())
+            return build_health_response(
+                self.name, self._load(), self.cold_left_s()
+            )
         self._bear()
         if self._waiting >= self._model.queue:
-            return refusal(self._load())
+            return build_refusal(self._load())
         self._waiting += 1
         try:
             await self._slots.acquire()
@@ -131,7 +133,7 @@
     async def _run(self, request: Request) -> Response:
         self.began += 1
         kind = self._kinds[request.path.split("/")[1]]
-        sending = read_sending(request)
+        sending = decode_simulated_request(request)
         left_s = sending.timeout_s
         well = False
         with anyio.move_on_after(left_s) as limit:
@@ -139,7 +141,9 @@
                 tasks.start_soon(self._work, kind)
                 well = await self._call(kind, left_s)
         status = 504 if limit.cancelled_caught else 200 if well else 500
-        return answer(sending, status, self.name, self._load())
+        return build_simulated_response(
+            sending, status, self.name, self._load()
+        )
 
     async def _call(self, kind: Kind, left_s: float) -> bool:
         if kind.calls is None or self._rng.random() >= kind.calls_share:
--- a/src/radishwind/http/aiohttp_server.py
+++ b/src/radishwind/http/aiohttp_server.py
@@ -9,7 +9,7 @@
 from multidict import CIMultiDict
 
 from radishwind.core.codes import ResultCode
-from radishwind.core.timelimit import TimeLimit
+from radishwind.core.time_limit import TimeLimit
 from radishwind.http.errors import ExchangeBrokenError
 from radishwind.http.errors import RequestRejectedError
 from radishwind.http.pipelined_protocol import PipelinedProtocol
--- a/src/radishwind/http/httptools_sender.py
+++ b/src/radishwind/http/httptools_sender.py
@@ -3,7 +3,7 @@
 import asyncio
 import collections
 
-from radishwind.core.timelimit import TimeLimit
+from radishwind.core.time_limit import TimeLimit
 from radishwind.http.byte_meter import ByteMeter
 from radishwind.http.byte_meter import NO_METER
 from radishwind.http.client_connection import ClientConnection
--- a/src/radishwind/loads/link_admission.py
+++ b/src/radishwind/loads/link_admission.py
@@ -13,7 +13,7 @@
 from radishwind.outcomes import NotRun
 from radishwind.routing.chooser import LoadReport
 from radishwind.routing.route_sizes import RouteSizes
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 #: Responses may queue at the link for up to this time (s).
 MAX_QUEUE_S = 0.45
--- a/src/radishwind/node/app.py
+++ b/src/radishwind/node/app.py
@@ -40,7 +40,7 @@
 from radishwind.retries import BudgetedRetryPolicy
 from radishwind.routing.placement import UnrestrictedPlacement
 from radishwind.settings import NodeSettings
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 #: Connections kept to one peer or to the server, and to the store; claims have
 #: their own, so that no watch or slow reader stands before them.
--- a/src/radishwind/node/error_logging.py
+++ b/src/radishwind/node/error_logging.py
@@ -4,7 +4,7 @@
 from radishwind.http import Handler
 from radishwind.http import Request
 from radishwind.http import Response
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 
 def with_error_logging(handler: Handler, log: PartLogger) -> Handler:
--- a/src/radishwind/node/membership_tasks.py
+++ b/src/radishwind/node/membership_tasks.py
@@ -43,7 +43,7 @@
 from radishwind.settings import NodeSettings
 from radishwind.store import Store
 from radishwind.store import StoreEntry
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 #: HTTP exchanges in flight at once; further messages are dropped.
 _MAX_IN_FLIGHT = 64
--- a/src/radishwind/node/observation.py
+++ b/src/radishwind/node/observation.py
@@ -45,7 +45,7 @@
         self._ledger = BurnLedger(clock)
         self._metrics: Any = None
         if settings.metrics:
-            from radishwind.telemetry.metrics import NodeMetrics
+            from radishwind.telemetry.node_metrics import NodeMetrics
 
             self._metrics = NodeMetrics(
                 {
@@ -77,7 +77,7 @@
     ) -> None:
         """Adds a metric that only grows, by kind."""
         if self._metrics is not None:
-            self._metrics.counter(name, unit, text, read)
+            self._metrics.add_counter(name, unit, text, read)
 
     def gauge(
         self,
@@ -88,7 +88,7 @@
     ) -> None:
         """Adds a metric that goes up and down, by kind."""
         if self._metrics is not None:
-            self._metrics.gauge(name, unit, text, read)
+            self._metrics.add_gauge(name, unit, text, read)
 
     async def _handle_metrics(self, request: Request) -> Response:
         body = b'{"resource_metrics": []}'
--- a/src/radishwind/node/peer_security.py
+++ b/src/radishwind/node/peer_security.py
@@ -11,7 +11,7 @@
 from radishwind.settings import NodeSettings
 from radishwind.settings import SettingError
 from radishwind.settings.parsers import peer_keys
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 _NONCE_PREFIX_BYTES = 8
 
--- a/src/radishwind/peers/fleet_security.py
+++ b/src/radishwind/peers/fleet_security.py
@@ -26,7 +26,7 @@
 from radishwind.peers.signing import PeerStaleError
 from radishwind.peers.signing import RequestSigner
 from radishwind.peers.signing import RequestVerifier
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 #: Header field of a refusal with the start ID of the process that refused.
 START_FIELD = "Radishwind-Node-Start"
--- a/src/radishwind/peers/forward_runner.py
+++ b/src/radishwind/peers/forward_runner.py
@@ -5,7 +5,7 @@
 
 from radishwind.core.clock import Clock
 from radishwind.core.codes import ResultCode
-from radishwind.core.timelimit import TimeLimit
+from radishwind.core.time_limit import TimeLimit
 from radishwind.entry.call import Call
 from radishwind.entry.pipeline import AttemptResult
 from radishwind.entry.pipeline import AttemptRunner
--- a/src/radishwind/peers/keyring.py
+++ b/src/radishwind/peers/keyring.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from radishwind.core.clock import Clock
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 #: If accounts come into force while nodes run, unsigned messages are accepted
 #: for this time (s), in which the other nodes adopt the same configuration
--- a/src/radishwind/peers/peer_listener.py
+++ b/src/radishwind/peers/peer_listener.py
@@ -36,7 +36,7 @@
 from radishwind.peers.signing import PeerReplayedError
 from radishwind.peers.signing import RequestVerifier
 from radishwind.target.pipeline import TargetPipeline
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 #: Default limit of the size of a control message (bytes).
 MAX_CONTROL_BYTES = 64 * 1024
--- a/src/radishwind/peers/tests/test_fleet_security.py
+++ b/src/radishwind/peers/tests/test_fleet_security.py
@@ -332,15 +332,15 @@
 def test_secret_appears_in_no_log_line_or_header_field(entry, here):
     secret = OLD.hex()
     lines = []
-    from radishwind.telemetry import logs
+    from radishwind.telemetry import part_logger
 
     log_handler = lines.append
-    logs._takers.append(log_handler)
+    part_logger._sinks.append(log_handler)
     try:
         here.keyring.update_secret(NEW, 2)
         here.authenticator.verify(PLAIN, ENTRY)
     finally:
-        logs._takers.remove(log_handler)
+        part_logger._sinks.remove(log_handler)
     text = (
         repr(lines) + entry.sign(here) + repr(here.verifier.refusal_headers())
     )
--- a/src/radishwind/platform/__init__.py
+++ b/src/radishwind/platform/__init__.py
@@ -4,26 +4,26 @@
 and back. Nothing here decides anything; who decides gets the typed values.
 """
 
-from radishwind.platform.boot import read_settings
-from radishwind.platform.caller import host_of
-from radishwind.platform.caller import named_accounts
-from radishwind.platform.caller import read_caller
-from radishwind.platform.caller import with_account
-from radishwind.platform.dialect import PlatformDialect
+from radishwind.platform.boot import decode_settings
+from radishwind.platform.caller_fields import account_fields
+from radishwind.platform.caller_fields import add_account_field
+from radishwind.platform.caller_fields import decode_caller_fields
+from radishwind.platform.caller_fields import parse_host
+from radishwind.platform.heartbeats import decode_heartbeat
 from radishwind.platform.heartbeats import Heartbeat
-from radishwind.platform.heartbeats import read_call
-from radishwind.platform.routes import read_routes
-from radishwind.platform.store import PlatformStore
+from radishwind.platform.platform_dialect import PlatformDialect
+from radishwind.platform.platform_store import PlatformStore
+from radishwind.platform.routes import decode_routes
 
 __all__ = [
     "Heartbeat",
     "PlatformDialect",
     "PlatformStore",
-    "host_of",
-    "named_accounts",
-    "read_call",
-    "read_caller",
-    "read_routes",
-    "read_settings",
-    "with_account",
+    "account_fields",
+    "add_account_field",
+    "decode_caller_fields",
+    "decode_heartbeat",
+    "decode_routes",
+    "decode_settings",
+    "parse_host",
 ]
--- a/src/radishwind/platform/boot.py
+++ b/src/radishwind/platform/boot.py
@@ -50,7 +50,7 @@
     limits: _Limits = _Limits()
 
 
-def read_settings(text: str, metrics_port: int = 0) -> PlacedSettings:
+def decode_settings(text: str, metrics_port: int = 0) -> PlacedSettings:
     """Returns the settings in `text`, the platform's TOML.
 
     Args:
@@ -141,6 +141,6 @@
         return None
 
 
-def as_tables(text: str) -> dict[str, Any]:
+def parse_tables(text: str) -> dict[str, Any]:
     """Returns the file as plain tables, to be shown to operators."""
     return tomllib.loads(text)
--- a/src/radishwind/platform/caller.py
+++ b/src/radishwind/platform/caller_fields.py
@@ -4,24 +4,24 @@
 from radishwind.entry.routed_classifier import CallerFields
 from radishwind.http.types import get_header
 from radishwind.http.types import Headers
-from radishwind.platform.fields import ACCOUNT
-from radishwind.platform.fields import CALLER_SERVICE
-from radishwind.platform.fields import KEY
-from radishwind.platform.fields import KEY_SCHEME
-from radishwind.platform.fields import OF_ACCOUNTS
-from radishwind.platform.fields import SENDING_ID
-from radishwind.platform.fields import SET_ANEW
-from radishwind.platform.fields import TIMEOUT
+from radishwind.platform.header_fields import ACCOUNT
+from radishwind.platform.header_fields import ACCOUNT_FIELDS
+from radishwind.platform.header_fields import CALLER_SERVICE
+from radishwind.platform.header_fields import KEY
+from radishwind.platform.header_fields import KEY_SCHEME
+from radishwind.platform.header_fields import OVERWRITTEN_FIELDS
+from radishwind.platform.header_fields import REQUEST_ID
+from radishwind.platform.header_fields import TIMEOUT
 
 _MAX_ID_CHARS = 128
 
 _TIMEOUT = TIMEOUT.lower()
-_SENDING_ID = SENDING_ID.lower()
+_REQUEST_ID = REQUEST_ID.lower()
 _KEY = KEY.lower()
 _ACCOUNT = ACCOUNT.lower()
 
 
-def read_caller(
+def decode_caller_fields(
     headers: Headers, own_service: str, *, accounts: bool = False
 ) -> CallerFields:
     """Returns what a caller tells.
@@ -42,20 +42,20 @@
         name = item[0].lower()
         if name == _TIMEOUT:
             timeout = item[1]
-        elif name == _SENDING_ID:
+        elif name == _REQUEST_ID:
             request_id = item[1]
         elif name == "host":
             host = item[1]
-        if accounts and name in OF_ACCOUNTS:
+        if accounts and name in ACCOUNT_FIELDS:
             if name == _KEY:
                 keys += (_key(item[1]),)
             continue
-        if name not in SET_ANEW:
+        if name not in OVERWRITTEN_FIELDS:
             kept.append(item)
     kept.append((CALLER_SERVICE, own_service))
     if not 0 < len(request_id) <= _MAX_ID_CHARS:
         raise CallRejectedError(
-            f"expected {SENDING_ID} of 1 to {_MAX_ID_CHARS} characters, "
+            f"expected {REQUEST_ID} of 1 to {_MAX_ID_CHARS} characters, "
             f"got {len(request_id)}"
         )
     return CallerFields(
@@ -63,17 +63,17 @@
     )
 
 
-def host_of(headers: Headers) -> str:
+def parse_host(headers: Headers) -> str:
     """Returns the host that a request names; empty where it names none."""
     return _host(get_header(headers, "host") or "")
 
 
-def named_accounts(headers: Headers) -> tuple[str, ...]:
+def account_fields(headers: Headers) -> tuple[str, ...]:
     """Returns the accounts that a request names to a backend server."""
     return tuple(value for name, value in headers if name.lower() == _ACCOUNT)
 
 
-def with_account(headers: Headers, name: str) -> Headers:
+def add_account_field(headers: Headers, name: str) -> Headers:
     """Returns `headers` with the account `name` for the backend server."""
     return (*headers, (ACCOUNT, name))
 
--- a/src/radishwind/platform/fields.py
+++ b/src/radishwind/platform/header_fields.py
@@ -2,13 +2,13 @@
 
 #: Names a sending of a caller; it goes on unchanged and answers echo it. One
 #: sending may become several attempts of ours.
-SENDING_ID = "Attempt-Id"
+REQUEST_ID = "Attempt-Id"
 
 #: How long the receiver may take (ms), counted from its arrival.
 TIMEOUT = "Timeout-Ms"
 
 #: The incarnation of the backend server that is meant; any other refuses.
-INCARNATION = "Expect-Instance"
+EXPECTED_INCARNATION = "Expect-Instance"
 
 #: The service of the instance on which the request began.
 CALLER_SERVICE = "Caller-Service"
@@ -27,7 +27,7 @@
 WARMUP = "Warmup-Ms"
 
 #: The incarnation of the backend server that answers.
-ANSWERING_INCARNATION = "Instance-Id"
+SERVER_INCARNATION = "Instance-Id"
 
 #: Carries a caller's key; it goes to nobody.
 KEY = "Authorization"
@@ -39,16 +39,16 @@
 ACCOUNT = "Tenant"
 
 #: Fields of a caller that the system sets anew (lower case).
-SET_ANEW = frozenset(
-    {TIMEOUT.lower(), INCARNATION.lower(), CALLER_SERVICE.lower()}
+OVERWRITTEN_FIELDS = frozenset(
+    {TIMEOUT.lower(), EXPECTED_INCARNATION.lower(), CALLER_SERVICE.lower()}
 )
 
 #: The same where there are client accounts (lower case).
-OF_ACCOUNTS = frozenset({KEY.lower(), ACCOUNT.lower()})
+ACCOUNT_FIELDS = frozenset({KEY.lower(), ACCOUNT.lower()})
 
 #: Fields by which a backend server speaks to the system only (lower case).
-FOR_THE_SYSTEM = frozenset(
-    {LOAD.lower(), ANSWERING_INCARNATION.lower(), WARMUP.lower()}
+NODE_ONLY_FIELDS = frozenset(
+    {LOAD.lower(), SERVER_INCARNATION.lower(), WARMUP.lower()}
 )
 
 READY_PATH = "/-/ready"
--- a/src/radishwind/platform/heartbeats.py
+++ b/src/radishwind/platform/heartbeats.py
@@ -8,19 +8,19 @@
 from radishwind.http.types import Address
 from radishwind.http.types import Request
 from radishwind.platform.errors import PlatformMalformedError
-from radishwind.platform.fields import DEREGISTER_PATH
-from radishwind.platform.fields import HEARTBEAT_PATH
+from radishwind.platform.header_fields import DEREGISTER_PATH
+from radishwind.platform.header_fields import HEARTBEAT_PATH
 
 #: The most slots that a server may say it has; more is taken for an error.
 #: Those of the deployments have 6 and 9.
-MOST_SLOTS = 100_000
+MAX_SLOTS = 100_000
 
 #: The longest that a server may say it stays slow (ms): a day.
-MOST_COLD_MS = 86_400_000
+MAX_WARMUP_MS = 86_400_000
 
 #: The longest name of an incarnation (characters); it is part of a key of the
 #: store, which holds 200 bytes.
-MOST_NAME = 128
+MAX_INCARNATION_CHARS = 128
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
@@ -42,10 +42,10 @@
     service: str = ""
     address: Address | None = None
     slots: int = 0
-    draining: bool = False
-    gone: bool = False
-    cold_s: float = 0.0
-    order: int = 0
+    is_draining: bool = False
+    is_deregistered: bool = False
+    warmup_left_s: float = 0.0
+    sequence: int = 0
     started_ms: int = 0
 
 
@@ -60,10 +60,10 @@
 class _Body(msgspec.Struct, frozen=True, rename="kebab"):
     service: Annotated[str, msgspec.Meta(min_length=1)]
     address: str
-    slots: Annotated[int, msgspec.Meta(ge=1, le=MOST_SLOTS)]
+    slots: Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
     state: _State
     # How much longer the server is slow, though the name speaks of warmth.
-    warmup_left_ms: Annotated[float, msgspec.Meta(ge=0, le=MOST_COLD_MS)]
+    warmup_left_ms: Annotated[float, msgspec.Meta(ge=0, le=MAX_WARMUP_MS)]
     seq: Annotated[int, msgspec.Meta(ge=0)]
     born: _Born | None = None
 
@@ -76,7 +76,7 @@
 _gone_decoder = msgspec.json.Decoder(_Gone)
 
 
-def read_call(request: Request, body: bytes) -> Heartbeat | None:
+def decode_heartbeat(request: Request, body: bytes) -> Heartbeat | None:
     """Returns the heartbeat in a call; `None` if it is another call.
 
     Raises:
@@ -100,9 +100,9 @@
         service=told.service,
         address=address,
         slots=told.slots,
-        draining=told.state is _State.DRAINING,
-        cold_s=told.warmup_left_ms / 1000,
-        order=told.seq,
+        is_draining=told.state is _State.DRAINING,
+        warmup_left_s=told.warmup_left_ms / 1000,
+        sequence=told.seq,
         started_ms=told.born or 0,
     )
 
@@ -110,20 +110,23 @@
 def _read_gone(incarnation: str, body: bytes) -> Heartbeat:
     """Returns the end of a registration; its body may be left out."""
     if not body.strip():
-        return Heartbeat(incarnation, gone=True)
+        return Heartbeat(incarnation, is_deregistered=True)
     try:
         told = _gone_decoder.decode(body)
     except (msgspec.MsgspecError, ValueError) as exc:
         raise PlatformMalformedError(f"deregistration: {exc}") from exc
-    return Heartbeat(incarnation, gone=True, started_ms=told.born or 0)
+    return Heartbeat(
+        incarnation, is_deregistered=True, started_ms=told.born or 0
+    )
 
 
 def _incarnation(path: str, prefix: str) -> str:
     name = path.removeprefix(prefix)
     plain = name.isascii() and name.isprintable() and "/" not in name
-    if not plain or not 1 <= len(name) <= MOST_NAME:
+    if not plain or not 1 <= len(name) <= MAX_INCARNATION_CHARS:
         raise PlatformMalformedError(
             "heartbeat: expected the name of an incarnation of 1 to "
-            f"{MOST_NAME} plain characters in the path, got {len(name)}"
+            f"{MAX_INCARNATION_CHARS} plain characters in the path, "
+            f"got {len(name)}"
         )
     return name
--- a/src/radishwind/platform/dialect.py
+++ b/src/radishwind/platform/platform_dialect.py
@@ -4,16 +4,16 @@
 from radishwind.http.types import get_header
 from radishwind.http.types import Request
 from radishwind.http.types import Response
-from radishwind.platform.fields import ANSWERING_INCARNATION
-from radishwind.platform.fields import FOR_THE_SYSTEM
-from radishwind.platform.fields import INCARNATION
-from radishwind.platform.fields import LOAD
-from radishwind.platform.fields import NOT_EXECUTED
-from radishwind.platform.fields import SENDING_ID
-from radishwind.platform.fields import SIGNATURE
-from radishwind.platform.fields import TIMEOUT
-from radishwind.platform.fields import WARMUP
-from radishwind.platform.heartbeats import MOST_COLD_MS
+from radishwind.platform.header_fields import EXPECTED_INCARNATION
+from radishwind.platform.header_fields import LOAD
+from radishwind.platform.header_fields import NODE_ONLY_FIELDS
+from radishwind.platform.header_fields import NOT_EXECUTED
+from radishwind.platform.header_fields import REQUEST_ID
+from radishwind.platform.header_fields import SERVER_INCARNATION
+from radishwind.platform.header_fields import SIGNATURE
+from radishwind.platform.header_fields import TIMEOUT
+from radishwind.platform.header_fields import WARMUP
+from radishwind.platform.heartbeats import MAX_WARMUP_MS
 from radishwind.target.dialect import ResponseMetadata
 from radishwind.target.dialect import ServerDialect
 from radishwind.target.dialect import ServerLoad
@@ -33,7 +33,7 @@
     ) -> Request:
         told = [(TIMEOUT, str(max(1, int(left_s * 1000))))]
         if incarnation:
-            told.append((INCARNATION, incarnation))
+            told.append((EXPECTED_INCARNATION, incarnation))
         request = call.request
         return Request(
             request.method,
@@ -54,7 +54,7 @@
         for item in response.headers:
             name = item[0].lower()
             found[name] = item[1]
-            if name not in FOR_THE_SYSTEM:
+            if name not in NODE_ONLY_FIELDS:
                 kept.append(item)
         success = 200 <= response.status < 300
         encoded = "content-encoding" in found
@@ -63,7 +63,7 @@
         not_run = NOT_EXECUTED.lower() in found or _is_another(response)
         return ResponseMetadata(
             matches_request=_names(call, found, not_run),
-            incarnation=found.get(ANSWERING_INCARNATION.lower(), ""),
+            incarnation=found.get(SERVER_INCARNATION.lower(), ""),
             is_not_run=not_run,
             is_other_incarnation=_is_another(response),
             is_authentic=not encoded and not unsigned,
@@ -73,9 +73,7 @@
 
     def parse_health_response(self, response: Response) -> ResponseMetadata:
         return ResponseMetadata(
-            incarnation=get_header(
-                response.headers, ANSWERING_INCARNATION.lower()
-            )
+            incarnation=get_header(response.headers, SERVER_INCARNATION.lower())
             or "",
             load=_load(get_header(response.headers, LOAD.lower())),
             warmup_left_s=_cold_s(get_header(response.headers, WARMUP.lower())),
@@ -87,10 +85,10 @@
 
     A server that refuses may leave the name out; any other answer has it.
     """
-    told = found.get(SENDING_ID.lower())
+    told = found.get(REQUEST_ID.lower())
     if told is None:
         return not_run
-    return told == get_header(call.request.headers, SENDING_ID.lower())
+    return told == get_header(call.request.headers, REQUEST_ID.lower())
 
 
 def _is_another(response: Response) -> bool:
@@ -105,7 +103,7 @@
         left_ms = float(text)
     except ValueError:
         return None
-    return left_ms / 1000 if 0 <= left_ms <= MOST_COLD_MS else None
+    return left_ms / 1000 if 0 <= left_ms <= MAX_WARMUP_MS else None
 
 
 def _load(text: str | None) -> ServerLoad | None:
--- a/src/radishwind/platform/store.py
+++ b/src/radishwind/platform/platform_store.py
@@ -19,7 +19,7 @@
 from radishwind.http.types import read_body
 from radishwind.http.types import Request
 from radishwind.http.types import Response
-from radishwind.platform.routes import KEY as ROUTES_KEY
+from radishwind.platform.routes import CONFIG_KEY
 from radishwind.store.base import Compare
 from radishwind.store.base import Delete
 from radishwind.store.base import Operation
@@ -94,18 +94,19 @@
         self,
         sender: Sender,
         address: Address,
-        left_out: Callable[[str], None] | None = None,
+        on_item_skipped: Callable[[str], None] | None = None,
     ) -> None:
         """Makes a client.
 
         Args:
           sender: sends the calls.
           address: of the store.
-          left_out: told why an item was left out, which nobody can read.
+          on_item_skipped: called with the reason for each item that cannot be
+            read.
         """
         self._sender = sender
         self._address = address
-        self._left_out = left_out or _ignored
+        self._on_item_skipped = on_item_skipped or _ignored
 
     async def get(
         self, key: str, *, allow_stale: bool = False
@@ -144,7 +145,7 @@
 
     async def revision(self) -> int:
         # The page behind the only key so named is empty: no value travels.
-        asked = {"prefix": ROUTES_KEY, "after": ROUTES_KEY}
+        asked = {"prefix": CONFIG_KEY, "after": CONFIG_KEY}
         response = await self._call("GET", _path("kv-range", **asked))
         revision = (await _decoded(response, _Range)).current_rev
         if revision <= 0:
@@ -218,7 +219,7 @@
                 base64.b64decode(item.value, validate=True)
             except (msgspec.MsgspecError, ValueError) as exc:
                 key = _key_of(raw)[:80]
-                self._left_out(f"item {key!r}: {exc}")
+                self._on_item_skipped(f"item {key!r}: {exc}")
                 continue
             yield item
 
--- a/src/radishwind/platform/answers.py
+++ b/src/radishwind/platform/responses.py
@@ -10,7 +10,7 @@
 from radishwind.outcomes import Outcome
 from radishwind.outcomes import outcome_response
 from radishwind.outcomes import Unknown
-from radishwind.platform.fields import KEY_SCHEME
+from radishwind.platform.header_fields import KEY_SCHEME
 
 _RETRY_AFTER = "Retry-After"
 
--- a/src/radishwind/platform/routes.py
+++ b/src/radishwind/platform/routes.py
@@ -14,13 +14,13 @@
 from radishwind.routes.model import WeightedService
 
 #: The key of the store that holds the newest configuration, whole.
-KEY = "op/config"
+CONFIG_KEY = "op/config"
 
 #: Below it lies all that the operator writes, and nothing of others.
-PREFIX = "op/"
+OPERATOR_PREFIX = "op/"
 
 #: Below it lies a key for each failure domain that is to be emptied.
-_EMPTIED_PREFIX = "op/evacuate/"
+_EVACUATION_PREFIX = "op/evacuate/"
 
 #: Kinds of routes whose requests may run more than once.
 _IDEMPOTENT_KINDS = frozenset({"safe", "download"})
@@ -86,7 +86,7 @@
 _decoder = msgspec.json.Decoder(_Config)
 
 
-def read_routes(data: bytes) -> RouteConfig:
+def decode_routes(data: bytes) -> RouteConfig:
     """Returns the configuration in `data`.
 
     Raises:
@@ -121,9 +121,9 @@
 
 def evacuated_domain(key: str) -> str | None:
     """Returns the failure domain that `key` says is emptied, if it does."""
-    if not key.startswith(_EMPTIED_PREFIX):
+    if not key.startswith(_EVACUATION_PREFIX):
         return None
-    name = key.removeprefix(_EMPTIED_PREFIX)
+    name = key.removeprefix(_EVACUATION_PREFIX)
     return name if name and "/" not in name else None
 
 
--- a/src/radishwind/platform/tests/test_decoding.py
+++ b/src/radishwind/platform/tests/test_decoding.py
@@ -13,13 +13,13 @@
 from radishwind.http.types import Response
 from radishwind.outcomes import NotRun
 from radishwind.outcomes import Unknown
+from radishwind.platform import decode_caller_fields
+from radishwind.platform import decode_heartbeat
+from radishwind.platform import decode_routes
+from radishwind.platform import decode_settings
 from radishwind.platform import PlatformDialect
-from radishwind.platform import read_call
-from radishwind.platform import read_caller
-from radishwind.platform import read_routes
-from radishwind.platform import read_settings
-from radishwind.platform.answers import respond
 from radishwind.platform.errors import PlatformMalformedError
+from radishwind.platform.responses import respond
 
 SETTINGS = """
 node = "sidecar-a-1"
@@ -54,7 +54,7 @@
 
 
 def test_settings_are_read_in_our_words():
-    settings = read_settings(SETTINGS)
+    settings = decode_settings(SETTINGS)
 
     assert settings.failure_domain == "a"
     assert settings.callers == Address("10.1.0.41", 8629)
@@ -78,7 +78,7 @@
     flag = '"flag=true"'
     text = SETTINGS.replace(flag, ",".join(filter(None, (flag, bounds))))
 
-    assert read_settings(text).revoke_s == bound_s
+    assert decode_settings(text).revoke_s == bound_s
 
 
 @pytest.mark.parametrize(
@@ -92,13 +92,13 @@
 )
 def test_a_fault_of_the_settings_is_named(change, named):
     with pytest.raises(PlatformMalformedError, match=named) as caught:
-        read_settings(SETTINGS.replace(*change))
+        decode_settings(SETTINGS.replace(*change))
 
     assert caught.value.code is ResultCode.PLATFORM_MALFORMED
 
 
 def test_routes_are_read_in_our_words():
-    cfg = read_routes(ROUTES)
+    cfg = decode_routes(ROUTES)
 
     first, second = cfg.routes
     assert (cfg.version, first.host, first.idempotent) == (
@@ -127,7 +127,7 @@
 )
 def test_malformed_routes_are_refused_whole(data):
     with pytest.raises(PlatformMalformedError):
-        read_routes(data)
+        decode_routes(data)
 
 
 def test_accounts_are_read_in_our_words():
@@ -139,7 +139,7 @@
     kept = kept.replace(b'"kind":"unsafe"', b'"kind":"upload"')
     kept = kept.replace(b'"kind":"safe"', b'"kind":"download","public":true')
 
-    cfg = read_routes(kept)
+    cfg = decode_routes(kept)
 
     first, second = cfg.accounts
     assert first == Account(
@@ -148,7 +148,7 @@
     assert not second.is_limited
     assert [route.idempotent for route in cfg.routes] == [False, True]
     assert [route.public for route in cfg.routes] == [False, True]
-    assert read_routes(ROUTES).accounts == ()
+    assert decode_routes(ROUTES).accounts == ()
 
 
 def test_a_heartbeat_is_read():
@@ -158,19 +158,21 @@
     )
     request = Request("POST", "/-/Instances.Heartbeat/i-7")
 
-    beat = read_call(request, body)
+    beat = decode_heartbeat(request, body)
 
-    assert (beat.incarnation, beat.slots, beat.order) == ("i-7", 6, 4)
-    assert beat.draining
-    assert beat.cold_s == 1.5
-    assert read_call(Request("POST", "/-/Instances.Deregister/i-7"), b"").gone
-    assert read_call(Request("GET", "/other"), b"") is None
+    assert (beat.incarnation, beat.slots, beat.sequence) == ("i-7", 6, 4)
+    assert beat.is_draining
+    assert beat.warmup_left_s == 1.5
+    assert decode_heartbeat(
+        Request("POST", "/-/Instances.Deregister/i-7"), b""
+    ).is_deregistered
+    assert decode_heartbeat(Request("GET", "/other"), b"") is None
     with pytest.raises(PlatformMalformedError):
-        read_call(request, b'{"service":"s"}')
+        decode_heartbeat(request, b'{"service":"s"}')
 
 
 def test_a_caller_is_read_and_cannot_speak_for_the_system():
-    told = read_caller(
+    told = decode_caller_fields(
         (
             ("Host", "H.example:80"),
             ("Attempt-Id", "9c"),
@@ -194,9 +196,11 @@
         "Caller-Service": "own",
     }
     with pytest.raises(CallRejectedError):
-        read_caller((("Host", "h"),), "own")
+        decode_caller_fields((("Host", "h"),), "own")
     with pytest.raises(CallRejectedError):
-        read_caller((("Attempt-Id", "9"), ("Timeout-Ms", "soon")), "own")
+        decode_caller_fields(
+            (("Attempt-Id", "9"), ("Timeout-Ms", "soon")), "own"
+        )
 
 
 def call():
@@ -278,19 +282,19 @@
 def test_the_link_of_an_instance_is_read_where_it_is_told():
     limits = "[limits]\nlink-mbps = 12.5\n[provider]"
 
-    assert read_settings(SETTINGS).link_mbps == 0
-    told = read_settings(SETTINGS.replace("[provider]", limits))
+    assert decode_settings(SETTINGS).link_mbps == 0
+    told = decode_settings(SETTINGS.replace("[provider]", limits))
     assert told.link_mbps == 12.5
 
 
 def test_answers_of_downloads_are_large():
     kept = ROUTES.replace(b'"kind":"safe"', b'"kind":"download"')
 
-    large = [route.has_large_responses for route in read_routes(kept).routes]
+    large = [route.has_large_responses for route in decode_routes(kept).routes]
 
     assert large == [False, True]
     assert not any(
-        route.has_large_responses for route in read_routes(ROUTES).routes
+        route.has_large_responses for route in decode_routes(ROUTES).routes
     )
 
 
@@ -299,19 +303,19 @@
 )
 def test_strict_revocation_is_read(text, revoke_s):
     bounds = f'"strict-revoke={text}","revoke-ms=5000"'
-    settings = read_settings(SETTINGS.replace('"flag=true"', bounds))
+    settings = decode_settings(SETTINGS.replace('"flag=true"', bounds))
 
     assert settings.revoke_s == revoke_s
 
 
 def test_a_misspelt_flag_is_refused():
     with pytest.raises(PlatformMalformedError, match="strict-revoke"):
-        read_settings(SETTINGS.replace('"flag=true"', '"strict-revoke=yse"'))
+        decode_settings(SETTINGS.replace('"flag=true"', '"strict-revoke=yse"'))
 
 
 def test_bounds_of_quotas_are_read():
     bounds = '"quota-window-s=4","quota-over=0.2","quota-slack=7"'
-    settings = read_settings(SETTINGS.replace('"flag=true"', bounds))
+    settings = decode_settings(SETTINGS.replace('"flag=true"', bounds))
 
     assert settings.quota_window_s == 4.0
     assert settings.quota_over == 0.2
--- a/src/radishwind/platform/tests/test_foreign.py
+++ b/src/radishwind/platform/tests/test_malformed_input.py
@@ -19,12 +19,12 @@
 from radishwind.membership import messages
 from radishwind.peers.attempts import decode_attempt
 from radishwind.peers.attempts import PeerMalformedError
+from radishwind.platform import decode_caller_fields
+from radishwind.platform import decode_routes
+from radishwind.platform import decode_settings
 from radishwind.platform import PlatformDialect
-from radishwind.platform import read_caller
-from radishwind.platform import read_routes
-from radishwind.platform import read_settings
 from radishwind.platform.errors import PlatformMalformedError
-from radishwind.platform.heartbeats import read_call
+from radishwind.platform.heartbeats import decode_heartbeat
 from radishwind.routes import messages as route_messages
 from radishwind.target.server_process import ServerProcess
 
@@ -102,7 +102,7 @@
 
 
 def beat(data, path="/-/Instances.Heartbeat/i-7"):
-    return read_call(Request("POST", path), data)
+    return decode_heartbeat(Request("POST", path), data)
 
 
 @settings(max_examples=300)
@@ -118,7 +118,7 @@
     assert told.incarnation == "i-7"
     assert told.service
     assert told.slots >= 1
-    assert 0 <= told.cold_s <= 86_400
+    assert 0 <= told.warmup_left_s <= 86_400
     assert told.started_ms >= 0
 
 
@@ -156,7 +156,7 @@
         told = beat(data, f"/-/Instances.Deregister/{name}")
     except PlatformMalformedError:
         return
-    assert told.gone
+    assert told.is_deregistered
     life = ServerProcess(told.incarnation, told.started_ms)
     assert ServerProcess.from_key(life.key) == life
 
@@ -165,7 +165,7 @@
 @given(as_bytes(st.one_of(JSON, changed(ROUTES))))
 def test_configurations(data):
     try:
-        cfg = read_routes(data)
+        cfg = decode_routes(data)
     except PlatformMalformedError:
         return
     assert all(route.weighted_services for route in cfg.routes)
@@ -175,7 +175,7 @@
 @example("port-range = []")
 def test_settings_files(text):
     with pytest.raises(PlatformMalformedError):
-        read_settings(text)
+        decode_settings(text)
 
 
 @settings(max_examples=300)
@@ -203,7 +203,7 @@
 @given(st.lists(st.tuples(st.text(max_size=20), st.text(max_size=20))))
 def test_callers_fields(fields):
     try:
-        told = read_caller(tuple(fields), "own")
+        told = decode_caller_fields(tuple(fields), "own")
     except RadishwindError:
         return
     assert told.request_id
--- a/src/radishwind/platform/tests/test_answers.py
+++ b/src/radishwind/platform/tests/test_responses.py
@@ -5,7 +5,7 @@
 from radishwind.core.codes import ResultCode
 from radishwind.outcomes import NotRun
 from radishwind.outcomes import Unknown
-from radishwind.platform.answers import respond
+from radishwind.platform.responses import respond
 
 OF_PEERS = [code for code in ResultCode if code // 1000 == 6]
 
--- a/src/radishwind/quarantine/quarantine.py
+++ b/src/radishwind/quarantine/quarantine.py
@@ -17,7 +17,7 @@
 from radishwind.quarantine.suspect_registry import Ruling
 from radishwind.quarantine.suspect_registry import SuspectRegistry
 from radishwind.quarantine.suspect_registry import SuspectReport
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 if TYPE_CHECKING:
     from radishwind.entry.call import Call
--- a/src/radishwind/quotas/lender.py
+++ b/src/radishwind/quotas/lender.py
@@ -13,7 +13,7 @@
 from radishwind.quotas.messages import LeaseRequest
 from radishwind.quotas.messages import shortage_notices
 from radishwind.quotas.messages import ShortageNotice
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 #: Interval at which the notice of a continuing shortage is repeated.
 ANNOUNCE_INTERVAL_S = 0.7
--- a/src/radishwind/recency/proof_renewer.py
+++ b/src/radishwind/recency/proof_renewer.py
@@ -20,7 +20,7 @@
 from radishwind.recency.renewal_planner import RenewalPlanner
 from radishwind.recency.source_selector import SourceSelector
 from radishwind.routes.active_routes import ActiveRoutes
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 #: Interval at which a node without accounts checks whether there are any.
 _ACCOUNT_CHECK_INTERVAL_S = 0.5
--- a/src/radishwind/recency/tests/test_proof_renewer.py
+++ b/src/radishwind/recency/tests/test_proof_renewer.py
@@ -8,7 +8,7 @@
 
 from radishwind.experiment.loop import run
 from radishwind.recency import ProofSchedule
-from radishwind.telemetry import logs
+from radishwind.telemetry import part_logger
 
 NAMES = [f"{domain}-{number}" for domain in "abcd" for number in range(15)]
 MAX_AGE_S = ProofSchedule(BOUND_S).max_age_s
@@ -327,7 +327,7 @@
 
 def test_loss_and_recovery_of_the_proof_are_logged_once(monkeypatch):
     lines = []
-    monkeypatch.setattr(logs, "_takers", [lines.append])
+    monkeypatch.setattr(part_logger, "_sinks", [lines.append])
 
     async def scenario(network):
         await network.advance(2.0)
--- a/src/radishwind/routes/active_routes.py
+++ b/src/radishwind/routes/active_routes.py
@@ -6,7 +6,7 @@
 from radishwind.core.clock import Clock
 from radishwind.routes.model import RouteConfig
 from radishwind.routes.route_table import RouteTable
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 
 class ActiveRoutes:
--- a/src/radishwind/routes/evacuation.py
+++ b/src/radishwind/routes/evacuation.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from radishwind.core.clock import Clock
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 
 class EvacuatedDomains(msgspec.Struct, frozen=True):
--- a/src/radishwind/routes/route_feed.py
+++ b/src/radishwind/routes/route_feed.py
@@ -47,7 +47,7 @@
 from radishwind.routes.store_watcher import OperatorKeys
 from radishwind.routes.store_watcher import StoreWatcher
 from radishwind.store.base import Store
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 #: Name of the control path on the peer listener.
 CONTROL_NAME = "routes"
--- a/src/radishwind/routes/store_watcher.py
+++ b/src/radishwind/routes/store_watcher.py
@@ -20,7 +20,7 @@
 from radishwind.store.base import StoreError
 from radishwind.store.base import WatchEvent
 from radishwind.store.budgeted_store import Backoff
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 #: Source given with everything that is read from the store.
 STORE_SOURCE = "store"
--- a/src/radishwind/routes/unsigned_requests.py
+++ b/src/radishwind/routes/unsigned_requests.py
@@ -23,7 +23,7 @@
 from radishwind.routes.messages import UpdateRequest
 from radishwind.routes.route_feed import CONTROL_NAME
 from radishwind.routes.route_feed import RouteFeed
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 #: Time within which a node must accept a pushed configuration (s).
 _PUSH_TIMEOUT_S = 0.4
--- a/src/radishwind/sidecar/account_policy.py
+++ b/src/radishwind/sidecar/account_policy.py
@@ -5,8 +5,8 @@
 from radishwind.peers.attempts import AttemptInfo
 from radishwind.peers.keyring import Keyring
 from radishwind.peers.peer_listener import AttemptPolicy
-from radishwind.platform import host_of
-from radishwind.platform import named_accounts
+from radishwind.platform import account_fields
+from radishwind.platform import parse_host
 from radishwind.routes.active_routes import ActiveRoutes
 
 
@@ -36,13 +36,13 @@
         if not self._keyring.requires_signatures:
             return True
         told = (info.account,) if info.account else ()
-        return named_accounts(request.headers) == told
+        return account_fields(request.headers) == told
 
     def accepts_unsigned(self, info: AttemptInfo, request: Request) -> bool:
         """Returns whether any caller might make the request without a key."""
         if info.account:
             return False
-        host = host_of(request.headers)
+        host = parse_host(request.headers)
         route = self._routes.table.match(host, request.path)
         if route is None or not route.public:
             return False
--- a/src/radishwind/sidecar/app.py
+++ b/src/radishwind/sidecar/app.py
@@ -58,9 +58,9 @@
 from radishwind.sidecar.switches import Switches
 from radishwind.sidecar.target_side import SidecarTarget
 from radishwind.store.budgeted_store import BudgetedStore
-from radishwind.telemetry.exposition import NodeExposition
-from radishwind.telemetry.logs import PartLogger
-from radishwind.telemetry.output import BoundedOutput
+from radishwind.telemetry.bounded_output import BoundedOutput
+from radishwind.telemetry.node_exposition import NodeExposition
+from radishwind.telemetry.part_logger import PartLogger
 
 
 class SidecarNode:
--- a/src/radishwind/sidecar/control.py
+++ b/src/radishwind/sidecar/control.py
@@ -11,12 +11,12 @@
 from radishwind.http.types import Request
 from radishwind.http.types import Response
 from radishwind.outcomes import problem_response
+from radishwind.platform.heartbeats import decode_heartbeat
 from radishwind.platform.heartbeats import Heartbeat
-from radishwind.platform.heartbeats import read_call
 from radishwind.target.leaving_records import LeavingRecords
 from radishwind.target.registered_server import Registration
 from radishwind.target.server_process import ServerProcess
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 #: Longest wait for storing that an incarnation is leaving. The server gives up
 #: on a call after 1 s and calls again.
@@ -69,7 +69,7 @@
         """Handles one call of the local backend server."""
         body = await read_body(request.body)
         try:
-            heartbeat = read_call(request, body)
+            heartbeat = decode_heartbeat(request, body)
         except RadishwindError as exc:
             return self._refuse(exc.code, str(exc))
         if heartbeat is None:
@@ -135,9 +135,9 @@
         heartbeat.service,
         heartbeat.address,
         heartbeat.slots,
-        heartbeat.draining or heartbeat.gone,
-        heartbeat.cold_s,
-        heartbeat.order,
+        heartbeat.is_draining or heartbeat.is_deregistered,
+        heartbeat.warmup_left_s,
+        heartbeat.sequence,
         heartbeat.started_ms,
     )
 
--- a/src/radishwind/sidecar/control_side.py
+++ b/src/radishwind/sidecar/control_side.py
@@ -9,10 +9,10 @@
 from radishwind.node.membership_tasks import MembershipTasks
 from radishwind.peers.peer_client import PeerClient
 from radishwind.peers.peer_listener import PeerListener
-from radishwind.platform import read_routes
+from radishwind.platform import decode_routes
+from radishwind.platform.routes import CONFIG_KEY
 from radishwind.platform.routes import evacuated_domain
-from radishwind.platform.routes import KEY as ROUTES_KEY
-from radishwind.platform.routes import PREFIX
+from radishwind.platform.routes import OPERATOR_PREFIX
 from radishwind.routes.active_routes import ActiveRoutes
 from radishwind.routes.evacuation import EvacuationState
 from radishwind.routes.route_feed import CONTROL_NAME as ROUTES_CONTROL
@@ -98,8 +98,8 @@
         self._feed = RouteFeed(
             node_name=settings.node,
             failure_domain=settings.failure_domain,
-            keys=OperatorKeys(PREFIX, ROUTES_KEY, evacuated_domain),
-            decode=read_routes,
+            keys=OperatorKeys(OPERATOR_PREFIX, CONFIG_KEY, evacuated_domain),
+            decode=decode_routes,
             store=store,
             active_routes=routes,
             evacuation=evacuation,
--- a/src/radishwind/sidecar/entry_side.py
+++ b/src/radishwind/sidecar/entry_side.py
@@ -28,9 +28,9 @@
 from radishwind.membership.directory import Member
 from radishwind.peers.forward_runner import ForwardRunner
 from radishwind.peers.signing import RequestSigner
-from radishwind.platform import read_caller
-from radishwind.platform import with_account
-from radishwind.platform.answers import respond
+from radishwind.platform import add_account_field
+from radishwind.platform import decode_caller_fields
+from radishwind.platform.responses import respond
 from radishwind.quarantine.isolating_runner import IsolatingRunner
 from radishwind.quotas import QuotaGate
 from radishwind.retries.fleet import FleetRetryBudget
@@ -47,7 +47,7 @@
 from radishwind.sidecar.options import RETRY_AFTER_SPREAD
 from radishwind.sidecar.switches import Switches
 from radishwind.sidecar.target_side import SidecarTarget
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 
 class EntrySide:
@@ -130,7 +130,7 @@
             decode_fields=self._read,
             normal_run_s=self.chooser.normal_run_s,
             keys=self.keys,
-            with_account=with_account,
+            with_account=add_account_field,
             retry_ages=RetryAgeEstimator() if switches.returns else None,
             fan_outs=FanOutDetector(rng) if switches.siblings else None,
             nested_routes=(
@@ -195,6 +195,6 @@
         )
 
     def _read(self, headers: Headers) -> CallerFields:
-        return read_caller(
+        return decode_caller_fields(
             headers, self._service(), accounts=self.keys.has_accounts
         )
--- a/src/radishwind/sidecar/graceful_shutdown.py
+++ b/src/radishwind/sidecar/graceful_shutdown.py
@@ -23,11 +23,11 @@
 from radishwind.http.types import Response
 from radishwind.node.requests_in_progress import RequestsInProgress
 from radishwind.outcomes import NotRun
-from radishwind.platform.answers import respond
+from radishwind.platform.responses import respond
 from radishwind.sidecar.control import Readiness
 from radishwind.sidecar.options import RETRY_AFTER_S
 from radishwind.target.pipeline import TargetPipeline
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 #: Number of "not ready" responses after which the platform no longer routes
 #: callers to this node.
--- a/src/radishwind/sidecar/listeners.py
+++ b/src/radishwind/sidecar/listeners.py
@@ -18,7 +18,7 @@
 from radishwind.sidecar.options import MAX_OTHER_CONNECTIONS
 from radishwind.sidecar.options import MAX_PEER_CONNECTIONS
 from radishwind.sidecar.options import PEER_IDLE_S
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 
 class Handlers(msgspec.Struct, frozen=True):
--- a/src/radishwind/sidecar/metrics.py
+++ b/src/radishwind/sidecar/metrics.py
@@ -20,8 +20,8 @@
 from radishwind.sidecar.quota_sharing import QuotaSharing
 from radishwind.sidecar.target_side import SidecarTarget
 from radishwind.store.budgeted_store import BudgetedStore
-from radishwind.telemetry.exposition import NodeExposition
-from radishwind.telemetry.output import BoundedOutput
+from radishwind.telemetry.bounded_output import BoundedOutput
+from radishwind.telemetry.node_exposition import NodeExposition
 
 PATH = "/metrics"
 
@@ -60,12 +60,12 @@
 
 def _add_data_path(metrics: NodeExposition, counted: Counted) -> None:
     counts, target = counted.attempts, counted.target
-    metrics.counter(
+    metrics.add_counter(
         "radishwind_attempts_total",
         "Attempts, hedges among them.",
         lambda: {'kind="all"': counts.attempts, 'kind="hedge"': counts.hedges},
     )
-    metrics.counter(
+    metrics.add_counter(
         "radishwind_target_outcomes_total",
         "Attempts at the server beside, by outcome.",
         lambda: {
@@ -73,17 +73,17 @@
             for kind, count in target.pipeline.outcome_counts().items()
         },
     )
-    metrics.counter(
+    metrics.add_counter(
         "radishwind_queue_wait_seconds_total",
         "Time that attempts waited for a slot.",
         lambda: {"": target.pipeline.queue_wait_s},
     )
-    metrics.counter(
+    metrics.add_counter(
         "radishwind_health_checks_total",
         "Health checks sent to the server beside.",
         lambda: {"": target.load_monitor.checks_sent},
     )
-    metrics.gauge(
+    metrics.add_gauge(
         "radishwind_target_requests",
         "Requests at the server beside and waiting for it.",
         lambda: {
@@ -91,22 +91,22 @@
             'state="queued"': target.admission.queued,
         },
     )
-    metrics.gauge(
+    metrics.add_gauge(
         "radishwind_target_pace",
         "How long work takes there now; 1 is as usual.",
         lambda: {"": target.load_monitor.current_pace().factor},
     )
-    metrics.gauge(
+    metrics.add_gauge(
         "radishwind_target_best_in_flight",
         "Requests at once at which the server beside ends most.",
         lambda: {"": target.admission.slots},
     )
-    metrics.gauge(
+    metrics.add_gauge(
         "radishwind_target_cold",
         "1 while the server beside is cold and bounded, else 0.",
         lambda: {"": int(target.warmup_limiter.is_cold)},
     )
-    metrics.gauge(
+    metrics.add_gauge(
         "radishwind_load_age_seconds",
         "Age of the last load figure of the server beside.",
         lambda: {"": target.load_monitor.load_age_s()},
@@ -115,7 +115,7 @@
 
 def _add_control(metrics: NodeExposition, counted: Counted) -> None:
     store, membership = counted.store, counted.membership
-    metrics.counter(
+    metrics.add_counter(
         "radishwind_store_calls_total",
         "Calls of the store, by kind.",
         lambda: {
@@ -124,7 +124,7 @@
             'kind="unsent"': store.refused_count,
         },
     )
-    metrics.gauge(
+    metrics.add_gauge(
         "radishwind_members",
         "Nodes known, by state.",
         lambda: {
@@ -132,17 +132,17 @@
             for state, count in membership.members_by_state().items()
         },
     )
-    metrics.gauge(
+    metrics.add_gauge(
         "radishwind_routes_version",
         "The version of the routes in force.",
         lambda: {"": counted.routes.version},
     )
-    metrics.gauge(
+    metrics.add_gauge(
         "radishwind_domains_emptied",
         "Failure domains that get nothing new, by name.",
         lambda: {f'domain="{n}"': 1 for n in sorted(counted.evacuation.names)},
     )
-    metrics.counter(
+    metrics.add_counter(
         "radishwind_datagrams_total",
         "Datagrams between nodes: load, and short messages of membership.",
         lambda: {
@@ -151,12 +151,12 @@
             'way="malformed"': counted.peers.socket.malformed_count,
         },
     )
-    metrics.counter(
+    metrics.add_counter(
         "radishwind_peer_messages_refused_total",
         "Messages between nodes that were refused, by what and why.",
         counted.peers.refused,
     )
-    metrics.gauge(
+    metrics.add_gauge(
         "radishwind_peer_signatures",
         "1 for what holds: messages are signed, required to be, lack a secret.",
         lambda: {
@@ -168,12 +168,12 @@
         },
     )
     _add_links(metrics, counted)
-    metrics.counter(
+    metrics.add_counter(
         "radishwind_left_out_total",
         "Words of other writers that nobody can read, by where they came.",
         lambda: {f'from="{k}"': n for k, n in counted.left_out().items()},
     )
-    metrics.counter(
+    metrics.add_counter(
         "radishwind_log_lines_dropped_total",
         "Log lines that the reader did not take in time.",
         lambda: {"": counted.output.dropped},
@@ -185,7 +185,7 @@
     keys: KeyAuthenticator,
     recency: ProofRenewer | None,
 ) -> None:
-    metrics.counter(
+    metrics.add_counter(
         "radishwind_keys_refused_total",
         "Requests refused for their key, or for want of proof that it counts.",
         lambda: {
@@ -195,13 +195,13 @@
     )
     if recency is None:
         return
-    metrics.gauge(
+    metrics.add_gauge(
         "radishwind_key_proof_age_seconds",
         "Age of the proof that what is known of keys is recent.",
         recency.proof_ages_s,
     )
     exchange = recency.exchange
-    metrics.counter(
+    metrics.add_counter(
         "radishwind_key_proof_questions_total",
         "Questions for such proof, asked and answered, and those of others.",
         lambda: {
@@ -213,7 +213,7 @@
 
 
 def _add_quotas(metrics: NodeExposition, quotas: QuotaSharing) -> None:
-    metrics.counter(
+    metrics.add_counter(
         "radishwind_quota_requests_total",
         "Requests of accounts with a quota; the largest by name.",
         lambda: {
@@ -224,12 +224,12 @@
             ), count in quotas.borrower.counts.by_outcome().items()
         },
     )
-    metrics.counter(
+    metrics.add_counter(
         "radishwind_quota_lent_total",
         "Requests that this node lent ahead.",
         lambda: {"": quotas.lender.tokens_lent},
     )
-    metrics.gauge(
+    metrics.add_gauge(
         "radishwind_quota_accounts",
         "Accounts with a quota that are in use, by what this node does.",
         lambda: {
@@ -238,7 +238,7 @@
             'kind="short"': quotas.lender.short_count,
         },
     )
-    metrics.counter(
+    metrics.add_counter(
         "radishwind_quota_sent_total",
         "Datagrams of quotas sent, and their bytes.",
         lambda: {
@@ -250,17 +250,17 @@
 
 def _add_links(metrics: NodeExposition, counted: Counted) -> None:
     links, link = counted.links, counted.links.meter
-    metrics.counter(
+    metrics.add_counter(
         "radishwind_peer_messages_total",
         "Messages to other nodes, by failure domain, cause and route.",
         links.traffic.message_counts,
     )
-    metrics.counter(
+    metrics.add_counter(
         "radishwind_peer_bytes_total",
         "Bytes of these and of their answers.",
         links.traffic.byte_counts,
     )
-    metrics.counter(
+    metrics.add_counter(
         "radishwind_link_bytes_total",
         "Bytes of the exchanges with other nodes.",
         lambda: {
@@ -268,7 +268,7 @@
             'way="received"': link.received_bytes,
         },
     )
-    metrics.gauge(
+    metrics.add_gauge(
         "radishwind_link_use",
         "The part of the link that these take, over a time.",
         lambda: {
@@ -276,17 +276,17 @@
             'over="100ms"': link.recent_utilization(),
         },
     )
-    metrics.gauge(
+    metrics.add_gauge(
         "radishwind_link_queue_seconds",
         "How long the link takes for what was sent and can't have left yet.",
         lambda: {"": link.queue_s()},
     )
-    metrics.counter(
+    metrics.add_counter(
         "radishwind_link_refusals_total",
         "Attempts of other nodes refused for want of room on the link.",
         lambda: {"": links.link_admission.refused_count},
     )
-    metrics.gauge(
+    metrics.add_gauge(
         "radishwind_round_trip_seconds",
         "The usual way to a failure domain and back, where one is fresh.",
         lambda: {
@@ -296,7 +296,7 @@
             ).items()
         },
     )
-    metrics.gauge(
+    metrics.add_gauge(
         "radishwind_route_bytes",
         "Bodies of a route's exchanges, as learned.",
         lambda: {
@@ -329,5 +329,5 @@
         """Answers one question."""
         if request.path.partition("?")[0] != PATH:
             return Response(404, (), b"", 0)
-        body = self.metrics.text().encode()
+        body = self.metrics.render().encode()
         return Response(200, _TEXT, body, len(body))
--- a/src/radishwind/sidecar/peer_side.py
+++ b/src/radishwind/sidecar/peer_side.py
@@ -27,8 +27,8 @@
 from radishwind.peers.peer_listener import PeerListener
 from radishwind.peers.peer_socket import PeerSocket
 from radishwind.peers.peer_traffic import PeerTraffic
-from radishwind.platform import read_routes
-from radishwind.platform.routes import KEY as ROUTES_KEY
+from radishwind.platform import decode_routes
+from radishwind.platform.routes import CONFIG_KEY
 from radishwind.routes.active_routes import ActiveRoutes
 from radishwind.routes.model import RouteConfig
 from radishwind.settings.placed import PlacedSettings
@@ -122,8 +122,8 @@
             keyring=self.keyring,
             routes=routes,
             store=store,
-            key=ROUTES_KEY,
-            decode=read_routes,
+            key=CONFIG_KEY,
+            decode=decode_routes,
             clock=self._clock,
             forged=start_anew,
         )
--- a/src/radishwind/sidecar/program.py
+++ b/src/radishwind/sidecar/program.py
@@ -12,14 +12,14 @@
 from radishwind.core.clock import BootClock
 from radishwind.core.errors import RadishwindError
 from radishwind.http.types import Address
+from radishwind.platform.boot import decode_settings
 from radishwind.platform.boot import PATH_VARIABLE
-from radishwind.platform.boot import read_settings
 from radishwind.settings.loader import SettingError
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.app import SidecarNode
 from radishwind.sidecar.settings_reloader import SettingsFile
 from radishwind.sidecar.switches import read_switches
-from radishwind.telemetry.output import start_bounded_logging
+from radishwind.telemetry.bounded_output import start_bounded_logging
 
 #: The variable that holds the port of the metrics; 0 for none.
 METRICS_VARIABLE = "RADISHWIND_METRICS_PORT"
@@ -61,7 +61,7 @@
 
 
 def _read(text: str) -> PlacedSettings:
-    settings = read_settings(text, _metrics_port())
+    settings = decode_settings(text, _metrics_port())
     return msgspec.structs.replace(settings, peer_address=_peer_address())
 
 
--- a/src/radishwind/sidecar/route_verifier.py
+++ b/src/radishwind/sidecar/route_verifier.py
@@ -17,7 +17,7 @@
 from radishwind.routes.store_watcher import STORE_SOURCE
 from radishwind.store.base import Store
 from radishwind.store.base import StoreError
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 #: The store is asked again after this time (s).
 _AGAIN_S = 1.0
--- a/src/radishwind/sidecar/secret_manager.py
+++ b/src/radishwind/sidecar/secret_manager.py
@@ -24,7 +24,7 @@
 from radishwind.store.base import StoreEntry
 from radishwind.store.base import StoreError
 from radishwind.store.budgeted_store import Backoff
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 #: Cannot collide with a contact record, since no failure domain has this name.
 KEY = CONTACTS_PREFIX + ".peers"
--- a/src/radishwind/sidecar/service_profile.py
+++ b/src/radishwind/sidecar/service_profile.py
@@ -26,7 +26,7 @@
 from radishwind.target.change_grid import MAX_INTERVAL_S
 from radishwind.target.change_grid import MIN_INTERVAL_S
 from radishwind.target.load_monitor import LoadMonitor
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 KEY_PREFIX = "radishwind/habits/"
 
--- a/src/radishwind/sidecar/settings_reloader.py
+++ b/src/radishwind/sidecar/settings_reloader.py
@@ -10,7 +10,7 @@
 from radishwind.core.codes import ResultCode
 from radishwind.core.errors import RadishwindError
 from radishwind.settings.placed import PlacedSettings
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 #: How often the file is looked at for a change that nobody signals (s).
 CHECK_INTERVAL_S = 1.0
--- a/src/radishwind/sidecar/target_side.py
+++ b/src/radishwind/sidecar/target_side.py
@@ -37,7 +37,7 @@
 from radishwind.target.verifying_exchange import VerifyingExchange
 from radishwind.target.warmup_limiter import WarmupLimit
 from radishwind.target.warmup_limiter import WarmupLimiter
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 #: Requests that may wait at one target: more than come before the deadline of
 #: the first, so that only time refuses.
--- a/src/radishwind/sidecar/tests/test_forged.py
+++ b/src/radishwind/sidecar/tests/test_forged.py
@@ -45,7 +45,7 @@
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.app import SidecarNode
 from radishwind.target.leaving_records import CONTROL_NAME as LEAVING
-from radishwind.telemetry.output import BoundedOutput
+from radishwind.telemetry.bounded_output import BoundedOutput
 
 pytestmark = pytest.mark.anyio
 
--- a/src/radishwind/target/announcement_handler.py
+++ b/src/radishwind/target/announcement_handler.py
@@ -13,7 +13,7 @@
 from radishwind.target.backend_server import Announcement
 from radishwind.target.backend_server import AnnouncementRefusedError
 from radishwind.target.backend_server import BackendServer
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 #: The largest body of an announcement (bytes); a larger one is not read.
 MAX_ANNOUNCEMENT_BYTES = 4096
--- a/src/radishwind/target/leaving_records.py
+++ b/src/radishwind/target/leaving_records.py
@@ -26,7 +26,7 @@
 from radishwind.store.base import Store
 from radishwind.store.base import StoreError
 from radishwind.target.server_process import ServerProcess
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 PREFIX = "radishwind/leaving/"
 TOPIC = "leaving"
--- a/src/radishwind/target/load_poller.py
+++ b/src/radishwind/target/load_poller.py
@@ -5,7 +5,7 @@
 import anyio
 
 from radishwind.core.clock import Clock
-from radishwind.core.timelimit import TimeLimit
+from radishwind.core.time_limit import TimeLimit
 from radishwind.http.errors import SendError
 from radishwind.http.sender import Sender
 from radishwind.http.types import read_body
--- a/src/radishwind/target/registered_server.py
+++ b/src/radishwind/target/registered_server.py
@@ -18,7 +18,7 @@
 from radishwind.target.backend_server import ServerState
 from radishwind.target.backend_server import ServerView
 from radishwind.target.server_process import ServerProcess
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 #: Processes remembered that ended or leave; an instance has few in a day.
 MAX_ENDED_PROCESSES = 256
--- a/src/radishwind/target/server_exchange.py
+++ b/src/radishwind/target/server_exchange.py
@@ -5,7 +5,7 @@
 
 from radishwind.core.clock import Clock
 from radishwind.core.codes import ResultCode
-from radishwind.core.timelimit import TimeLimit
+from radishwind.core.time_limit import TimeLimit
 from radishwind.entry.call import Call
 from radishwind.entry.call import server_request
 from radishwind.http.errors import ConnectFailedError
--- a/src/radishwind/target/tests/test_warmup_limiter.py
+++ b/src/radishwind/target/tests/test_warmup_limiter.py
@@ -14,7 +14,7 @@
 from radishwind.target.warmup_limiter import WarmupLimit
 from radishwind.target.warmup_limiter import WarmupLimiter
 from radishwind.target.warmup_limiter import WINDOW_S
-from radishwind.telemetry import logs
+from radishwind.telemetry import part_logger
 
 LIMIT = WarmupLimit(
     rate_per_s=7.0, burst_factor=1.5, burst_allowance=8.0, warmup_s=3.0
@@ -268,7 +268,7 @@
     monkeypatch, limit
 ):
     lines = []
-    monkeypatch.setattr(logs, "_takers", [lines.append])
+    monkeypatch.setattr(part_logger, "_sinks", [lines.append])
     clock = ManualClock()
     limiter = make_limiter(clock, limit)
     limiter.record_start(0.0)
--- a/src/radishwind/target/verifying_exchange.py
+++ b/src/radishwind/target/verifying_exchange.py
@@ -10,7 +10,7 @@
 
 from radishwind.core.clock import Clock
 from radishwind.core.codes import ResultCode
-from radishwind.core.timelimit import TimeLimit
+from radishwind.core.time_limit import TimeLimit
 from radishwind.entry.call import Call
 from radishwind.http.errors import ConnectFailedError
 from radishwind.http.errors import ExchangeBrokenError
--- a/src/radishwind/target/warmup_limiter.py
+++ b/src/radishwind/target/warmup_limiter.py
@@ -17,7 +17,7 @@
 from radishwind.core.codes import ResultCode
 from radishwind.entry.call import Call
 from radishwind.outcomes.model import NotRun
-from radishwind.telemetry.logs import PartLogger
+from radishwind.telemetry.part_logger import PartLogger
 
 #: Sliding window in which sent requests are counted (s). It is a little longer
 #: than the second that the limit is for, since requests may arrive closer
--- a/src/radishwind/telemetry/__init__.py
+++ b/src/radishwind/telemetry/__init__.py
@@ -4,7 +4,7 @@
 only by nodes that keep metrics, eliot by those that log by it.
 """
 
-from radishwind.telemetry.logs import PartLogger
-from radishwind.telemetry.logs import start_logging
+from radishwind.telemetry.part_logger import PartLogger
+from radishwind.telemetry.part_logger import start_logging
 
 __all__ = ["PartLogger", "start_logging"]
--- a/src/radishwind/telemetry/output.py
+++ b/src/radishwind/telemetry/bounded_output.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from radishwind.telemetry.logs import LogMessage
-from radishwind.telemetry.logs import send_lines_to
+from radishwind.telemetry.part_logger import LogMessage
+from radishwind.telemetry.part_logger import set_log_sink
 
 #: Lines that wait at most (bytes).
-MOST_WAITING_BYTES = 256 * 1024
+MAX_BUFFERED_BYTES = 256 * 1024
 
 
 class BoundedOutput:
@@ -36,7 +36,7 @@
         """Writes one message as a line, now or once the reader takes it."""
         line = msgspec.json.encode(message, enc_hook=str) + b"\n"
         self.flush()
-        if self._size + len(line) > MOST_WAITING_BYTES:
+        if self._size + len(line) > MAX_BUFFERED_BYTES:
             self.dropped += 1
             self._untold += 1
             return
@@ -74,5 +74,5 @@
 def start_bounded_logging(stream: TextIO) -> BoundedOutput:
     """Writes the log lines of this process to `stream`, as JSON."""
     output = BoundedOutput(stream.fileno())
-    send_lines_to(output.write)
+    set_log_sink(output.write)
     return output
--- a/src/radishwind/telemetry/explain.py
+++ b/src/radishwind/telemetry/explain.py
@@ -15,7 +15,7 @@
 import msgspec
 
 #: Changes so long before the last line of a request belong to it (s).
-BEFORE_S = 3.0
+CONTEXT_BEFORE_S = 3.0
 
 _decoder = msgspec.json.Decoder(dict[str, Any])
 
@@ -41,7 +41,7 @@
     text: str
     fields: dict[str, Any]
 
-    def as_row(self) -> str:
+    def format_row(self) -> str:
         """Returns the line as one row for an operator."""
         told = " ".join(f"{k}={v}" for k, v in self.fields.items())
         return f"{self.at:.3f} {self.node}: {self.text} {told}".rstrip()
@@ -56,7 +56,9 @@
                 yield line
 
 
-def explain(request_id: str, paths: Iterable[pathlib.Path]) -> list[LogLine]:
+def explain_request(
+    request_id: str, paths: Iterable[pathlib.Path]
+) -> list[LogLine]:
     """Returns the lines that tell what became of a request, by time.
 
     Args:
@@ -72,7 +74,7 @@
     ]
     if not own:
         return []
-    first = min(_began(line) for line in own) - BEFORE_S
+    first = min(_began(line) for line in own) - CONTEXT_BEFORE_S
     last = max(line.at for line in own)
     named = _names_in(own)
     around = [
--- a/src/radishwind/telemetry/losses.py
+++ b/src/radishwind/telemetry/losses.py
@@ -33,22 +33,22 @@
     Attributes:
       NONE: it was answered within its aim.
       QUEUE: late, and every slot of its target was in use.
-      SLOW: late, and its instance was slow when it was chosen.
-      LONG: late, though its target was neither full nor slow.
-      TRIES: late after attempts that came to nothing.
+      SLOW_INSTANCE: late, and its instance was slow when it was chosen.
+      LONG_RUN: late, though its target was neither full nor slow.
+      SEVERAL_TRIES: late after attempts that came to nothing.
       FAILED: its server failed, mostly by a call of its own.
-      BROKEN: its answer broke off or never came.
+      BROKEN_OFF: its answer broke off or never came.
       REFUSED: refused at once.
       REFUSED_LATE: refused after it was held.
     """
 
     NONE = "none"
     QUEUE = "late: queue"
-    SLOW = "late: slow instance"
-    LONG = "late: long run"
-    TRIES = "late: several tries"
+    SLOW_INSTANCE = "late: slow instance"
+    LONG_RUN = "late: long run"
+    SEVERAL_TRIES = "late: several tries"
     FAILED = "failed at its server"
-    BROKEN = "broken off"
+    BROKEN_OFF = "broken off"
     REFUSED = "refused at once"
     REFUSED_LATE = "refused late"
 
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Losses:
+class LossSummary:
     """What was lost.
 
     Attributes:
@@ -94,7 +94,7 @@
     end: str
 
 
-def losses(lines: Iterable[LogLine]) -> Losses:
+def summarize_losses(lines: Iterable[LogLine]) -> LossSummary:
     """Returns what the requests in `lines` lost their worth by."""
     times: collections.defaultdict[tuple[str, Loss], list[float]]
     times = collections.defaultdict(list)
@@ -104,7 +104,7 @@
         if not line.text.removeprefix("entry: ").startswith(_ANSWERED):
             continue
         held_back += int(line.fields.get("held_back", 0))
-        loss = loss_of(line)
+        loss = classify_loss(line)
         if loss is Loss.NONE:
             continue
         route = str(line.fields.get("route", ""))
@@ -116,10 +116,10 @@
         for (route, loss), took in times.items()
     ]
     rows.sort(key=lambda row: (-row.requests, row.route, row.loss))
-    return Losses(tuple(rows), by_second, held_back)
+    return LossSummary(tuple(rows), by_second, held_back)
 
 
-def loss_of(line: LogLine) -> Loss:
+def classify_loss(line: LogLine) -> Loss:
     """Returns what the request of `line` lost its worth by."""
     code = int(line.fields.get("code", 0))
     steps = _steps(str(line.fields.get("steps", "")))
@@ -127,7 +127,7 @@
         at_once = float(line.fields.get("elapsed_ms", 0.0)) <= AT_ONCE_MS
         return Loss.REFUSED if at_once else Loss.REFUSED_LATE
     if code >= 4000:
-        return Loss.BROKEN
+        return Loss.BROKEN_OFF
     if code >= 500:
         return Loss.FAILED
     if float(line.fields.get("aim_left_ms", 0.0)) >= 0:
@@ -138,12 +138,12 @@
 def _late(steps: list[_Step]) -> Loss:
     served = [step for step in steps if step.end == "200"]
     if len(steps) > 1 and any(step.end != "cancelled" for step in steps[:-1]):
-        return Loss.TRIES
+        return Loss.SEVERAL_TRIES
     if not served:
-        return Loss.LONG
+        return Loss.LONG_RUN
     if served[-1].pace >= SLOW_PACE:
-        return Loss.SLOW
-    return Loss.QUEUE if served[-1].is_full else Loss.LONG
+        return Loss.SLOW_INSTANCE
+    return Loss.QUEUE if served[-1].is_full else Loss.LONG_RUN
 
 
 def _steps(text: str) -> list[_Step]:
--- a/src/radishwind/telemetry/exposition.py
+++ b/src/radishwind/telemetry/node_exposition.py
@@ -20,7 +20,7 @@
 BOUNDS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.75, 1.0, 1.5, 2.5)
 
 #: Kinds of requests counted apart; further ones are counted together.
-MOST_SERIES = 256
+MAX_SERIES = 256
 
 #: Reads values by the labels of their series.
 Read = Callable[[], Mapping[str, float]]
@@ -61,7 +61,7 @@
         )
         times = self._times.get(kind)
         if times is None:
-            if len(self._times) >= MOST_SERIES:
+            if len(self._times) >= MAX_SERIES:
                 return
             times = self._times[kind] = Histogram()
         times.observe(elapsed_s)
@@ -72,19 +72,19 @@
     def _count(self, service: str, outcome: str, code: str) -> None:
         """Counts a request; one of too many kinds among the others."""
         labels = _labels(service=service, outcome=outcome, code=code)
-        if labels not in self._requests and len(self._requests) >= MOST_SERIES:
+        if labels not in self._requests and len(self._requests) >= MAX_SERIES:
             labels = _labels(service="other", outcome="other", code="")
         self._requests[labels] = self._requests.get(labels, 0) + 1
 
-    def counter(self, name: str, text: str, read: Read) -> None:
+    def add_counter(self, name: str, text: str, read: Read) -> None:
         """Adds values that only grow, read when they are asked for."""
         self._read.append(("counter", name, text, read))
 
-    def gauge(self, name: str, text: str, read: Read) -> None:
+    def add_gauge(self, name: str, text: str, read: Read) -> None:
         """Adds values that go up and down, read when they are asked for."""
         self._read.append(("gauge", name, text, read))
 
-    def names(self) -> tuple[str, ...]:
+    def metric_names(self) -> tuple[str, ...]:
         """Returns the names of all metrics."""
         read = tuple(name for _, name, _, _ in self._read)
         return (
@@ -93,7 +93,7 @@
             *read,
         )
 
-    def text(self) -> str:
+    def render(self) -> str:
         """Returns every metric in Prometheus' text format."""
         lines = _head("counter", "radishwind_requests_total", "Answers.")
         lines += [
--- a/src/radishwind/telemetry/metrics.py
+++ b/src/radishwind/telemetry/node_metrics.py
@@ -67,7 +67,7 @@
             self._attributes[key] = attributes
         self._duration.record(elapsed_s, attributes)
 
-    def gauge(
+    def add_gauge(
         self,
         name: str,
         unit: str,
@@ -82,7 +82,7 @@
             description=description,
         )
 
-    def counter(
+    def add_counter(
         self,
         name: str,
         unit: str,
--- a/src/radishwind/telemetry/logs.py
+++ b/src/radishwind/telemetry/part_logger.py
@@ -1,6 +1,6 @@
 """Short sentences with a fixed prefix for each part, as JSON lines.
 
-eliot writes them, but for a process that takes them by `send_lines_to`: eliot
+eliot writes them, but for a process that takes them by `set_log_sink`: eliot
 and what it brings take 32 ms of the 500 ms of processor time that the imports
 of a node on the platform took (importtime), and nobody is served before.
 
@@ -31,7 +31,7 @@
 LogMessage: TypeAlias = dict[str, str | float | None]
 
 #: Who takes the lines; the last one does.
-_takers: list[Callable[[LogMessage], None]] = []
+_sinks: list[Callable[[LogMessage], None]] = []
 
 
 class PartLogger:
@@ -104,16 +104,16 @@
             "text": f"{self._part}: {sentence}",
             **fields,
         }
-        if _takers:
+        if _sinks:
             message["timestamp"] = self._clock.now().timestamp()
-            _takers[-1](message)
+            _sinks[-1](message)
             return
         _log_by_eliot(message)
 
 
-def send_lines_to(taker: Callable[[LogMessage], None]) -> None:
+def set_log_sink(taker: Callable[[LogMessage], None]) -> None:
     """Hands each line to `taker` from now on, with its time, past eliot."""
-    _takers.append(taker)
+    _sinks.append(taker)
 
 
 def start_logging(stream: TextIO) -> None:
--- a/src/radishwind/telemetry/tests/test_output.py
+++ b/src/radishwind/telemetry/tests/test_bounded_output.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from radishwind.telemetry.output import BoundedOutput
-from radishwind.telemetry.output import MOST_WAITING_BYTES
+from radishwind.telemetry.bounded_output import BoundedOutput
+from radishwind.telemetry.bounded_output import MAX_BUFFERED_BYTES
 
 
 @pytest.fixture
@@ -50,7 +50,7 @@
     while not output.dropped:
         output.write({"n": written, "text": "x" * 1000})
         written += 1
-        assert written < 2 * MOST_WAITING_BYTES
+        assert written < 2 * MAX_BUFFERED_BYTES
 
     read_all(pipe[0], output)
     output.write({"n": "last"})
--- a/src/radishwind/telemetry/tests/test_losses.py
+++ b/src/radishwind/telemetry/tests/test_losses.py
@@ -3,9 +3,9 @@
 import pytest
 
 from radishwind.telemetry.explain import LogLine
+from radishwind.telemetry.losses import classify_loss
 from radishwind.telemetry.losses import Loss
-from radishwind.telemetry.losses import loss_of
-from radishwind.telemetry.losses import losses
+from radishwind.telemetry.losses import summarize_losses
 
 CALM = "b-1 (cost=130ms pace=1 age=20ms spell=150ms busy=2+0/9) 140ms 200"
 SLOW = "b-1 (cost=630ms pace=5 age=20ms spell=150ms busy=2+0/9) 640ms 200"
@@ -34,26 +34,26 @@
     ("told", "loss"),
     [
         (line(CALM, aim_left_ms=20.0), Loss.NONE),
-        (line(CALM), Loss.LONG),
-        (line(SLOW), Loss.SLOW),
+        (line(CALM), Loss.LONG_RUN),
+        (line(SLOW), Loss.SLOW_INSTANCE),
         (line(FULL), Loss.QUEUE),
-        (line(f"{CUT}; {CALM}"), Loss.TRIES),
-        (line(f"{NO_LONGER}; {SLOW}"), Loss.SLOW),
+        (line(f"{CUT}; {CALM}"), Loss.SEVERAL_TRIES),
+        (line(f"{NO_LONGER}; {SLOW}"), Loss.SLOW_INSTANCE),
         (line(SHED, code=3002, elapsed_ms=8.0), Loss.REFUSED),
         (line(SHED, code=3002), Loss.REFUSED_LATE),
-        (line(CUT, code=4001), Loss.BROKEN),
+        (line(CUT, code=4001), Loss.BROKEN_OFF),
         (line(CALM.replace(" 200", " 500"), code=500), Loss.FAILED),
         (line("", code=3001, elapsed_ms=1.0), Loss.REFUSED),
     ],
 )
 def test_each_loss_has_its_name(told, loss):
-    assert loss_of(told) is loss
+    assert classify_loss(told) is loss
 
 
 def test_the_greatest_loss_comes_first_and_what_was_held_back_is_told():
     other = LogLine(7.0, "a-1", "membership: somebody left.", {})
 
-    found = losses(
+    found = summarize_losses(
         [
             line(SLOW, held_back=3),
             line(FULL, at=8.0, elapsed_ms=100.0),
@@ -65,7 +65,7 @@
 
     assert [(r.loss, r.requests) for r in found.rows] == [
         (Loss.QUEUE, 2),
-        (Loss.SLOW, 1),
+        (Loss.SLOW_INSTANCE, 1),
     ]
     assert found.rows[0].mean_ms == 200.0
     assert found.held_back == 5
--- a/src/radishwind/telemetry/tests/test_exposition.py
+++ b/src/radishwind/telemetry/tests/test_node_exposition.py
@@ -7,8 +7,8 @@
 from radishwind.http.types import Response
 from radishwind.outcomes import Done
 from radishwind.outcomes import NotRun
-from radishwind.telemetry.exposition import MOST_SERIES
-from radishwind.telemetry.exposition import NodeExposition
+from radishwind.telemetry.node_exposition import MAX_SERIES
+from radishwind.telemetry.node_exposition import NodeExposition
 
 
 def call(service="library"):
@@ -21,9 +21,9 @@
     metrics.finished(call(), Done(Response(200)), 0.04)
     metrics.finished(call(), Done(Response(200)), 0.2)
     metrics.finished(call(), NotRun(ResultCode.OVERLOADED, "full"), 9.0)
-    metrics.gauge("radishwind_members", "Nodes.", lambda: {'state="x"': 3})
+    metrics.add_gauge("radishwind_members", "Nodes.", lambda: {'state="x"': 3})
 
-    lines = metrics.text().splitlines()
+    lines = metrics.render().splitlines()
 
     labels = 'service="library",outcome="Done",code="200"'
     assert f"radishwind_requests_total{{{labels}}} 2" in lines
@@ -38,12 +38,12 @@
 
 def test_the_number_of_series_is_bounded():
     metrics = NodeExposition()
-    for number in range(2 * MOST_SERIES):
+    for number in range(2 * MAX_SERIES):
         metrics.finished(call(f"s{number}"), Done(Response(200)), 0.1)
 
     series = [
         line
-        for line in metrics.text().splitlines()
+        for line in metrics.render().splitlines()
         if line.startswith("radishwind_requests_total{")
     ]
-    assert len(series) == MOST_SERIES + 1
+    assert len(series) == MAX_SERIES + 1
--- a/src/radishwind/telemetry/tests/test_telemetry.py
+++ b/src/radishwind/telemetry/tests/test_telemetry.py
@@ -11,7 +11,7 @@
 from radishwind.http import Response
 from radishwind.outcomes import Done
 from radishwind.telemetry import PartLogger
-from radishwind.telemetry.metrics import NodeMetrics
+from radishwind.telemetry.node_metrics import NodeMetrics
 
 
 def logged(act):
@@ -58,7 +58,7 @@
 
 def test_metrics_are_told_as_opentelemetry_json():
     metrics = NodeMetrics({"radishwind.target": "prenota-1"})
-    metrics.counter("store.calls", "{call}", "Calls.", lambda: {"txn": 3})
+    metrics.add_counter("store.calls", "{call}", "Calls.", lambda: {"txn": 3})
     call = Call(
         *("1", "prenota", Request("GET", "/"), ServiceRules()),
         *(True, 9.0, 9, "c"),
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -8,7 +8,7 @@
 
 from radishwind.standins.platform_fleet import Fleet
 from radishwind.standins.platform_server import ServerFaults
-from radishwind.telemetry.explain import explain
+from radishwind.telemetry.explain import explain_request
 from tests.support.processes import command
 from tests.test_platform_processes import PLACES
 from tests.test_platform_processes import ROUTES
@@ -38,7 +38,7 @@
     found = []
 
     async def is_told():
-        found[:] = explain(request_id, logs(fleet))
+        found[:] = explain_request(request_id, logs(fleet))
         return bool(found)
 
     await until(is_told)
@@ -92,7 +92,7 @@
         )
         return [
             line
-            for line in explain("late-1", logs(fleet))
+            for line in explain_request("late-1", logs(fleet))
             if line.fields.get("aim_left_ms", 1) < 0
             and "pace=30" in line.fields["steps"]
         ]
