--- a/src/radishwind/node/caller_listener.py
+++ b/src/radishwind/node/caller_listener.py
@@ -1,4 +1,4 @@
-"""The caller listener: takes a request clean, gives the answer clean."""
+"""The listener for external callers; sanitizes requests and responses."""
 
 from radishwind.entry import EntryPipeline
 from radishwind.http import Request
@@ -11,18 +11,22 @@
 
 
 class CallerListener:
-    """Keeps callers from sending what only nodes may send."""
+    """Handles requests of external callers.
+
+    Hop-by-hop header fields, and those that only nodes may send or receive, are
+    removed from requests and responses.
+    """
 
     def __init__(self, entry: EntryPipeline) -> None:
         self._entry = entry
 
     async def handle(self, request: Request) -> Response:
-        """Answers one caller."""
+        """Handles a request; responds with an error if it is malformed."""
         try:
-            clean = sanitize_request(request)
+            sanitized = sanitize_request(request)
         except RequestRejectedError as exc:
             return problem_response(exc.code, exc.args[0], "not-run")
-        response = await self._entry.handle(clean)
+        response = await self._entry.handle(sanitized)
         return Response(
             response.status,
             strip_hop_by_hop_fields(response.headers),
@@ -32,10 +36,11 @@
 
 
 def sanitize_request(request: Request) -> Request:
-    """Returns `request` with only what may go on to a server.
+    """Returns `request` with only what may be forwarded to a server.
 
     Raises:
-      RequestRejectedError: it breaks a rule of `radishwind.http.sanitization`.
+      RequestRejectedError: it violates a rule of
+        `radishwind.http.sanitization`.
     """
     validate_request(request)
     return Request(
--- a/src/radishwind/node/error_logging.py
+++ b/src/radishwind/node/error_logging.py
@@ -1,4 +1,4 @@
-"""Logs what a listener's handler raises and ought not to."""
+"""Logs unexpected errors of a listener's request handler."""
 
 from radishwind.core.errors import RadishwindError
 from radishwind.http import Handler
@@ -8,9 +8,10 @@
 
 
 def with_error_logging(handler: Handler, log: PartLogger) -> Handler:
-    """Returns `handler`, with its unexpected errors logged.
+    """Returns a handler that logs unexpected errors of `handler`.
 
-    The HTTP library answers them with RW-4007; it has nothing to log by.
+    The errors are raised again; the HTTP server, which has no logger, responds
+    to them with RW-4007.
     """
 
     async def handle(request: Request) -> Response:
--- a/src/radishwind/node/requests_in_progress.py
+++ b/src/radishwind/node/requests_in_progress.py
@@ -1,4 +1,4 @@
-"""Counts requests in progress, for the planned stop."""
+"""Counts requests in progress, so that a planned stop can drain them."""
 
 from collections.abc import Callable
 
@@ -15,10 +15,10 @@
 
 
 class RequestsInProgress:
-    """Passes requests on and knows when the last one is answered.
+    """Wraps a handler and tracks when its last request has ended.
 
-    A request counts until its answer is handed over whole, wherever it runs:
-    also one that is in flight at another target.
+    A request is in progress until its response has been handed over
+    completely, even if it runs at another target.
     """
 
     def __init__(
@@ -28,83 +28,87 @@
         is_counted: Callable[[Request], bool] = lambda request: True,
         make_refusal: Callable[[], Response] | None = None,
     ) -> None:
-        """Stands before a handler.
+        """Wraps a handler.
 
         Args:
-          handler: answers the requests.
+          handler: handles the requests.
           clock: times the arrivals.
-          is_counted: whether a request is work that a stop waits for.
-          make_refusal: makes the answer to what comes too late in a stop.
+          is_counted: whether a stop waits for a request. Others are passed on
+            without being counted, refused or asked to close.
+          make_refusal: creates the response to requests that are refused; by
+            default none is refused.
         """
         self._handler = handler
         self._clock = clock
         self._is_counted = is_counted
         self._count = 0
-        self._arrived = clock.monotonic()
+        self._last_arrival = clock.monotonic()
         self._make_refusal = make_refusal
-        self._closing = False
-        self._refusing = False
-        self._changed = anyio.Event()
+        self._is_closing = False
+        self._is_refusing = False
+        self._ended = anyio.Event()
 
     @property
     def count(self) -> int:
-        """Requests in progress."""
+        """Number of requests in progress."""
         return self._count
 
     def request_connection_close(self) -> None:
-        """Asks senders, with each answer, to use this connection no more."""
-        self._closing = True
+        """Adds `Connection: close` to each response from now on."""
+        self._is_closing = True
 
     def refuse_new_requests(self) -> None:
-        """Refuses what comes from now on; what is in progress goes on."""
-        self._refusing = True
+        """Refuses requests from now on; those in progress continue."""
+        self._is_refusing = True
 
     async def wait_idle(self) -> None:
         """Returns once no request is in progress."""
         while self._count:
-            self._changed = anyio.Event()
-            await self._changed.wait()
+            self._ended = anyio.Event()
+            await self._ended.wait()
 
     async def wait_quiet(self, period_s: float) -> None:
-        """Returns once no work has arrived for `period_s` (s).
+        """Returns once no counted request has arrived for `period_s` (s).
 
-        Who has not heard of the stop yet still sends. Closing before that
-        would cut what was sent and not read, which the sender must take for
-        something that may have run.
+        Senders that don't know of the stop yet continue to send. Closing the
+        connections earlier would lose requests that were sent but not read,
+        and their senders would have to assume that they may have run.
         """
-        while (wait_s := self._quiet_in_s(period_s)) > 0:  # noqa: ASYNC110
+        while (wait_s := self._remaining_s(period_s)) > 0:  # noqa: ASYNC110
             await anyio.sleep(wait_s)
 
-    def _quiet_in_s(self, period_s: float) -> float:
-        return self._arrived + period_s - self._clock.monotonic()
+    def _remaining_s(self, period_s: float) -> float:
+        return self._last_arrival + period_s - self._clock.monotonic()
 
     async def handle(self, request: Request) -> Response:
-        """Answers one request."""
+        """Passes a request to the handler, unless it is refused."""
         if not self._is_counted(request):
             return await self._handler(request)
-        if self._refusing and self._make_refusal is not None:
-            late = self._make_refusal()
-            headers = (*late.headers, _CLOSE)
-            return Response(late.status, headers, late.body, late.body_bytes)
+        if self._is_refusing and self._make_refusal is not None:
+            refusal = self._make_refusal()
+            headers = (*refusal.headers, _CLOSE)
+            return Response(
+                refusal.status, headers, refusal.body, refusal.body_bytes
+            )
         self._count += 1
-        self._arrived = self._clock.monotonic()
+        self._last_arrival = self._clock.monotonic()
         try:
             response = await self._handler(request)
         except BaseException:
-            self._ended()
+            self._end_request()
             raise
         body = response.body
         if not isinstance(body, BodyStream):
-            self._ended()
-            if not self._closing:
+            self._end_request()
+            if not self._is_closing:
                 return response
         else:
-            body = NotifyingStream(body, self._ended)
+            body = NotifyingStream(body, self._end_request)
         headers = response.headers
-        if self._closing:
+        if self._is_closing:
             headers += (_CLOSE,)
         return Response(response.status, headers, body, response.body_bytes)
 
-    def _ended(self) -> None:
+    def _end_request(self) -> None:
         self._count -= 1
-        self._changed.set()
+        self._ended.set()
--- a/src/radishwind/node/tests/test_error_logging.py
+++ b/src/radishwind/node/tests/test_error_logging.py
@@ -1,4 +1,4 @@
-"""An unexpected error of a handler is logged without what it says."""
+"""Tests that unexpected errors of a handler are logged without their text."""
 
 import eliot
 import pytest
@@ -11,12 +11,12 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_kind_and_place_are_logged_and_not_the_text():
-    async def broken(request):
+async def test_type_and_location_are_logged_but_not_the_text():
+    async def fail(request):
         raise KeyError("an idempotency key")
 
     lines = []
-    handle = with_error_logging(broken, PartLogger("node", ManualClock()))
+    handle = with_error_logging(fail, PartLogger("node", ManualClock()))
     eliot.add_destinations(lines.append)
     try:
         with pytest.raises(KeyError):
--- a/src/radishwind/node/tests/test_requests_in_progress.py
+++ b/src/radishwind/node/tests/test_requests_in_progress.py
@@ -1,4 +1,4 @@
-"""What a planned stop waits for."""
+"""Tests for which requests a planned stop waits."""
 
 import anyio
 import anyio.lowlevel
@@ -16,12 +16,12 @@
 pytestmark = pytest.mark.anyio
 
 
-async def answer(request):
+async def respond(request):
     return Response(200, (), b"ok")
 
 
-async def test_answers_ask_to_close_once_told_to():
-    requests = RequestsInProgress(answer, ManualClock(), is_forwarded_attempt)
+async def test_only_responses_to_attempts_request_connection_close():
+    requests = RequestsInProgress(respond, ManualClock(), is_forwarded_attempt)
     assert (await requests.handle(ATTEMPT)).headers == ()
 
     requests.request_connection_close()
@@ -32,9 +32,9 @@
     assert (await requests.handle(GOSSIP)).headers == ()
 
 
-async def test_it_is_quiet_only_after_the_last_attempt():
+async def test_quiet_period_begins_with_the_last_attempt():
     clock = ManualClock()
-    requests = RequestsInProgress(answer, clock, is_forwarded_attempt)
+    requests = RequestsInProgress(respond, clock, is_forwarded_attempt)
     done = anyio.Event()
 
     async def wait():
@@ -55,14 +55,14 @@
             await done.wait()
 
 
-async def test_it_is_finished_when_the_last_one_is_answered():
+async def test_idle_once_the_last_request_has_its_response():
     release = anyio.Event()
 
-    async def slow(request):
+    async def respond_late(request):
         await release.wait()
         return Response(200)
 
-    requests = RequestsInProgress(slow, ManualClock())
+    requests = RequestsInProgress(respond_late, ManualClock())
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(requests.handle, ATTEMPT)
         await anyio.lowlevel.checkpoint()
