--- a/src/radishwind/node/__init__.py
+++ b/src/radishwind/node/__init__.py
@@ -1,5 +1,5 @@
-"""The daemon beside each backend server: wires the slices, owns the tasks.
+"""The node, a daemon beside each backend server: connects the other packages.
 
-`radishwind.node.app.Node` is the whole; it is imported from there, since other
-compositions use parts of this package without it.
+The complete node is `radishwind.node.app.Node`. It isn't imported here because
+`radishwind.sidecar` uses modules of this package without it.
 """
--- a/src/radishwind/node/admin.py
+++ b/src/radishwind/node/admin.py
@@ -1,4 +1,4 @@
-"""The admin listener: for the server beside and for operators."""
+"""The admin listener, for the local backend server and for operators."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -13,29 +13,29 @@
 from radishwind.outcomes import problem_response
 
 AdminHandler: TypeAlias = Callable[[Request], Awaitable[Response]]
-StatusPart: TypeAlias = Callable[[], dict[str, Any]]
+StatusProvider: TypeAlias = Callable[[], dict[str, Any]]
 
 _JSON: tuple[tuple[str, str], ...] = (("Content-Type", "application/json"),)
 
 
 class AdminListener:
-    """Routes admin requests; each slice adds its paths and status fields."""
+    """Routes admin requests to handlers and assembles the status document."""
 
     def __init__(self) -> None:
         self._routes: dict[tuple[str, str], AdminHandler] = {}
-        self._status: list[StatusPart] = []
+        self._status_providers: list[StatusProvider] = []
         self.add("GET", "/v1/status", self._handle_status)
 
     def add(self, method: str, path: str, handler: AdminHandler) -> None:
         """Routes `method` and `path` to `handler`."""
         self._routes[method, path] = handler
 
-    def add_status(self, part: StatusPart) -> None:
-        """Adds the fields that `part` returns to the status."""
-        self._status.append(part)
+    def add_status(self, provider: StatusProvider) -> None:
+        """Adds the fields that `provider` returns to the status document."""
+        self._status_providers.append(provider)
 
     async def handle(self, request: Request) -> Response:
-        """Answers one admin request."""
+        """Handles an admin request."""
         path = request.path.partition("?")[0]
         handler = self._routes.get((request.method, path))
         if handler is None:
@@ -49,11 +49,11 @@
 
     async def _handle_status(self, request: Request) -> Response:
         status: dict[str, Any] = {}
-        for part in self._status:
-            status.update(part())
+        for provider in self._status_providers:
+            status.update(provider())
         return json_response(status)
 
 
 def json_response(value: Any, status: int = 200) -> Response:
-    """Returns `value` as JSON."""
+    """Returns a response with `value` encoded as JSON."""
     return Response(status, _JSON, msgspec.json.encode(value))
--- a/src/radishwind/node/app.py
+++ b/src/radishwind/node/app.py
@@ -1,4 +1,4 @@
-"""Composes a node and runs it until it is told to stop."""
+"""Assembles a node and runs it until a signal stops it."""
 
 import os
 import random
@@ -24,11 +24,11 @@
 from radishwind.node.claims import make_claims
 from radishwind.node.config import make_config
 from radishwind.node.config import make_stores
-from radishwind.node.entry import node_chooser
+from radishwind.node.entry import make_node_chooser
 from radishwind.node.error_logging import with_error_logging
 from radishwind.node.membership_tasks import MembershipTasks
 from radishwind.node.metrics import add_metrics
-from radishwind.node.observation import Observation
+from radishwind.node.node_telemetry import NodeTelemetry
 from radishwind.node.peer_security import make_peer_security
 from radishwind.node.requests_in_progress import RequestsInProgress
 from radishwind.node.target_side import TargetSide
@@ -42,18 +42,20 @@
 from radishwind.settings import NodeSettings
 from radishwind.telemetry.part_logger import PartLogger
 
-#: Connections kept to one peer or to the server, and to the store; claims have
-#: their own, so that no watch or slow reader stands before them.
+#: Maximum number of connections to each peer or the server, and to the store.
+#: Claims have connections of their own to the store, so that they never wait
+#: behind a watch or a slow read.
 _PEER_CONNECTIONS = 250
 _STORE_CONNECTIONS = 4
 _CLAIM_CONNECTIONS = 8
 
-#: A stopping node closes its peer listener once no attempt came for this (s).
-_QUIET_S = 0.5
+#: A stopping node closes its peer listener once no forwarded attempt arrived
+#: for this time (s).
+_QUIET_PERIOD_S = 0.5
 
 
 class Node:
-    """One node: three listeners, the data path, and the control tasks."""
+    """A node: three listeners, the data path and the control tasks."""
 
     def __init__(self, settings: NodeSettings, clock: Clock) -> None:
         self._settings = settings
@@ -96,7 +98,7 @@
             self._stores.claims,
             self._membership.node_count,
         )
-        self._observation = Observation(
+        self._telemetry = NodeTelemetry(
             self._settings,
             self._clock,
             self._membership.directory,
@@ -109,12 +111,13 @@
             self._clock,
             self._sender,
             self._membership.rumor_bus,
-            self._ready_changed,
+            self._handle_ready_changed,
         )
         self._target = self._target_side.pipeline
-        if not self._target_side.ready:
-            # A server not heard of yet gets no work that would be refused.
-            self._ready_changed(False)
+        if not self._target_side.is_ready:
+            # This node would refuse all work until the server has announced
+            # itself, so peers are to forward none.
+            self._handle_ready_changed(False)
         forward = ForwardRunner(
             node_name=self._settings.target,
             clock=self._clock,
@@ -132,7 +135,7 @@
                 index=lambda: self._index,
             ),
             placement=UnrestrictedPlacement(self._membership.directory),
-            chooser=node_chooser(
+            chooser=make_node_chooser(
                 self._settings, self._rng, lambda: self._index, self._target
             ),
             retries=BudgetedRetryPolicy(),
@@ -140,7 +143,7 @@
             runner=IsolatingRunner(forward),
             claims=self._claims.guard,
             quarantine=self._target_side.quarantine,
-            observers=self._observation.observers,
+            observers=self._telemetry.observers,
         )
         self._callers = RequestsInProgress(
             CallerListener(self._entry).handle, self._clock
@@ -163,9 +166,9 @@
         self._admin.add_status(self._membership.status)
         self._admin.add_status(self._claims.status)
         self._target_side.add_to(self._admin)
-        self._target_side.add_metrics(self._observation)
-        add_metrics(self._observation, self._entry, self._membership)
-        self._observation.add_to(self._admin, self._peers)
+        self._target_side.add_metrics(self._telemetry)
+        add_metrics(self._telemetry, self._entry, self._membership)
+        self._telemetry.add_to(self._admin, self._peers)
         self._config = make_config(
             settings=self._settings,
             clock=self._clock,
@@ -176,14 +179,14 @@
             rumor_bus=self._membership.rumor_bus,
             listener=self._peers,
             admin=self._admin,
-            observation=self._observation,
-            on_adopted=self._adopted,
+            telemetry=self._telemetry,
+            on_adopted=self._handle_adopted,
         )
         library = self._settings.http_library
         self._servers = [make_server(library) for _ in range(3)]
 
     async def run(self) -> None:
-        """Runs until SIGTERM or SIGINT; then finishes what is in progress."""
+        """Runs until SIGTERM or SIGINT, then drains and stops."""
         async with anyio.create_task_group() as tasks:
             callers, peers, admin = self._servers
             self._claims.start(tasks)
@@ -211,13 +214,13 @@
             self._log.info("Stops as planned; finishes what is in progress.")
             await self._stop()
             tasks.cancel_scope.cancel()
-        # Only now, since the tasks send by these until they end.
+        # Only now, because the tasks use these connections until they end.
         await self._sender.close()
         await self._stores.close()
         self._log.info("Stopped.")
 
     async def _stop(self) -> None:
-        """Tells first, then refuses, then finishes what is in progress."""
+        """Advertises that the node leaves, refuses new work, then drains."""
         self._membership.advertise(AdvertisedState.LEAVING)
         self._callers.request_connection_close()
         self._attempts.request_connection_close()
@@ -229,7 +232,7 @@
             await self._claims.wait_drained()
             await self._callers.wait_idle()
             await self._attempts.wait_idle()
-            await self._attempts.wait_quiet(_QUIET_S)
+            await self._attempts.wait_quiet(_QUIET_PERIOD_S)
         await self._membership.advertise_left()
         for server in self._servers:
             await server.close(1.0)
@@ -241,8 +244,8 @@
             async for _ in signals:
                 self._stopping.set()
 
-    def _ready_changed(self, ready: bool) -> None:
-        """Tells peers whether the server beside takes new work."""
+    def _handle_ready_changed(self, ready: bool) -> None:
+        """Advertises whether the local backend server takes new work."""
         if self._stopping.is_set():
             return
         self._membership.advertise(
@@ -262,7 +265,7 @@
             },
         }
 
-    def _adopted(self, index: ConfigIndex) -> None:
+    def _handle_adopted(self, index: ConfigIndex) -> None:
         self._index = index
         self._membership.set_config_revision(index.cfg.revision)
-        self._target_side.adopt(index)
+        self._target_side.apply_config(index)
--- a/src/radishwind/node/claims.py
+++ b/src/radishwind/node/claims.py
@@ -1,4 +1,4 @@
-"""Composes the guard of keyed calls for a node."""
+"""Creates a node's guard for calls with an idempotency key."""
 
 from collections.abc import Callable
 import dataclasses
@@ -23,10 +23,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NodeClaims:
-    """The guard of a node and what it needs at start and stop.
+    """The claim guard of a node with its queue and cache.
 
     Attributes:
-      guard: the guard, for the entry pipeline.
+      guard: runs calls with an idempotency key at most once; used by the entry
+        pipeline.
       updates: writes the results of claims to the store.
       cache: the claims known to the node.
     """
@@ -36,17 +37,17 @@
     cache: ClaimCache
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Runs keyed calls and their settling in `tasks`."""
+        """Runs the guarded calls and the claim updates in `tasks`."""
         self.guard.start(tasks)
         tasks.start_soon(self.updates.run)
 
     async def wait_drained(self) -> None:
-        """Returns once every keyed call has ended and is written."""
+        """Returns once all guarded calls ended and their results are stored."""
         await self.guard.wait_idle()
         await self.updates.wait_drained()
 
     def status(self) -> dict[str, Any]:
-        """Returns the fields of the node's status."""
+        """Returns the claim fields of the node's status document."""
         return {
             "claims_running": self.guard.running_count,
             "claims_unwritten": self.updates.pending_count,
@@ -60,31 +61,31 @@
     clock: Clock,
     rng: random.Random,
     store: Store,
-    nodes: Callable[[], int],
+    node_count: Callable[[], int],
     writer: ClaimWriter | None = None,
 ) -> NodeClaims:
-    """Returns the claims of a node.
+    """Returns the claim guard of a node with its queue and cache.
 
     Args:
-      settings: the node's settings.
+      settings: settings of the node.
       clock: the clock.
       rng: the random source.
       store: the store.
-      nodes: returns how many nodes share the store's rates.
-      writer: writes the claims; in groups if none is given.
+      node_count: returns the number of nodes that share the store's call rates.
+      writer: writes the claims; by default in batches.
     """
     breaker = StoreCircuitBreaker(rng)
-    writes = StoreCallBudget(
-        lambda: settings.claim_writes_per_s / max(1, nodes())
+    write_budget = StoreCallBudget(
+        lambda: settings.claim_writes_per_s / max(1, node_count())
     )
-    reads = StoreCallBudget(
-        lambda: settings.claim_reads_per_s / max(1, nodes())
+    read_budget = StoreCallBudget(
+        lambda: settings.claim_reads_per_s / max(1, node_count())
     )
     updates = ClaimUpdateQueue(
         store=store,
         clock=clock,
         breaker=breaker,
-        write_budget=writes,
+        write_budget=write_budget,
         max_bytes=settings.claim_memory_bytes,
     )
     registry = ClaimRegistry(
@@ -93,8 +94,8 @@
         rng=rng,
         node_name=settings.target,
         breaker=breaker,
-        write_budget=writes,
-        read_budget=reads,
+        write_budget=write_budget,
+        read_budget=read_budget,
         writer=writer or BatchClaimWriter(store),
         updates=updates,
         lease=SharedLease(store, clock, settings.claim_lease_bucket_s),
--- a/src/radishwind/node/config.py
+++ b/src/radishwind/node/config.py
@@ -13,7 +13,7 @@
 from radishwind.node.admin import AdminListener
 from radishwind.node.config_admin import ConfigAdmin
 from radishwind.node.config_tasks import ConfigTasks
-from radishwind.node.observation import Observation
+from radishwind.node.node_telemetry import NodeTelemetry
 from radishwind.peers import PeerClient
 from radishwind.peers import PeerListener
 from radishwind.settings import NodeSettings
@@ -83,7 +83,7 @@
     rumor_bus: RumorBus,
     listener: PeerListener,
     admin: AdminListener,
-    observation: Observation,
+    telemetry: NodeTelemetry,
     on_adopted: Callable[[ConfigIndex], None],
 ) -> ConfigTasks:
     """Returns the configuration tasks; registers their paths and metrics."""
@@ -101,5 +101,5 @@
     listener.add_control_handler(CONTROL_NAME, tasks.handle_control)
     config_admin = ConfigAdmin(tasks, stores.control, stores.claims)
     config_admin.add_to(admin)
-    config_admin.add_metrics(observation)
+    config_admin.add_metrics(telemetry)
     return tasks
--- a/src/radishwind/node/config_admin.py
+++ b/src/radishwind/node/config_admin.py
@@ -15,7 +15,7 @@
 from radishwind.node.admin import AdminListener
 from radishwind.node.admin import json_response
 from radishwind.node.config_tasks import ConfigTasks
-from radishwind.node.observation import Observation
+from radishwind.node.node_telemetry import NodeTelemetry
 from radishwind.store import BudgetedStore
 
 #: Members pulled from for one report. Of any others, the report has the
@@ -38,25 +38,25 @@
         admin.add("GET", FLEET_PATH, self._handle_fleet)
         admin.add_status(self._status)
 
-    def add_metrics(self, observation: Observation) -> None:
+    def add_metrics(self, telemetry: NodeTelemetry) -> None:
         """Registers the metrics of configuration and of the store."""
         adopter = self._tasks.adopter
-        observation.gauge(
+        telemetry.gauge(
             "config.revision",
             "1",
             "Configuration revision in force.",
             lambda: {"": adopter.snapshot.revision},
         )
-        observation.counter(
+        telemetry.counter(
             "config.refusals",
             "1",
             "Configurations refused.",
             lambda: {"": adopter.refusals},
         )
-        observation.counter(
+        telemetry.counter(
             "store.calls", "1", "Calls of the store sent.", self._store_calls
         )
-        observation.counter(
+        telemetry.counter(
             "store.failures",
             "1",
             "Calls of the store that failed, and calls not sent.",
--- a/src/radishwind/node/entry.py
+++ b/src/radishwind/node/entry.py
@@ -1,4 +1,4 @@
-"""Wires the entry side of a node."""
+"""Creates the routing policy of a node."""
 
 from collections.abc import Callable
 import random
@@ -10,13 +10,13 @@
 from radishwind.target import TargetPipeline
 
 
-def node_chooser(
+def make_node_chooser(
     settings: NodeSettings,
     rng: random.Random,
     index: Callable[[], ConfigIndex],
     target: TargetPipeline,
 ) -> TargetChooser:
-    """Returns the routing policy that the settings name."""
+    """Returns the routing policy that the settings select."""
     return make_chooser(
         settings.routing,
         rng,
--- a/src/radishwind/node/metrics.py
+++ b/src/radishwind/node/metrics.py
@@ -1,17 +1,17 @@
-"""The metrics of the data path and of membership, read from their counters."""
+"""Metrics of the data path and of membership, read from their counters."""
 
 from radishwind.entry import EntryPipeline
 from radishwind.node.membership_tasks import MembershipTasks
-from radishwind.node.observation import Observation
+from radishwind.node.node_telemetry import NodeTelemetry
 
 
 def add_metrics(
-    observation: Observation,
+    telemetry: NodeTelemetry,
     entry: EntryPipeline,
     membership: MembershipTasks,
 ) -> None:
-    """Adds the counters and gauges that the slices keep anyway."""
-    observation.counter(
+    """Registers the counters and gauges of entry pipeline and membership."""
+    telemetry.counter(
         "attempts",
         "{attempt}",
         "Calls taken, attempts made for them, and hedges among these.",
@@ -21,13 +21,13 @@
             "hedges": entry.counts.hedges,
         },
     )
-    observation.gauge(
+    telemetry.gauge(
         "peers",
         "{member}",
         "Members known, by state.",
         membership.members_by_state,
     )
-    observation.counter(
+    telemetry.counter(
         "gossip",
         "By",
         "Bytes of membership messages, without HTTP's own fields.",
--- a/src/radishwind/node/observation.py
+++ b/src/radishwind/node/node_telemetry.py
@@ -1,4 +1,4 @@
-"""Wires logs, metrics and the burn ledger into a node."""
+"""Connects metrics and the burn ledger to a node."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -22,15 +22,20 @@
 from radishwind.peers import PeerListener
 from radishwind.settings import NodeSettings
 
-#: Peers asked at once for their ledgers, and how long each may take (s).
-_GATHER_AT_ONCE = 32
-_GATHER_TIMEOUT_S = 2.0
+#: Maximum number of peers called at once for their ledgers, and the timeout of
+#: each call (s).
+_MAX_CONCURRENT_CALLS = 32
+_LEDGER_TIMEOUT_S = 2.0
 
-_BURN = "burn"
+_BURN_CONTROL_NAME = "burn"
 
 
-class Observation:
-    """What a node tells of itself."""
+class NodeTelemetry:
+    """Metrics of a node, and the burn ledgers of the fleet.
+
+    Metrics are recorded only if the settings enable them; the burn ledger is
+    always kept.
+    """
 
     def __init__(
         self,
@@ -57,16 +62,16 @@
 
     @property
     def observers(self) -> tuple[CallObserver, ...]:
-        """What the entry pipeline tells of ended calls."""
+        """Observers that the entry pipeline notifies of ended calls."""
         if self._metrics is None:
             return (self._ledger,)
         return (self._ledger, self._metrics)
 
     def add_to(self, admin: AdminListener, peers: PeerListener) -> None:
-        """Adds `/v1/metrics`, `/v1/burn` and the peers' `burn`."""
+        """Registers `/v1/metrics`, `/v1/burn` and the control call `burn`."""
         admin.add("GET", "/v1/metrics", self._handle_metrics)
         admin.add("GET", "/v1/burn", self._handle_burn)
-        peers.add_control_handler(_BURN, self._handle_peer_burn)
+        peers.add_control_handler(_BURN_CONTROL_NAME, self._handle_peer_burn)
 
     def counter(
         self,
@@ -75,7 +80,14 @@
         text: str,
         read: Callable[[], Mapping[str, float]],
     ) -> None:
-        """Adds a metric that only grows, by kind."""
+        """Registers a metric that only grows.
+
+        Args:
+          name: name of the metric.
+          unit: unit of its values.
+          text: description of the metric.
+          read: returns the current value by kind.
+        """
         if self._metrics is not None:
             self._metrics.add_counter(name, unit, text, read)
 
@@ -86,7 +98,14 @@
         text: str,
         read: Callable[[], Mapping[str, float]],
     ) -> None:
-        """Adds a metric that goes up and down, by kind."""
+        """Registers a metric that may rise and fall.
+
+        Args:
+          name: name of the metric.
+          unit: unit of its values.
+          text: description of the metric.
+          read: returns the current value by kind.
+        """
         if self._metrics is not None:
             self._metrics.add_gauge(name, unit, text, read)
 
@@ -100,14 +119,14 @@
         return json_response(self._ledger.services())
 
     async def _handle_burn(self, request: Request) -> Response:
-        """Answers with one ledger a node; nodes that fail are left out."""
+        """Responds with the ledgers of all nodes that could be reached."""
         ledgers = [self._ledger.services()]
-        limit = anyio.CapacityLimiter(_GATHER_AT_ONCE)
+        limiter = anyio.CapacityLimiter(_MAX_CONCURRENT_CALLS)
 
-        async def gather(ask: Callable[[], Awaitable[bytes]]) -> None:
-            async with limit:
+        async def gather(call_peer: Callable[[], Awaitable[bytes]]) -> None:
+            async with limiter:
                 try:
-                    body = await ask()
+                    body = await call_peer()
                     ledgers.append(
                         msgspec.json.decode(body, type=list[ServiceMinutes])
                     )
@@ -122,7 +141,7 @@
                 tasks.start_soon(
                     gather,
                     lambda a=address: self._client.call(
-                        a, _BURN, b"{}", _GATHER_TIMEOUT_S
+                        a, _BURN_CONTROL_NAME, b"{}", _LEDGER_TIMEOUT_S
                     ),
                 )
         return json_response(ledgers)
--- a/src/radishwind/node/peer_security.py
+++ b/src/radishwind/node/peer_security.py
@@ -1,4 +1,4 @@
-"""Builds what signs and checks the traffic between nodes, from settings."""
+"""Creates signer and verifier of the traffic between nodes, from settings."""
 
 import ipaddress
 import os
@@ -17,26 +17,26 @@
 
 
 def advertised_address(settings: NodeSettings) -> Address:
-    """Returns where other nodes reach this one."""
+    """Returns the address at which other nodes reach this one."""
     return settings.peer_address or settings.peer_listen
 
 
 def make_peer_security(
     settings: NodeSettings, clock: Clock
 ) -> tuple[PeerSigner | None, PeerVerifier | None]:
-    """Returns the signer and the verifier; neither where there is no key.
+    """Returns the signer and the verifier; `None` for both without a key.
 
     Raises:
-      SettingError: the key file can't be read, or there is no key though the
-        peer listener is reached from other machines.
+      SettingError: the key file can't be read, or no key is set although other
+        machines can reach the peer listener.
     """
-    keys = settings.peer_key + _keys_of_file(settings.peer_key_file)
+    keys = settings.peer_key + _read_keys(settings.peer_key_file)
     if keys:
-        prefix = os.urandom(_NONCE_PREFIX_BYTES).hex()
-        own = advertised_address(settings)
+        nonce_prefix = os.urandom(_NONCE_PREFIX_BYTES).hex()
+        own_address = advertised_address(settings)
         return (
-            PeerSigner(keys[0], clock, prefix),
-            PeerVerifier(keys, clock, own),
+            PeerSigner(keys[0], clock, nonce_prefix),
+            PeerVerifier(keys, clock, own_address),
         )
     if not _is_loopback(settings.peer_listen.host):
         raise SettingError(
@@ -44,12 +44,12 @@
             f"not on loopback, got neither and {settings.peer_listen}"
         )
     PartLogger("peers", clock).warning(
-        "No --peer-key is set: anyone on this machine can speak as a node."
+        "No --peer-key is set: any process on this machine can pose as a node."
     )
     return None, None
 
 
-def _keys_of_file(path: str) -> tuple[bytes, ...]:
+def _read_keys(path: str) -> tuple[bytes, ...]:
     if not path:
         return ()
     try:
--- a/src/radishwind/node/target_side.py
+++ b/src/radishwind/node/target_side.py
@@ -1,4 +1,4 @@
-"""Wires the target side of a node: server, admission, probing, quarantine."""
+"""Connects a node's target side: server, admission, probing, quarantine."""
 
 from collections.abc import Callable
 from typing import Any
@@ -11,7 +11,7 @@
 from radishwind.http import Sender
 from radishwind.membership import RumorBus
 from radishwind.node.admin import AdminListener
-from radishwind.node.observation import Observation
+from radishwind.node.node_telemetry import NodeTelemetry
 from radishwind.probing import HealthEstimator
 from radishwind.probing import Prober
 from radishwind.quarantine import Quarantine
@@ -21,12 +21,18 @@
 from radishwind.target import ExchangeRecorder
 from radishwind.target import TargetPipeline
 
-#: Requests sent beyond the slots (`docs/design/06-admission.md`).
+#: Requests sent to the server beyond its slots
+#: (`docs/design/06-admission.md`).
 OVERCOMMIT_REQUESTS = 2
 
 
 class TargetSide:
-    """The parts that decide on the server beside, and their tasks."""
+    """The components that handle the local backend server, and their tasks.
+
+    Attributes:
+      quarantine: quarantine of requests under which servers crashed.
+      pipeline: sends requests to the server.
+    """
 
     def __init__(
         self,
@@ -34,12 +40,22 @@
         clock: Clock,
         sender: Sender,
         rumor_bus: RumorBus,
-        ready_changed: Callable[[bool], None],
+        on_ready_changed: Callable[[bool], None],
     ) -> None:
+        """Creates the components; `run` starts the probes.
+
+        Args:
+          settings: settings of the node.
+          clock: the clock.
+          sender: sends requests and probes to the server.
+          rumor_bus: shares crash reports with other nodes.
+          on_ready_changed: called when the server begins or ceases to take new
+            work.
+        """
         self._settings = settings
         self._clock = clock
         self._server = BackendServer(
-            settings.target, settings.server, ready_changed
+            settings.target, settings.server, on_ready_changed
         )
         self._admission: Admission = FairAdmission()
         self.quarantine = Quarantine(
@@ -49,26 +65,26 @@
             rumor_bus=rumor_bus,
         )
         health = HealthEstimator()
-        self._watch = ExchangeRecorder(clock, health, self.quarantine)
+        self._recorder = ExchangeRecorder(clock, health, self.quarantine)
         self._prober = Prober(
             clock=clock,
             sender=sender,
             server=self._server,
             admission=self._admission,
             health=health,
-            on_connect_failed=self._watch.record_server_down,
+            on_connect_failed=self._recorder.record_server_down,
         )
         self.pipeline = TargetPipeline(
             clock=clock,
             admission=self._admission,
             sender=sender,
             server=self._server,
-            recorder=self._watch,
+            recorder=self._recorder,
         )
 
     @property
-    def ready(self) -> bool:
-        """Whether the server beside is known and takes new work."""
+    def is_ready(self) -> bool:
+        """Whether the server has announced itself and takes new work."""
         return self._server.is_ready
 
     async def run(self) -> None:
@@ -76,16 +92,16 @@
         await self._prober.run()
 
     def add_to(self, admin: AdminListener) -> None:
-        """Adds the paths and status fields of the target side."""
+        """Registers the paths and status fields with the admin listener."""
         announcements = AnnouncementHandler(
-            self._clock, self._server, self._watch.record_restart
+            self._clock, self._server, self._recorder.record_restart
         )
         admin.add("POST", "/v1/server", announcements.handle)
         admin.add_status(self._status)
 
-    def add_metrics(self, observation: Observation) -> None:
-        """Adds what the target side counts."""
-        observation.gauge(
+    def add_metrics(self, telemetry: NodeTelemetry) -> None:
+        """Registers the metrics of the target side."""
+        telemetry.gauge(
             "target.requests",
             "{request}",
             "Requests at the server and waiting for a slot.",
@@ -94,13 +110,13 @@
                 "queued": self._admission.queued,
             },
         )
-        observation.counter(
+        telemetry.counter(
             "target.attempts",
             "{attempt}",
             "Attempts by outcome, those refused by code.",
             self.pipeline.outcome_counts,
         )
-        observation.counter(
+        telemetry.counter(
             "target.time",
             "s",
             "Time spent waiting for a slot, and time that probes cost.",
@@ -110,8 +126,8 @@
             },
         )
 
-    def adopt(self, index: ConfigIndex) -> None:
-        """Takes the limits of a configuration."""
+    def apply_config(self, index: ConfigIndex) -> None:
+        """Applies the limits of a configuration that came into force."""
         own = index.targets.get(self._settings.target)
         self._server.set_listed(own is not None)
         rules = index.cfg.rules.for_service(self._settings.service)
