--- a/src/radishwind/node/app.py
+++ b/src/radishwind/node/app.py
@@ -115,8 +115,8 @@
         )
         self._target = self._target_side.pipeline
         if not self._target_side.is_ready:
-            # This node would refuse all work until the server has announced
-            # itself, so peers are to forward none.
+            # Until the server has announced itself, this node would refuse the
+            # work that peers forward.
             self._handle_ready_changed(False)
         forward = ForwardRunner(
             node_name=self._settings.target,
--- a/src/radishwind/node/requests_in_progress.py
+++ b/src/radishwind/node/requests_in_progress.py
@@ -34,7 +34,8 @@
           handler: handles the requests.
           clock: times the arrivals.
           is_counted: whether a stop waits for a request. Others are passed on
-            without being counted, refused or asked to close.
+            without being counted or refused, and their responses don't request
+            to close the connection.
           make_refusal: creates the response to requests that are refused; by
             default none is refused.
         """
--- a/tests/support/calls.py
+++ b/tests/support/calls.py
@@ -1,4 +1,4 @@
-"""Calls as the decisions see them, for tests."""
+"""Creates calls, for tests."""
 
 from typing import Any
 
@@ -7,8 +7,8 @@
 from radishwind.http import Request
 
 
-def make_call(**changed: Any) -> Call:
-    """Returns a read of the service `s`; any field may be given."""
+def make_call(**overrides: Any) -> Call:
+    """Returns an idempotent read of service `s`; `overrides` sets fields."""
     fields: dict[str, Any] = {
         "call_id": "1",
         "service": "s",
@@ -20,4 +20,4 @@
         "caller": "c",
         "route": "r",
     }
-    return Call(**(fields | changed))
+    return Call(**(fields | overrides))
--- a/tests/support/in_process_sender.py
+++ b/tests/support/in_process_sender.py
@@ -1,7 +1,7 @@
-"""A sender that hands requests to handlers in this process, without sockets.
+"""A sender that passes requests to handlers in this process, without sockets.
 
-It stands at the `Sender` interface, so that a store client, peers and targets
-can be driven in a test with the faults named here, in a fixed order.
+It implements `Sender`, so that tests can run a store client, peers and targets
+and inject the faults of `Fault` in a fixed order.
 """
 
 import enum
@@ -18,16 +18,24 @@
 
 
 class Fault(enum.Enum):
-    """What goes wrong with one exchange, or with all until cleared."""
+    """A failure of one exchange, or of all exchanges until it is cleared."""
 
-    REFUSED = "no connection is made"
+    REFUSED = "the connection is refused"
     REQUEST_LOST = "the connection breaks before the request is handled"
-    RESPONSE_LOST = "the request is handled and its answer is lost"
-    HANGS = "the request is never answered"
+    RESPONSE_LOST = "the request is handled and its response is lost"
+    HANGS = "no response is ever sent"
 
 
 class InProcessSender(Sender):
-    """Sends to handlers by address; counts what was sent."""
+    """Passes requests to the handler of their address.
+
+    Attributes:
+      handlers: handlers by address; other addresses refuse connections.
+      faults: faults of all exchanges with an address.
+      next_faults: faults of the next exchanges, in order; `None` for none. They
+        take precedence over `faults`.
+      sent: address and request of each exchange so far.
+    """
 
     def __init__(self) -> None:
         self.handlers: dict[Address, Handler] = {}
@@ -51,7 +59,7 @@
             await anyio.sleep_forever()
         response = await handler(request)
         if fault is Fault.RESPONSE_LOST:
-            raise ExchangeBrokenError(f"{address}: answer lost")
+            raise ExchangeBrokenError(f"{address}: response lost")
         return response
 
     async def close(self) -> None:
--- a/tests/support/targets.py
+++ b/tests/support/targets.py
@@ -1,4 +1,4 @@
-"""A target side without sockets, for tests of it and of what is around it."""
+"""Creates target pipelines without sockets, for tests."""
 
 from collections.abc import Callable
 import dataclasses
@@ -19,7 +19,7 @@
 
 
 class SynchronousRumorBus(RumorBus):
-    """Hands each fact to every subscriber at once."""
+    """Delivers each rumor to every subscriber immediately, of any topic."""
 
     def __init__(self) -> None:
         self.handlers: list[Callable[[str, bytes], None]] = []
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetParts:
-    """A pipeline and what it decides by."""
+    """A target pipeline and the components that it decides by."""
 
     pipeline: TargetPipeline
     server: BackendServer
@@ -57,7 +57,7 @@
     slots: int,
     rumor_bus: RumorBus | None = None,
 ) -> TargetPipeline:
-    """Returns the pipeline of a target that the inventory lists."""
+    """Returns the pipeline of a target that is in the inventory."""
     limits = AdmissionLimits(slots, slots, max_queued=10, max_queue_wait_s=1.0)
     return make_target_parts(
         name, service, clock, sender, server, limits, rumor_bus
@@ -73,7 +73,7 @@
     limits: AdmissionLimits,
     rumor_bus: RumorBus | None = None,
 ) -> TargetParts:
-    """Returns the parts of a target that the inventory lists."""
+    """Returns the components of a target that is in the inventory."""
     server = BackendServer(name, address)
     server.set_listed(True)
     admission = FairAdmission(limits)
