--- a/src/radishwind/sidecar/metrics.py
+++ b/src/radishwind/sidecar/metrics.py
@@ -242,7 +242,7 @@
         "radishwind_quota_sent_total",
         "Datagrams of quotas sent, and their bytes.",
         lambda: {
-            'kind="datagrams"': quotas.channel.sent,
+            'kind="datagrams"': quotas.channel.datagrams_sent,
             'kind="bytes"': quotas.channel.bytes_sent,
         },
     )
--- a/src/radishwind/sidecar/quota_channel.py
+++ b/src/radishwind/sidecar/quota_channel.py
@@ -1,4 +1,4 @@
-"""Sends and receives the datagrams of quotas."""
+"""Sends and receives the datagrams of the quotas."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -18,11 +18,11 @@
 
 
 class QuotaChannel:
-    """The quotas on the socket between nodes.
+    """The channel of the quotas on the socket between nodes.
 
     Attributes:
-      sent: datagrams sent.
-      bytes_sent: their length without the channel's byte (bytes).
+      datagrams_sent: number of datagrams sent.
+      bytes_sent: their total length without the channel byte (bytes).
     """
 
     def __init__(
@@ -32,70 +32,76 @@
         lender: Lender,
         borrower: Borrower,
         address_of: Callable[[str], Address | None],
-        others: Callable[[], Iterable[Address]],
-        in_use: Callable[[], bool],
+        other_addresses: Callable[[], Iterable[Address]],
+        is_in_use: Callable[[], bool],
     ) -> None:
         """Wires the channel.
 
         Args:
           socket: carries the datagrams.
           clock: the clock.
-          lender: answers questions.
-          borrower: asks them.
-          address_of: returns where a node is reached, if it is known.
-          others: returns where all other nodes are reached.
-          in_use: returns whether any account has a quota here.
+          lender: answers lease requests.
+          borrower: sends lease requests.
+          address_of: returns the address of a node; `None` if it is unknown.
+          other_addresses: returns the addresses of all other nodes.
+          is_in_use: returns whether any account has a quota in the
+            configuration in force here.
         """
         self._socket = socket
         self._clock = clock
         self._lender = lender
         self._borrower = borrower
         self._address_of = address_of
-        self._others = others
-        self._in_use = in_use
-        self.sent = 0
+        self._other_addresses = other_addresses
+        self._is_in_use = is_in_use
+        self.datagrams_sent = 0
         self.bytes_sent = 0
-        socket.add_handler(Channel.QUOTAS, self._received)
+        socket.add_handler(Channel.QUOTAS, self._on_datagram)
 
     def flush(self) -> None:
-        """Sends the questions that are due."""
-        for lender, ask in self._borrower.pop_requests(self._clock.monotonic()):
+        """Sends the lease requests that are due."""
+        for lender, request in self._borrower.pop_requests(
+            self._clock.monotonic()
+        ):
             address = self._address_of(lender)
             if address is not None:
-                self._send(ask, (address,))
+                self._send(request, (address,))
 
     def tick(self) -> None:
-        """Does what time brings, on both sides."""
+        """Does the periodic work of lender and borrower."""
         now = self._clock.monotonic()
-        self._tell(self._lender.tick(now))
+        self._broadcast(self._lender.tick(now))
         self._borrower.tick(now)
         self.flush()
 
-    def answer_own(self, ask: LeaseRequest) -> LeaseGrant:
-        """Asks the lender in this node."""
-        grant, short = self._lender.handle_request(ask, self._clock.monotonic())
-        self._tell(short)
+    def handle_own_request(self, request: LeaseRequest) -> LeaseGrant:
+        """Returns the answer of this node's lender to its own borrower."""
+        grant, shortages = self._lender.handle_request(
+            request, self._clock.monotonic()
+        )
+        self._broadcast(shortages)
         return grant
 
-    def _tell(self, shortages: tuple[ShortageNotice, ...]) -> None:
-        """Tells all nodes, this one among them."""
-        for told in shortages:
-            self._borrower.handle_shortage(told, self._clock.monotonic())
-            self._send(told, tuple(self._others()))
+    def _broadcast(self, shortages: tuple[ShortageNotice, ...]) -> None:
+        """Sends the notices to all nodes and applies them in this one."""
+        for notice in shortages:
+            self._borrower.handle_shortage(notice, self._clock.monotonic())
+            self._send(notice, tuple(self._other_addresses()))
 
-    def _received(self, data: bytes, sender: Address) -> bool:
-        if not self._in_use():
-            # Others may have a newer version, or older; they ask again.
+    def _on_datagram(self, data: bytes, sender: Address) -> bool:
+        if not self._is_in_use():
+            # Other nodes may have a newer or older configuration in force; they
+            # send their requests again.
             return True
         message = decode(data)
         if message is None:
             return False
         if isinstance(message, LeaseRequest):
-            grant, short = self._lender.handle_request(
+            grant, shortages = self._lender.handle_request(
                 message, self._clock.monotonic()
             )
             self._send(grant, (sender,))
-            self._tell(short)
+            self._broadcast(shortages)
         elif isinstance(message, LeaseGrant):
             self._borrower.handle_grant(message, self._clock.monotonic())
         else:
@@ -105,5 +111,5 @@
     def _send(self, message: QuotaMessage, peers: tuple[Address, ...]) -> None:
         data = encode(message)
         if self._socket.send(Channel.QUOTAS, data, peers):
-            self.sent += len(peers)
+            self.datagrams_sent += len(peers)
             self.bytes_sent += len(data) * len(peers)
--- a/src/radishwind/sidecar/quota_sharing.py
+++ b/src/radishwind/sidecar/quota_sharing.py
@@ -1,4 +1,4 @@
-"""Keeps quotas of client accounts with the other nodes, where there are any."""
+"""Enforces the quotas of client accounts together with the other nodes."""
 
 import random
 
@@ -22,20 +22,20 @@
 from radishwind.settings.placed import PlacedSettings
 from radishwind.sidecar.quota_channel import QuotaChannel
 
-#: Between looks for what time brings (s).
-TICK_S = 0.25
+#: Interval of the periodic work of borrower and lender.
+TICK_INTERVAL_S = 0.25
 
-#: Questions wait so long for others that can go with them (s).
-BATCH_S = 0.01
+#: Time that a lease request waits for others to be sent in the same datagram.
+BATCH_DELAY_S = 0.01
 
 
 class QuotaSharing:
-    """Owns the quotas of a node and their datagrams.
+    """Wires borrower, lender and datagrams of the quotas of a node.
 
     Attributes:
       borrower: decides on requests.
-      lender: lends the accounts that this node is ranked first for.
-      channel: carries their messages.
+      lender: lends tokens of the accounts that this node ranks first for.
+      channel: carries the messages of both.
     """
 
     def __init__(
@@ -51,11 +51,11 @@
         """Wires the quotas.
 
         Args:
-          settings: of the node.
-          clock: the clock; it goes on while the machine stands still.
-          rng: names this start, spreads times to come back.
-          routes: hold the accounts in force.
-          membership: whose members share the quotas.
+          settings: settings of the node.
+          clock: the clock; it also advances while the machine is suspended.
+          rng: chooses the identifier of this start and spreads retry times.
+          routes: the routes configuration with the accounts in force.
+          membership: knows the nodes that share the quotas.
           socket: carries the datagrams.
         """
         self._clock = clock
@@ -68,19 +68,19 @@
                 settings.quota_slack,
             ),
         )
-        self._woken = anyio.Event()
-        self._stale = True
+        self._wake_up = anyio.Event()
+        self._is_stale = True
         self._addresses: dict[str, Address] = {}
         self._lender_map = LenderMap(
             settings.node, clock.monotonic(), membership.found_no_peers
         )
-        self.lender = Lender(self._lender_map, self._limits.of, clock)
+        self.lender = Lender(self._lender_map, self._limits.get, clock)
         self.borrower = Borrower(
             self._lender_map,
-            self._limits.of,
+            self._limits.get,
             rng,
-            lambda ask: self.channel.answer_own(ask),
-            lambda: self._woken.set(),
+            lambda request: self.channel.handle_own_request(request),
+            lambda: self._wake_up.set(),
         )
         self.channel = QuotaChannel(
             socket,
@@ -88,62 +88,64 @@
             self.lender,
             self.borrower,
             self._addresses.get,
-            lambda: [self._addresses[n] for n in self._others()],
-            lambda: self._limits.any,
+            lambda: [self._addresses[n] for n in self._other_nodes()],
+            lambda: self._limits.has_any,
         )
-        membership.gossip.table.add_member_listener(self._changed)
-        routes.subscribe(lambda cfg: self._woken.set())
+        membership.gossip.table.add_member_listener(self._on_member_changed)
+        routes.subscribe(lambda cfg: self._wake_up.set())
 
     async def run(self) -> None:
-        """Asks and lends until cancelled."""
+        """Borrows and lends until cancelled."""
         due = self._clock.monotonic()
         while True:
-            await self._until_needed()
+            await self._wait_until_needed()
             now = self._clock.monotonic()
             if now >= due:
-                due = now + TICK_S
+                due = now + TICK_INTERVAL_S
                 self._tick(now)
             with anyio.move_on_after(due - now):
-                await self._woken.wait()
-                await anyio.sleep(BATCH_S)
-            self._woken = anyio.Event()
+                await self._wake_up.wait()
+                await anyio.sleep(BATCH_DELAY_S)
+            self._wake_up = anyio.Event()
             self.channel.flush()
 
-    async def _until_needed(self) -> None:
-        """Waits, without waking, while no account has a quota."""
-        if self._limits.any:
+    async def _wait_until_needed(self) -> None:
+        """Sleeps without periodic work while no account has a quota."""
+        if self._limits.has_any:
             return
-        while not self._limits.any:
-            await self._woken.wait()
-            self._woken = anyio.Event()
+        while not self._limits.has_any:
+            await self._wake_up.wait()
+            self._wake_up = anyio.Event()
         self.lender.resume(self._clock.monotonic())
 
     def _tick(self, now: float) -> None:
-        if self._stale:
-            self._follow(self._membership.gossip, now)
+        if self._is_stale:
+            self._update_members(self._membership.gossip, now)
         self.channel.tick()
         for name in self.borrower.unresponsive_lenders(now):
             self._membership.report_unreachable(name)
 
-    def _changed(
+    def _on_member_changed(
         self, old: MemberRecord | None, new: MemberRecord | None
     ) -> None:
-        self._stale = True
-
-    def _follow(self, gossip: Gossip, now: float) -> None:
-        """Takes the nodes there are; who left is none of them any more."""
-        self._stale = False
-        facts = gossip.table.members
-        live = [name for name, fact in facts.items() if _may_lend(fact)]
+        self._is_stale = True
+
+    def _update_members(self, gossip: Gossip, now: float) -> None:
+        """Updates the nodes that lend; nodes that left are not counted."""
+        self._is_stale = False
+        records = gossip.table.members
+        lenders = [
+            name for name, record in records.items() if _may_lend(record)
+        ]
         known = sum(
-            f.advertised is not AdvertisedState.LEFT for f in facts.values()
+            r.advertised is not AdvertisedState.LEFT for r in records.values()
         )
         self._addresses.clear()
-        for name in live:
-            self._addresses[name] = Address.parse(facts[name].address)
-        self._lender_map.update_members(live, known, now)
+        for name in lenders:
+            self._addresses[name] = Address.parse(records[name].address)
+        self._lender_map.update_members(lenders, known, now)
 
-    def _others(self) -> list[str]:
+    def _other_nodes(self) -> list[str]:
         return [
             name
             for name in self._addresses
@@ -152,41 +154,41 @@
 
 
 class _Limits:
-    """The limits of the accounts in force, worked out once."""
+    """The limits of the accounts in force, computed once per version."""
 
     def __init__(self, routes: ActiveRoutes, bounds: QuotaBounds) -> None:
         self._routes = routes
         self._bounds = bounds
-        self._book: AccountIndex | None = None
+        self._accounts: AccountIndex | None = None
         self._limits: dict[str, QuotaLimit | None] = {}
         self._has_any = False
 
     @property
-    def any(self) -> bool:
+    def has_any(self) -> bool:
         """Whether any account has a quota."""
-        self._follow()
+        self._update()
         return self._has_any
 
-    def of(self, name: str) -> QuotaLimit | None:
-        """Returns the limit of the account `name`, if it has one."""
-        book = self._follow()
+    def get(self, name: str) -> QuotaLimit | None:
+        """Returns the limit of the account `name`; `None` if it has none."""
+        index = self._update()
         if name not in self._limits:
-            account = book.accounts.get(name)
+            account = index.accounts.get(name)
             if account is None:
                 return None
             self._limits[name] = QuotaLimit.for_account(account, self._bounds)
         return self._limits[name]
 
-    def _follow(self) -> AccountIndex:
-        book = self._routes.accounts
-        if book is not self._book:
-            self._book = book
+    def _update(self) -> AccountIndex:
+        index = self._routes.accounts
+        if index is not self._accounts:
+            self._accounts = index
             self._limits = {}
-            accounts = book.accounts.values()
+            accounts = index.accounts.values()
             self._has_any = any(account.is_limited for account in accounts)
-        return book
+        return index
 
 
-def _may_lend(fact: MemberRecord) -> bool:
-    fine = fact.liveness is Liveness.ALIVE
-    return fine and fact.advertised < AdvertisedState.LEAVING
+def _may_lend(record: MemberRecord) -> bool:
+    is_alive = record.liveness is Liveness.ALIVE
+    return is_alive and record.advertised < AdvertisedState.LEAVING
--- a/src/radishwind/sidecar/tests/test_quota_sharing.py
+++ b/src/radishwind/sidecar/tests/test_quota_sharing.py
@@ -1,4 +1,4 @@
-"""Two nodes share quotas over loopback; without quotas nothing is sent."""
+"""Two nodes share quotas over loopback; without quotas they send nothing."""
 
 import random
 import socket
@@ -31,13 +31,13 @@
 )
 
 
-def free_address():
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as held:
-        held.bind(("127.0.0.1", 0))
-        return Address("127.0.0.1", held.getsockname()[1])
+def find_free_address():
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
+        probe.bind(("127.0.0.1", 0))
+        return Address("127.0.0.1", probe.getsockname()[1])
 
 
-ASK = encode(
+REQUEST = encode(
     LeaseRequest(
         "n2", 1, 1, 0.0, (LeaseRequestItem("a", 1, 0, 0, 0, 0, 1, False),)
     )
@@ -45,23 +45,23 @@
 
 
 class Node:
-    """The quotas of one node, its membership told by the test."""
+    """The quotas of one node; the test sets its membership."""
 
     def __init__(self, name, members, accounts):
         clock, rng = BootClock(), random.Random(name)
         self.address = members[name]
-        facts = [
+        records = [
             MemberRecord(other, "s", "d", str(address), 1)
             for other, address in members.items()
         ]
-        own = next(fact for fact in facts if fact.name == name)
+        own = next(record for record in records if record.name == name)
         self.gossip = Gossip(own, GossipOptions(), rng, clock.monotonic())
-        for fact in facts:
-            self.gossip.table.merge_member(fact)
+        for record in records:
+            self.gossip.table.merge_member(record)
         self.socket = PeerSocket()
         self.routes = ActiveRoutes(clock)
         self.unreachable = []
-        self.alone = False
+        self.has_no_peers = False
         settings = types.SimpleNamespace(node=name, **vars(BOUNDS))
         self.sharing = QuotaSharing(
             settings=settings,
@@ -71,7 +71,7 @@
             membership=types.SimpleNamespace(
                 gossip=self.gossip,
                 report_unreachable=self.unreachable.append,
-                found_no_peers=lambda: self.alone,
+                found_no_peers=lambda: self.has_no_peers,
             ),
             socket=self.socket,
         )
@@ -82,21 +82,21 @@
         cfg = RouteConfig(version, (), {}, accounts=tuple(accounts))
         self.routes.adopt(cfg, b"", "test")
 
-    def take(self, account="a"):
+    def admit(self, account="a"):
         return self.sharing.borrower.admit(account, self.clock.monotonic())
 
 
-async def until(condition):
+async def wait_until(condition):
     with anyio.fail_after(WAIT_S):
         while not condition():  # noqa: ASYNC110
             await anyio.sleep(0.01)
 
 
 class Pair:
-    """Two nodes; `other` is the one that does not lend account `a`."""
+    """Two nodes that share their quotas."""
 
     def __init__(self, accounts):
-        members = {name: free_address() for name in ("n1", "n2")}
+        members = {name: find_free_address() for name in ("n1", "n2")}
         self.nodes = {n: Node(n, members, accounts) for n in members}
 
     async def __aenter__(self):
@@ -118,8 +118,8 @@
             n.sharing._lender_map.known_count == 2 for n in self.nodes.values()
         )
 
-    def sides(self):
-        """Returns the node that lends, and the other."""
+    def lender_and_borrower(self):
+        """Returns the node that lends account `a`, and the other one."""
         lender_map = self.nodes["n1"].sharing._lender_map
         name = lender_map.lender_of("a")
         (other,) = set(self.nodes) - {name}
@@ -127,103 +127,112 @@
 
 
 @pytest.mark.anyio
-async def test_a_node_lends_to_another():
+async def test_node_lends_to_another_node():
     async with Pair([Account("a", (), None, 50.0, 50.0)]) as pair:
-        await until(
+        await wait_until(
             lambda: all(
                 n.sharing._lender_map.known_count == 2
                 for n in pair.nodes.values()
             )
         )
-        lender, other = pair.sides()
-        assert other.take() is None
-        await until(lambda: lender.sharing.lender.account_count)
-        await until(lambda: other.take() is None)
-        assert other.sharing.channel.sent
+        lender, borrower = pair.lender_and_borrower()
+        assert borrower.admit() is None
+        await wait_until(lambda: lender.sharing.lender.account_count)
+        await wait_until(lambda: borrower.admit() is None)
+        assert borrower.sharing.channel.datagrams_sent
 
 
 @pytest.mark.anyio
-async def test_a_lone_node_lets_in_and_lends_once_the_store_proves_it():
+async def test_node_without_peers_admits_once_the_store_names_none():
     account = Account("a", (), None, 50.0, 50.0)
-    node = Node("n1", {"n1": free_address()}, [account])
+    node = Node("n1", {"n1": find_free_address()}, [account])
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(node.sharing.run)
-        await until(lambda: not node.sharing._stale)
-        assert node.take() is not None
-        node.alone = True
-        assert node.take() is None
-        await until(lambda: node.take() is None)
+        await wait_until(lambda: not node.sharing._is_stale)
+        assert node.admit() is not None
+        node.has_no_peers = True
+        assert node.admit() is None
+        await wait_until(lambda: node.admit() is None)
         assert node.sharing.lender.account_count == 1
         tasks.cancel_scope.cancel()
 
 
 @pytest.mark.anyio
-async def test_a_lender_that_is_gone_is_named_to_membership():
+async def test_unresponsive_lender_is_reported_to_membership():
     async with Pair([Account("a", (), None, 50.0, 50.0)]) as pair:
-        await until(
+        await wait_until(
             lambda: all(
                 n.sharing._lender_map.known_count == 2
                 for n in pair.nodes.values()
             )
         )
-        lender, other = pair.sides()
+        lender, borrower = pair.lender_and_borrower()
         lender.socket.close()
-        other.take()
-        await until(lambda: other.unreachable)
-        assert set(other.unreachable) == {lender.sharing._lender_map.own_name}
+        borrower.admit()
+        await wait_until(lambda: borrower.unreachable)
+        assert set(borrower.unreachable) == {
+            lender.sharing._lender_map.own_name
+        }
 
 
 @pytest.mark.anyio
-async def test_members_that_leave_or_are_dead_lend_nothing():
+async def test_dead_and_left_members_do_not_lend():
     async with Pair([Account("a", (), None, 50.0, 50.0)]) as pair:
         node = pair.nodes["n1"]
         lender_map = node.sharing._lender_map
-        await until(lambda: lender_map.known_count == 2)
-        fact = node.gossip.table.members["n2"]
+        await wait_until(lambda: lender_map.known_count == 2)
+        record = node.gossip.table.members["n2"]
         dead = MemberRecord(
-            *_parts(fact), 2, AdvertisedState.SERVING, Liveness.DEAD
+            *_identity(record), 2, AdvertisedState.SERVING, Liveness.DEAD
         )
         node.gossip.table.merge_member(dead)
-        await until(lambda: lender_map.live == {"n1"})
+        await wait_until(lambda: lender_map.live == {"n1"})
         assert lender_map.known_count == 2
-        left = MemberRecord(*_parts(fact), 3, AdvertisedState.LEFT)
+        left = MemberRecord(*_identity(record), 3, AdvertisedState.LEFT)
         node.gossip.table.merge_member(left)
-        await until(lambda: lender_map.known_count == 1)
+        await wait_until(lambda: lender_map.known_count == 1)
 
 
-def _parts(fact):
-    return (fact.name, fact.service, fact.failure_domain, fact.address)
+def _identity(record):
+    return (
+        record.name,
+        record.service,
+        record.failure_domain,
+        record.address,
+    )
 
 
 @pytest.mark.anyio
 @pytest.mark.parametrize(
-    "data", [ASK, b"\x93\x01", b""], ids=["question", "cut short", "empty"]
+    "data", [REQUEST, b"\x93\x01", b""], ids=["request", "truncated", "empty"]
 )
-async def test_without_quotas_what_others_send_has_no_effect(data):
+async def test_without_quotas_datagrams_have_no_effect(data):
     async with Pair([Account("a", ())]) as pair:
         node, other = pair.nodes.values()
         lender = node.sharing.lender
         paused = []
         lender._notice_pause = paused.append
 
-        assert node.sharing.channel._received(data, other.address)
+        assert node.sharing.channel._on_datagram(data, other.address)
 
-        assert not node.sharing.channel.sent
+        assert not node.sharing.channel.datagrams_sent
         assert not paused
         node.adopt(2, [Account("a", (), None, 50.0, 50.0)])
-        node.sharing.channel._received(ASK, other.address)
-        assert node.sharing.channel.sent == 1
+        node.sharing.channel._on_datagram(REQUEST, other.address)
+        assert node.sharing.channel.datagrams_sent == 1
 
 
 @pytest.mark.anyio
-async def test_without_quotas_nothing_is_sent_until_one_comes():
+async def test_without_quotas_nothing_is_sent_until_one_is_configured():
     async with Pair([Account("a", ())]) as pair:
         node = pair.nodes["n1"]
         for _ in range(1000):
-            assert node.take() is None
+            assert node.admit() is None
         await anyio.lowlevel.checkpoint()
-        assert not any(n.sharing.channel.sent for n in pair.nodes.values())
+        assert not any(
+            n.sharing.channel.datagrams_sent for n in pair.nodes.values()
+        )
         assert node.sharing._lender_map.known_count == 1
         for each in pair.nodes.values():
             each.adopt(2, [Account("a", (), None, 50.0, 50.0)])
-        await until(lambda: node.sharing._lender_map.known_count == 2)
+        await wait_until(lambda: node.sharing._lender_map.known_count == 2)
