--- a/src/radishwind/sidecar/app.py
+++ b/src/radishwind/sidecar/app.py
@@ -207,7 +207,7 @@
                 host
             ),
             link_admission=self._links.link_admission,
-            start_anew=self._stopping.set,
+            restart=self._stopping.set,
         )
         self._attempts = RequestsInProgress(
             self._peers.listener.handle, self._clock, is_forwarded_attempt
@@ -224,7 +224,7 @@
             socket=self._peers.socket,
             traffic=self._links.traffic,
         )
-        self._target.load_monitor.subscribe(self._loads.tell)
+        self._target.load_monitor.subscribe(self._loads.send_due_report)
 
     async def _handle_caller(self, request: Request) -> Response:
         self._target.load_monitor.record_callers_present()
@@ -327,7 +327,7 @@
     def _say_leaving(self) -> None:
         self._leaving = True
         self._membership.advertise(AdvertisedState.LEAVING)
-        self._loads.tell()
+        self._loads.send_due_report()
 
     async def _close_senders(self) -> None:
         """Closes what tasks send by, once none of them runs any more."""
--- a/src/radishwind/sidecar/load_report_exchange.py
+++ b/src/radishwind/sidecar/load_report_exchange.py
@@ -1,4 +1,4 @@
-"""Tells the load of the own target to other nodes, and takes theirs."""
+"""Sends load reports of the own target to other nodes, and receives theirs."""
 
 import random
 
@@ -19,19 +19,18 @@
 from radishwind.routing.fresh_load_chooser import FreshLoadChooser
 from radishwind.target.pipeline import TargetPipeline
 
-#: How often a change that no answer brought is looked for (s) while requests
-#: are at the server: one in the queue, as each figure of the pace is told when
-#: it comes.
+#: Interval of the checks for a changed load while requests are at the server.
+#: They find changes that no response brought, such as of the queue; each new
+#: figure of the pace causes a check of its own.
 LOAD_CHECK_INTERVAL_S = 0.1
 
-#: The same while none is (s): the load is told once a second in any case, so
-#: that nobody waits for what a look would find. What it gains was not measured
-#: apart.
+#: The interval while no request is at the server. It may be longer, since a
+#: load report is due once a second in any case.
 IDLE_LOAD_CHECK_INTERVAL_S = 0.5
 
 
 class LoadReportExchange:
-    """Owns the datagrams of load."""
+    """Exchanges the datagrams with load reports."""
 
     def __init__(
         self,
@@ -47,73 +46,75 @@
         socket: PeerSocket,
         traffic: PeerTraffic,
     ) -> None:
-        """Wires the sharing.
+        """Wires the exchange.
 
         Args:
-          node_name: of this node.
-          failure_domain: where it stands.
+          node_name: name of this node.
+          failure_domain: failure domain of this node.
           clock: the clock.
-          rng: names this start.
-          gossip: whose members are told.
-          directory: the same as addresses and states.
-          target: whose load is told.
-          chooser: takes what others tell.
-          socket: carries what is told.
-          traffic: counts what passes between nodes.
+          rng: chooses the identifier of this start.
+          gossip: reports changes of the members.
+          directory: the members with their addresses and states.
+          target: the own target, whose load is reported.
+          chooser: receives the load reports of all targets.
+          socket: carries the datagrams.
+          traffic: counts the messages between nodes; needs the members.
         """
         self._node_name = node_name
         self._clock = clock
         self._directory = directory
         self._target = target
         self._chooser = chooser
-        self._teller = ReportScheduler()
-        self._start = rng.getrandbits(32)
-        self._order = 0
-        self._audience = ReportRecipients(node_name, failure_domain)
+        self._scheduler = ReportScheduler()
+        self._start_id = rng.getrandbits(32)
+        self._sequence = 0
+        self._recipients = ReportRecipients(node_name, failure_domain)
         self._traffic = traffic
-        self._stale = True
-        self._channel = LoadChannel(socket, self._heard)
-        gossip.table.add_member_listener(self._changed)
+        self._is_stale = True
+        self._channel = LoadChannel(socket, self._on_message)
+        gossip.table.add_member_listener(self._on_member_changed)
 
     async def run(self) -> None:
-        """Tells until cancelled."""
+        """Sends load reports until cancelled."""
         while True:
-            self.tell()
+            self.send_due_report()
             report = self._target.load_report()
             is_idle = not report.in_flight and not report.queued
             await anyio.sleep(
                 IDLE_LOAD_CHECK_INTERVAL_S if is_idle else LOAD_CHECK_INTERVAL_S
             )
 
-    def tell(self) -> None:
-        """Tells the load if it changed enough."""
+    def send_due_report(self) -> None:
+        """Sends the load report to the nodes for which it is due."""
         now = self._clock.monotonic()
         report = self._target.load_report()
-        near, far = self._teller.due(report, now)
-        if not near and not far:
+        is_local_due, is_remote_due = self._scheduler.due(report, now)
+        if not is_local_due and not is_remote_due:
             return
-        self._follow()
-        self._order += 1
-        message = LoadMessage(self._node_name, self._start, self._order, report)
-        self._heard(message)
-        if near:
-            self._channel.send(message, self._audience.local(now))
-        if far:
-            self._channel.send(message, self._audience.remote(now))
+        self._update_members()
+        self._sequence += 1
+        message = LoadMessage(
+            self._node_name, self._start_id, self._sequence, report
+        )
+        self._on_message(message)
+        if is_local_due:
+            self._channel.send(message, self._recipients.local(now))
+        if is_remote_due:
+            self._channel.send(message, self._recipients.remote(now))
 
     def record_request_from(self, host: str) -> None:
-        """Takes that the node at `host` sent work for the own target."""
-        self._audience.record_request_from(host, self._clock.monotonic())
+        """Notes that the node at `host` forwarded an attempt to the target."""
+        self._recipients.record_request_from(host, self._clock.monotonic())
 
     def reports_unsolicited(self, member: Member) -> bool:
-        """Returns whether this node hears of `member` though it sent nothing.
+        """Returns whether `member` reports load to nodes that send no requests.
 
-        Only then does silence mean that the target may be cut off.
+        Only then do missing reports mean that it may be unreachable.
         """
-        self._follow()
-        return self._audience.reports_unsolicited(member.failure_domain)
+        self._update_members()
+        return self._recipients.reports_unsolicited(member.failure_domain)
 
-    def _heard(self, message: LoadMessage) -> None:
+    def _on_message(self, message: LoadMessage) -> None:
         self._chooser.receive_report(
             message.target,
             message.report,
@@ -122,18 +123,18 @@
             self._clock.monotonic(),
         )
 
-    def _changed(
+    def _on_member_changed(
         self, old: MemberRecord | None, new: MemberRecord | None
     ) -> None:
-        self._stale = True
+        self._is_stale = True
 
-    def _follow(self) -> None:
-        """Hands the nodes there are to the audience, where they changed."""
-        if not self._stale:
+    def _update_members(self) -> None:
+        """Updates the recipients if the members changed."""
+        if not self._is_stale:
             return
-        self._stale = False
+        self._is_stale = False
         members = self._directory.members()
         self._traffic.set_members(members)
-        self._audience.set_members(
+        self._recipients.set_members(
             m for m in members if m.state is not MemberState.DEAD
         )
--- a/src/radishwind/sidecar/peer_side.py
+++ b/src/radishwind/sidecar/peer_side.py
@@ -92,7 +92,7 @@
         target: TargetPipeline,
         record_request_from: Callable[[str], None],
         link_admission: LinkAdmission,
-        start_anew: Callable[[], None],
+        restart: Callable[[], None],
     ) -> None:
         """Wires what needs other parts.
 
@@ -105,7 +105,7 @@
           record_request_from: takes the host of each node that sends an
             attempt.
           link_admission: bounds the large answers that go out at once.
-          start_anew: ends the process, to begin without what it believes.
+          restart: ends the process, to start without its unverified routes.
         """
         self._directory = membership.directory
         self._secret_manager = SecretManager(
@@ -118,14 +118,14 @@
             spread_s=start_spread_s(self._settings),
             entropy=os.urandom,
         )
-        self._unchecked = RouteVerifier(
+        self._route_verifier = RouteVerifier(
             keyring=self.keyring,
             routes=routes,
             store=store,
             key=CONFIG_KEY,
             decode=decode_routes,
             clock=self._clock,
-            forged=start_anew,
+            on_forged=restart,
         )
         self.listener = PeerListener(
             node_name=self._settings.node,
@@ -147,7 +147,7 @@
     async def run(self) -> None:
         """Finds the secret when it is needed, until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._unchecked.run)
+            tasks.start_soon(self._route_verifier.run)
             await self._secret_manager.run()
 
     def refused(self) -> dict[str, int]:
--- a/src/radishwind/sidecar/route_verifier.py
+++ b/src/radishwind/sidecar/route_verifier.py
@@ -1,8 +1,9 @@
-"""Compares routes that were taken unchecked with the operator's own.
+"""Verifies routes that were accepted without authentication.
 
-Until a node knows the secret of the fleet it takes a configuration from
-whoever brings it. Versions only rise, so a made-up one would stay in force, and
-the node would tell it on once it can sign: so it signs after the comparison.
+Until a node knows the fleet secret it accepts a routes configuration from any
+sender. Versions only rise, so a forged one would stay in force, and the node
+would pass it on as soon as it can sign. So it starts to sign only after it has
+compared the configuration with the operator's in the store.
 """
 
 from collections.abc import Callable
@@ -19,12 +20,11 @@
 from radishwind.store.base import StoreError
 from radishwind.telemetry.part_logger import PartLogger
 
-#: The store is asked again after this time (s).
-_AGAIN_S = 1.0
+_RETRY_DELAY_S = 1.0
 
 
 class RouteVerifier:
-    """The task that asks the store, once, where there is reason to."""
+    """The task that compares unverified routes with those in the store."""
 
     def __init__(
         self,
@@ -35,19 +35,20 @@
         key: str,
         decode: Callable[[bytes], RouteConfig],
         clock: Clock,
-        forged: Callable[[], None],
+        on_forged: Callable[[], None],
     ) -> None:
         """Wires the task.
 
         Args:
-          keyring: whether the secret is known.
+          keyring: knows whether the secret is known; signs nothing while
+            unverified routes are in force.
           routes: the routes in force.
           store: the platform's store.
-          key: of the configuration there.
-          decode: reads a configuration; raises a `RadishwindError` if it is
+          key: key of the routes configuration in the store.
+          decode: decodes a configuration; raises a `RadishwindError` if it is
             malformed.
           clock: the clock.
-          forged: called where the version in force is none of the operator's.
+          on_forged: called if the version in force is not the operator's.
         """
         self._keyring = keyring
         self._routes = routes
@@ -55,89 +56,104 @@
         self._key = key
         self._decode = decode
         self._log = PartLogger("routes", clock)
-        self._forged = forged
-        self._unchecked = False
-        self._due = anyio.Event()
-        routes.subscribe(self._adopted)
-        keyring.subscribe(self._wake)
+        self._on_forged = on_forged
+        self._is_unverified = False
+        self._wake_up = anyio.Event()
+        routes.subscribe(self._on_adopted)
+        keyring.subscribe(self._on_keyring_changed)
 
     async def run(self) -> None:
         """Runs until cancelled."""
         while True:
-            while self._unchecked and self._keyring.has_secret:
+            while self._is_unverified and self._keyring.has_secret:
                 await self._compare()
-                if self._unchecked:
-                    await anyio.sleep(_AGAIN_S)
-            await self._due.wait()
-            self._due = anyio.Event()
+                if self._is_unverified:
+                    await anyio.sleep(_RETRY_DELAY_S)
+            await self._wake_up.wait()
+            self._wake_up = anyio.Event()
 
-    def _adopted(self, cfg: RouteConfig) -> None:
+    def _on_adopted(self, cfg: RouteConfig) -> None:
         if self._routes.source == STORE_SOURCE:
-            self._settle()
+            self._accept()
         elif not self._keyring.has_secret:
-            self._unchecked = True
+            self._is_unverified = True
             self._keyring.is_signing_paused = True
 
-    def _settle(self) -> None:
-        """Lets the node sign: what it believes is the operator's."""
-        self._unchecked = False
+    def _accept(self) -> None:
+        """Accepts the routes in force as the operator's and resumes signing."""
+        self._is_unverified = False
         self._keyring.is_signing_paused = False
 
-    def _wake(self) -> None:
-        self._due.set()
+    def _on_keyring_changed(self) -> None:
+        self._wake_up.set()
 
     async def _compare(self) -> None:
-        """Asks the store; it may be away."""
-        # Newer versions may come into force while the store answers.
+        """Compares the routes in force with the store's if it is available."""
+        # A newer version may come into force during the reads.
         version, raw = self._routes.version, self._routes.raw
         try:
-            # What an old answer shows is the operator's too.
-            stored, written = await self._stored(allow_stale=True)
-            if not _may_be(version, raw, stored, written):
-                stored, written = await self._stored(allow_stale=False)
+            # A configuration from a stale read is the operator's too.
+            stored_version, stored_raw = await self._read(allow_stale=True)
+            if not _may_be_genuine(version, raw, stored_version, stored_raw):
+                stored_version, stored_raw = await self._read(allow_stale=False)
         except StoreError as exc:
-            self._log.info("Routes uncompared.", reason=str(exc)[:120])
+            self._log.info(
+                "Failed to read the routes for comparison.",
+                reason=str(exc)[:120],
+            )
             return
         except RadishwindError as exc:
-            # Nothing to compare with; what is in force stays, as elsewhere.
-            self._settle()
-            self._log.warning("Routes uncompared.", reason=str(exc)[:120])
+            # As elsewhere, a malformed configuration in the store leaves the
+            # one in force.
+            self._accept()
+            self._log.warning(
+                "The routes in the store are malformed; nothing to compare.",
+                reason=str(exc)[:120],
+            )
             return
-        if not self._unchecked:
-            # The store's own came into force.
+        if not self._is_unverified:
+            # Routes read from the store came into force meanwhile.
             return
-        if _may_be(version, raw, stored, written):
-            self._settle()
+        if _may_be_genuine(version, raw, stored_version, stored_raw):
+            self._accept()
             return
         if self._routes.version != version:
-            # What replaced it may be the operator's, and is compared itself.
+            # The replacement may be the operator's; it is compared next.
             return
-        self._unchecked = False
+        self._is_unverified = False
         self._log.error(
-            "The routes in force are none of the operator's.",
+            "The routes in force are forged: not the operator's.",
             version=version,
-            stored=stored,
+            stored=stored_version,
             source=self._routes.source,
         )
-        self._forged()
+        self._on_forged()
 
-    async def _stored(self, *, allow_stale: bool) -> tuple[int, bytes]:
-        """Returns the store's version, 0 for none, and how it is written."""
+    async def _read(self, *, allow_stale: bool) -> tuple[int, bytes]:
+        """Returns version and encoded form of the store's routes.
+
+        Without routes in the store the version is 0.
+        """
         entry = await self._store.get(self._key, allow_stale=allow_stale)
         if entry is None:
             return 0, b""
         return self._decode(entry.value).version, entry.value
 
 
-def _may_be(version: int, raw: bytes, stored: int, written: bytes) -> bool:
-    """Returns whether the operator may have made a version.
+def _may_be_genuine(
+    version: int, raw: bytes, stored_version: int, stored_raw: bytes
+) -> bool:
+    """Returns whether a configuration may be one of the operator's.
 
-    An older one than the store's goes as soon as that is heard of.
+    One that is older than the store's may be; it is replaced as soon as the
+    newer version is received.
 
     Args:
-      version: in force here.
-      raw: how it was written.
-      stored: the store's version.
-      written: how that is written.
+      version: version in force here.
+      raw: its encoded form.
+      stored_version: version in the store.
+      stored_raw: its encoded form.
     """
-    return version < stored or (version == stored and raw == written)
+    return version < stored_version or (
+        version == stored_version and raw == stored_raw
+    )
--- a/src/radishwind/sidecar/tests/test_route_verifier.py
+++ b/src/radishwind/sidecar/tests/test_route_verifier.py
@@ -1,4 +1,4 @@
-"""A version that no operator made doesn't outlive the lack of the secret."""
+"""A forged version is detected once the fleet secret is known."""
 
 import anyio
 import anyio.lowlevel
@@ -30,8 +30,8 @@
 
 
 @pytest.fixture(autouse=True)
-def short(monkeypatch):
-    monkeypatch.setattr(route_verifier, "_AGAIN_S", 0.001)
+def shorten_delays(monkeypatch):
+    monkeypatch.setattr(route_verifier, "_RETRY_DELAY_S", 0.001)
 
 
 def decode(raw):
@@ -41,16 +41,16 @@
 
 
 class Node:
-    """Knows no secret; the store has version 7."""
+    """A node without the secret, and the store, which has version 7."""
 
     def __init__(self):
         clock = ManualClock()
         self.keyring = Keyring(clock)
         self.routes = ActiveRoutes(clock)
         self.value = b"7"
-        self.away = False
-        self.behind = False
-        self.meanwhile = None
+        self.is_unavailable = False
+        self.stale_reads_lag = False
+        self.during_read = None
         self.calls = 0
         self.forged = []
         self.task = RouteVerifier(
@@ -60,17 +60,17 @@
             key="k",
             decode=decode,
             clock=clock,
-            forged=lambda: self.forged.append(1),
+            on_forged=lambda: self.forged.append(1),
         )
 
     async def get(self, key, *, allow_stale=False):
         self.calls += 1
         await anyio.lowlevel.checkpoint()
-        if self.away:
-            raise StoreUnavailableError("away")
-        if self.meanwhile and not allow_stale:
-            self.meanwhile()
-        if allow_stale and self.behind:
+        if self.is_unavailable:
+            raise StoreUnavailableError("unavailable")
+        if self.during_read and not allow_stale:
+            self.during_read()
+        if allow_stale and self.stale_reads_lag:
             return None
         return StoreEntry(key, self.value, 1, 1) if self.value else None
 
@@ -89,141 +89,141 @@
         tasks.cancel_scope.cancel()
 
 
-async def settled():
+async def settle():
     for _ in range(50):
         await anyio.lowlevel.checkpoint()
 
 
-async def until(check):
+async def wait_until(check):
     with anyio.fail_after(WITHIN_S):
         while not check():  # noqa: ASYNC110
             await anyio.sleep(0.001)
 
 
 @pytest.mark.parametrize("accounts", [ACCOUNTS, ()])
-async def test_version_beyond_the_stores_is_found_out(node, accounts):
+async def test_version_newer_than_stored_is_forged(node, accounts):
     node.adopt(999, "peer 10.6.6.6", accounts)
-    await settled()
+    await settle()
     assert node.calls == 0
 
     node.keyring.update_secret(b"s" * 32, 1)
 
-    await until(lambda: node.forged)
+    await wait_until(lambda: node.forged)
     assert node.calls == 2
     assert node.keyring.signing_secret is None
 
 
 @pytest.mark.parametrize("behind", [False, True])
-async def test_other_content_of_the_stores_version_is_found_out(node, behind):
-    node.behind = behind
+async def test_other_content_of_stored_version_is_forged(node, behind):
+    node.stale_reads_lag = behind
     node.adopt(7, "peer 10.6.6.6", raw=b"07")
 
     node.keyring.update_secret(b"s" * 32, 1)
 
-    await until(lambda: node.forged)
+    await wait_until(lambda: node.forged)
     assert node.calls == 2
     assert node.keyring.signing_secret is None
 
 
-async def test_version_where_the_store_has_none_is_found_out(node):
+async def test_version_without_stored_routes_is_forged(node):
     node.value = None
     node.adopt(1, "peer 10.6.6.6")
 
     node.keyring.update_secret(b"s" * 32, 1)
 
-    await until(lambda: node.forged)
+    await wait_until(lambda: node.forged)
 
 
 @pytest.mark.parametrize("version", [5, 7])
-async def test_version_of_the_operator_stays(node, version):
+async def test_version_of_operator_is_accepted(node, version):
     node.adopt(version, "peer 10.0.0.2")
 
     node.keyring.update_secret(b"s" * 32, 1)
-    await settled()
+    await settle()
 
     assert node.calls == 1
     assert not node.forged
     assert node.keyring.signing_secret is not None
 
 
-async def test_an_old_answer_of_the_store_proves_nothing(node):
-    node.behind = True
+async def test_stale_read_without_routes_proves_nothing(node):
+    node.stale_reads_lag = True
     node.adopt(7, "peer 10.0.0.2")
 
     node.keyring.update_secret(b"s" * 32, 1)
-    await settled()
+    await settle()
 
     assert node.calls == 2
     assert not node.forged
 
 
 @pytest.mark.parametrize("source", ["store", "peer 10.0.0.3"])
-async def test_a_newer_version_that_comes_meanwhile_is_not_forged(node, source):
-    node.behind = True
-    node.meanwhile = lambda: node.adopt(9, source)
+async def test_newer_version_adopted_during_read_is_not_forged(node, source):
+    node.stale_reads_lag = True
+    node.during_read = lambda: node.adopt(9, source)
     node.adopt(7, "peer 10.0.0.2")
 
     node.keyring.update_secret(b"s" * 32, 1)
-    await settled()
+    await settle()
 
     assert node.calls == 2
     assert not node.forged
     assert node.keyring.signing_secret is not None
 
 
-async def test_what_replaces_a_forged_version_meanwhile_is_compared(node):
-    def replaced():
-        node.meanwhile = None
+async def test_replacement_adopted_during_read_is_compared(node):
+    def replace():
+        node.during_read = None
         node.adopt(9, "peer 10.0.0.3")
 
-    node.behind = True
-    node.meanwhile = replaced
+    node.stale_reads_lag = True
+    node.during_read = replace
     node.adopt(8, "peer 10.6.6.6")
     node.keyring.update_secret(b"s" * 32, 1)
-    await until(lambda: node.calls == 2)
+    await wait_until(lambda: node.calls == 2)
     assert not node.forged
     assert node.keyring.signing_secret is None
     node.value = b"9"
 
-    await until(lambda: node.keyring.signing_secret is not None)
+    await wait_until(lambda: node.keyring.signing_secret is not None)
     assert not node.forged
 
 
-async def test_store_that_is_away_is_asked_again(node):
-    node.away = True
+async def test_comparison_is_retried_while_store_is_unavailable(node):
+    node.is_unavailable = True
     node.adopt(999, "peer 10.6.6.6")
     node.keyring.update_secret(b"s" * 32, 1)
-    await until(lambda: node.calls >= 3)
+    await wait_until(lambda: node.calls >= 3)
     assert not node.forged
     assert node.keyring.signing_secret is None
 
-    node.away = False
+    node.is_unavailable = False
 
-    await until(lambda: node.forged)
+    await wait_until(lambda: node.forged)
 
 
-async def test_what_came_from_the_store_or_signed_costs_no_call(node):
+async def test_routes_from_store_or_authenticated_peer_need_no_call(node):
     node.adopt(3, "peer 10.0.0.2")
     node.adopt(7, "store")
     node.keyring.update_secret(b"s" * 32, 1)
     node.adopt(9, "peer 10.0.0.2")
-    await settled()
+    await settle()
 
     assert node.calls == 0
 
 
-async def test_without_a_secret_no_call_is_made(node):
+async def test_without_secret_store_is_not_called(node):
     node.adopt(3, "peer 10.0.0.2", ())
-    await settled()
+    await settle()
 
     assert node.calls == 0
 
 
-async def test_store_that_nobody_can_read_changes_nothing(node):
+async def test_malformed_stored_routes_change_nothing(node):
     node.value = b"x"
     node.adopt(999, "peer 10.6.6.6")
     node.keyring.update_secret(b"s" * 32, 1)
-    await settled()
+    await settle()
 
     assert node.calls == 1
     assert not node.forged
