--- a/src/radishwind/experiment/nodes.py
+++ b/src/radishwind/experiment/nodes.py
@@ -106,7 +106,7 @@
             sender=sender,
             dialect=PlatformDialect(),
             rumor_bus=NullRumorBus(),
-            learns_for_others=lambda: True,
+            is_early_learner=lambda: True,
             on_ready_changed=lambda ready: None,
             switches=switches,
         )
--- a/src/radishwind/sidecar/app.py
+++ b/src/radishwind/sidecar/app.py
@@ -158,7 +158,7 @@
             dialect=PlatformDialect(),
             rumor_bus=self._membership.rumor_bus,
             on_ready_changed=self._on_ready_changed,
-            learns_for_others=lambda: self._control.learns_for_others(),
+            is_early_learner=lambda: self._control.is_early_learner(),
             switches=self._switches,
             link_free_kbps=self._links.meter.free_kbps,
         )
--- a/src/radishwind/sidecar/control_side.py
+++ b/src/radishwind/sidecar/control_side.py
@@ -158,7 +158,7 @@
         """Takes changed settings."""
         self._settings = settings
 
-    def learns_for_others(self) -> bool:
+    def is_early_learner(self) -> bool:
         """Returns whether this node learns of its server before it is used.
 
         One that knows no other of its service learns once it has callers.
--- a/src/radishwind/sidecar/target_side.py
+++ b/src/radishwind/sidecar/target_side.py
@@ -1,4 +1,4 @@
-"""Wires the target side: the server beside, its slots, its load."""
+"""Wires the target side: the local backend server, its slots and its load."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -39,19 +39,31 @@
 from radishwind.target.warmup_limiter import WarmupLimiter
 from radishwind.telemetry.part_logger import PartLogger
 
-#: Requests that may wait at one target: more than come before the deadline of
-#: the first, so that only time refuses.
-QUEUE_LENGTH = 256
+#: Longest queue of a target: more requests than arrive before the deadline of
+#: the first one, so that requests are only refused for lack of time.
+MAX_QUEUED = 256
 
-#: The longest wait in the queue (s); the deadline of a request ends it before.
-QUEUE_WAIT_S = 30.0
+#: Longest wait in the queue; in practice the deadline of a request ends it.
+MAX_QUEUE_WAIT_S = 30.0
 
-#: Slots taken before the server told how many it has.
-FIRST_SLOTS = 4
+#: Slots assumed before the server has reported how many it has.
+DEFAULT_SLOTS = 4
 
 
 class SidecarTarget:
-    """The parts that decide on the server beside, and their task."""
+    """The parts that send requests to the local backend server.
+
+    Attributes:
+      server: what is known of the server by its heartbeats and responses.
+      quarantine: isolates requests suspected of crashing servers.
+      load_monitor: the latest load report of the server, and its pace.
+      concurrency_estimator: learns the best number of concurrent requests.
+      local_concurrency: counts the requests running at the server.
+      warmup_limiter: limits the requests to a cold server.
+      admission: queues requests and starts them when a slot is free.
+      pipeline: runs attempts at the server.
+      load_poller: the task that polls the server's load.
+    """
 
     def __init__(
         self,
@@ -62,27 +74,27 @@
         dialect: ServerDialect,
         rumor_bus: RumorBus,
         on_ready_changed: Callable[[bool], None],
-        learns_for_others: Callable[[], bool],
+        is_early_learner: Callable[[], bool],
         switches: Switches = ALL_ON,
         link_free_kbps: Callable[[], int] | None = None,
     ) -> None:
         """Wires the target side.
 
         Args:
-          settings: of the node.
+          settings: settings of the node.
           clock: the clock.
-          sender: sends to the server.
-          dialect: makes requests for it and reads its answers.
-          rumor_bus: tells what crashed the server.
-          on_ready_changed: told whether the server takes new work.
-          learns_for_others: returns whether this node learns of the server
-            before it is used, and tells the other nodes of the service.
-          switches: what is in use.
-          link_free_kbps: returns what the link of the node has left (kbit/s).
+          sender: sends requests to the server.
+          dialect: builds requests to the server and parses its responses.
+          rumor_bus: shares suspects of the quarantine with other nodes.
+          on_ready_changed: called with whether the server accepts new work.
+          is_early_learner: returns whether this node measures the server before
+            it gets requests, for all nodes of the service.
+          switches: the mechanisms in use.
+          link_free_kbps: returns the free capacity of the node's link (kbit/s).
         """
         self._switches = switches
         self._clock = clock
-        self._connections = FIRST_SLOTS
+        self._connections = DEFAULT_SLOTS
         self.server = RegisteredServer(
             settings.node,
             settings.service,
@@ -98,7 +110,7 @@
         )
         self.load_monitor = LoadMonitor(
             clock,
-            learns_for_others,
+            is_early_learner,
             callers_come_at_once=not settings.first_start,
         )
         self.concurrency_estimator = ConcurrencyEstimator()
@@ -116,12 +128,14 @@
             else math.inf,
             refuses_late_starts=switches.refuse_hopeless,
         )
-        watch = _Watch(clock, HealthEstimator(), self.quarantine, self.server)
+        recorder = _ReachabilityRecorder(
+            clock, HealthEstimator(), self.quarantine, self.server
+        )
         exchange = VerifyingExchange(
             clock=clock,
             sender=sender,
             dialect=dialect,
-            recorder=watch,
+            recorder=recorder,
             monitor=self.load_monitor,
             on_replaced=self._on_server_replaced,
         )
@@ -130,7 +144,7 @@
             admission=self.admission,
             sender=sender,
             server=self.server,
-            recorder=watch,
+            recorder=recorder,
             exchange=exchange,
             pace=self.load_monitor.current_pace,
             on_run=self._on_run,
@@ -146,61 +160,66 @@
             monitor=self.load_monitor,
             view=self._view,
             on_response=self._on_health_response,
-            on_unreachable=watch.record_connect_failure,
+            on_unreachable=recorder.record_connect_failure,
         )
         self.load_monitor.subscribe(self.pipeline.start_deferred)
-        self._watch = watch
+        self._recorder = recorder
         self._log = PartLogger("target", clock)
         self._settings = settings
 
-    def register(self, told: Registration) -> bool:
-        """Takes a heartbeat; returns whether it changed what is believed."""
-        before = self.server.process_count
-        changed = self.server.register(told)
-        if self.server.process_count != before:
-            self._watch.record_restart()
+    def register(self, registration: Registration) -> bool:
+        """Accepts the registration of the server in a heartbeat.
+
+        Returns:
+          Whether it changed the state of the server.
+        """
+        process_count = self.server.process_count
+        changed = self.server.register(registration)
+        if self.server.process_count != process_count:
+            self._recorder.record_restart()
             self.load_monitor.reset()
             self.concurrency_estimator.reset()
             self.quarantine.set_service(self.server.service)
-            self._follow_service()
-            self.warmup_limiter.record_start(told.warmup_left_s)
-        elif told.incarnation == self.server.incarnation:
-            self.warmup_limiter.record_heartbeat(told.warmup_left_s)
+            self._configure_service()
+            self.warmup_limiter.record_start(registration.warmup_left_s)
+        elif registration.incarnation == self.server.incarnation:
+            self.warmup_limiter.record_heartbeat(registration.warmup_left_s)
         self._update_limits()
         return changed
 
     def adopt(self, cfg: RouteConfig) -> None:
-        """Follows a new configuration."""
+        """Adopts a new routes configuration."""
         self._services = cfg.services
-        self._follow_service()
+        self._configure_service()
         self._update_limits()
 
     def apply_evacuation(self, domains: EvacuatedDomains) -> None:
-        """Follows which failure domains are emptied.
+        """Applies which failure domains are evacuated.
 
-        What waits goes elsewhere at once, while it still has time. A server may
-        have turned cold before it is to get work again.
+        Queued requests are refused at once, while they still have time to run
+        elsewhere. After an evacuation the state of the server is unknown, since
+        it may have become cold meanwhile.
         """
-        was_emptied = self.server.is_domain_evacuated
+        was_evacuated = self.server.is_domain_evacuated
         self.server.set_domain_evacuated(
             self._settings.failure_domain in domains.names
         )
-        refused = self.server.refusal()
-        if self.server.is_domain_evacuated and refused is not None:
-            self.admission.refuse_all(refused)
-        if was_emptied and not self.server.is_domain_evacuated:
+        refusal = self.server.refusal()
+        if self.server.is_domain_evacuated and refusal is not None:
+            self.admission.refuse_all(refusal)
+        if was_evacuated and not self.server.is_domain_evacuated:
             self.warmup_limiter.mark_unknown(self._clock.monotonic())
 
-    def _follow_service(self) -> None:
-        """Takes what is configured of the service of the server beside."""
+    def _configure_service(self) -> None:
+        """Applies the configuration of the server's service."""
         info = self._services.get(self.server.service)
         if info is None:
             return
         self._connections = info.connections
         self.server.set_health_path(info.health_path)
-        self.warmup_limiter.configure(self._warmup_law(info))
+        self.warmup_limiter.configure(self._warmup_limit(info))
 
-    def _warmup_law(self, info: ServiceInfo) -> WarmupLimit | None:
+    def _warmup_limit(self, info: ServiceInfo) -> WarmupLimit | None:
         if info.warmup_rate_per_s is None:
             return None
         return WarmupLimit(
@@ -211,7 +230,10 @@
         )
 
     def _view(self) -> ServerView | None:
-        """Returns the server to be asked; one not known by the settings."""
+        """Returns the server to poll; `None` for none.
+
+        Before the first heartbeat that is the server named in the settings.
+        """
         if self.server.is_domain_evacuated:
             return None
         if self.server.view is not None:
@@ -222,71 +244,78 @@
         return ServerView(self._settings.server, health_path=path)
 
     def _on_health_response(
-        self, answer: ResponseMetadata, good: bool, asked: float
+        self, response: ResponseMetadata, is_ok: bool, sent_at: float
     ) -> None:
-        """Takes what a health check that was sent at `asked` told.
+        """Handles the response to a health check.
 
-        A server that took no connections may have begun anew meanwhile.
-        An incarnation that no heartbeat named yet is taken from here, so that
-        a node which began anew need not wait for the next heartbeat.
+        A server that accepted no connections may have restarted meanwhile. An
+        incarnation that no heartbeat has named yet is registered by the
+        response, so that a restarted node need not wait for the next heartbeat.
+
+        Args:
+          response: what the response states.
+          is_ok: whether the check succeeded.
+          sent_at: when the check was sent (s, of the clock).
         """
         if self.server.is_down:
-            self.warmup_limiter.mark_unknown(asked)
+            self.warmup_limiter.mark_unknown(sent_at)
         self.server.mark_reachable()
-        if answer.warmup_left_s is not None:
-            self.warmup_limiter.record_check(answer.warmup_left_s, asked)
-        if not good or not answer.incarnation:
+        if response.warmup_left_s is not None:
+            self.warmup_limiter.record_check(response.warmup_left_s, sent_at)
+        if not is_ok or not response.incarnation:
             return
-        if self.server.incarnation or self.server.has_ended(answer.incarnation):
+        if self.server.incarnation or self.server.has_ended(
+            response.incarnation
+        ):
             return
-        slots = answer.load.slots if answer.load else 0
+        slots = response.load.slots if response.load else 0
         self.register(
             Registration(
-                answer.incarnation,
+                response.incarnation,
                 "",
                 None,
                 slots,
                 False,
-                answer.warmup_left_s or 0.0,
+                response.warmup_left_s or 0.0,
                 0,
             )
         )
-        if answer.warmup_left_s is None:
-            self.warmup_limiter.mark_unknown(asked)
+        if response.warmup_left_s is None:
+            self.warmup_limiter.mark_unknown(sent_at)
 
-    def _on_server_replaced(self, meant: str, incarnation: str) -> None:
-        """Takes that `incarnation` answered where `meant` was to."""
-        self.server.record_answering_incarnation(meant, incarnation)
+    def _on_server_replaced(self, expected: str, incarnation: str) -> None:
+        """Handles that `incarnation` answered instead of `expected`."""
+        self.server.record_answering_incarnation(expected, incarnation)
         self.warmup_limiter.mark_unknown(self._clock.monotonic())
 
     def _on_run(self, run: CompletedRun) -> None:
-        """Learns from a run how many at once are best."""
+        """Updates the best number of concurrent requests by a run."""
         if self._switches.room:
             self.concurrency_estimator.record_run(run, self._clock.monotonic())
             self._update_limits()
 
     def _update_limits(self) -> None:
-        slots = self.server.slots or FIRST_SLOTS
+        slots = self.server.slots or DEFAULT_SLOTS
         if self.server.view is None:
             slots = 0
-        room = self.concurrency_estimator.best_concurrency(slots)
-        probes = self.concurrency_estimator.is_probe_due(
+        best = self.concurrency_estimator.best_concurrency(slots)
+        is_probe_due = self.concurrency_estimator.is_probe_due(
             self._clock.monotonic()
         )
         limits = AdmissionLimits(
-            slots=room,
-            connections=max(self._connections, FIRST_SLOTS),
-            overcommit=1 if probes else 0,
-            max_queued=QUEUE_LENGTH,
-            max_queue_wait_s=QUEUE_WAIT_S,
+            slots=best,
+            connections=max(self._connections, DEFAULT_SLOTS),
+            overcommit=1 if is_probe_due else 0,
+            max_queued=MAX_QUEUED,
+            max_queue_wait_s=MAX_QUEUE_WAIT_S,
         )
         if limits == self._limits:
             return
         if limits.slots != self._limits.slots:
             self._log.info(
-                "Another number of requests at once is best.",
+                "The best number of concurrent requests changed.",
                 slots=slots,
-                best=room,
+                best=best,
                 before=self._limits.slots,
                 **self.concurrency_estimator.describe(),
             )
@@ -294,8 +323,8 @@
         self.admission.set_limits(limits)
 
 
-class _Watch(ExchangeRecorder):
-    """Also tells the server beside whether it can be reached."""
+class _ReachabilityRecorder(ExchangeRecorder):
+    """Also marks the server as unreachable when a connection fails."""
 
     def __init__(
         self,
--- a/src/radishwind/sidecar/tests/test_target_side.py
+++ b/src/radishwind/sidecar/tests/test_target_side.py
@@ -1,4 +1,4 @@
-"""What a server gets: nothing where it is emptied, little while cold."""
+"""Requests sent to a server whose domain is evacuated, or that is cold."""
 
 import anyio
 import pytest
@@ -25,7 +25,7 @@
 pytestmark = pytest.mark.anyio
 
 HERE = Address("10.0.0.1", 80)
-MOST = 17
+MAX_COLD = 17
 
 
 @pytest.fixture
@@ -64,15 +64,15 @@
     )
 
 
-class Beside:
-    """A target side with a server that answers at once, or when let."""
+class LocalServer:
+    """A target side whose server answers at once, or once allowed to."""
 
     def __init__(self, per_s=7.0):
         self.clock = ManualClock()
         self.sender = InProcessSender()
         self.sender.handlers[HERE] = self.answer
-        self.go = anyio.Event()
-        self.go.set()
+        self.may_answer = anyio.Event()
+        self.may_answer.set()
         self.target = SidecarTarget(
             settings=settings(),
             clock=self.clock,
@@ -80,29 +80,30 @@
             dialect=PlatformDialect(),
             rumor_bus=NullRumorBus(),
             on_ready_changed=lambda ready: None,
-            learns_for_others=lambda: True,
+            is_early_learner=lambda: True,
         )
         self.target.adopt(config(per_s))
         self.clock.advance(WINDOW_S)
 
     async def answer(self, request):
-        await self.go.wait()
+        await self.may_answer.wait()
         signed = ("Response-Signature", "x")
         name = ("Attempt-Id", "1")
         return Response(200, (signed, name), b"ok", 2)
 
-    def beat(self, cold_s=0.0, incarnation="i-1", order=1):
+    def send_heartbeat(self, warmup_left_s=0.0, incarnation="i-1", order=1):
         self.target.register(
-            Registration(incarnation, "s", HERE, 5, False, cold_s, order)
+            Registration(incarnation, "s", HERE, 5, False, warmup_left_s, order)
         )
 
-    def empty(self, *names, revision=1):
-        told = EvacuatedDomains(revision, frozenset(names))
-        self.target.apply_evacuation(told)
+    def evacuate(self, *names, revision=1):
+        domains = EvacuatedDomains(revision, frozenset(names))
+        self.target.apply_evacuation(domains)
 
-    async def run(self, rank=0):
+    async def run(self, priority=0):
         call = make_call(
-            request=Request("GET", "/", (("Attempt-Id", "1"),)), priority=rank
+            request=Request("GET", "/", (("Attempt-Id", "1"),)),
+            priority=priority,
         )
         outcome = (await self.target.pipeline.run(call)).outcome
         return None if isinstance(outcome, Done) else outcome.code
@@ -111,125 +112,125 @@
         return [await self.run() for _ in range(count)]
 
 
-async def test_an_emptied_server_gets_nothing_and_its_node_says_not_run():
-    beside = Beside()
-    beside.beat()
+async def test_evacuated_server_gets_nothing_and_node_reports_not_run():
+    local = LocalServer()
+    local.send_heartbeat()
 
-    beside.empty("a")
+    local.evacuate("a")
 
-    assert await beside.run() is ResultCode.DOMAIN_EMPTIED
-    assert beside.sender.sent == []
-    assert beside.target.pipeline.load_report().leaving
-    assert beside.target._view() is None
+    assert await local.run() is ResultCode.DOMAIN_EMPTIED
+    assert local.sender.sent == []
+    assert local.target.pipeline.load_report().leaving
+    assert local.target._view() is None
 
 
 @pytest.mark.parametrize("names", [(), ("b",), ("unknown",)])
-async def test_servers_of_other_failure_domains_are_used_on(names):
-    beside = Beside()
-    beside.beat()
+async def test_servers_of_other_failure_domains_stay_in_use(names):
+    local = LocalServer()
+    local.send_heartbeat()
 
-    beside.empty(*names)
+    local.evacuate(*names)
 
-    assert await beside.run() is None
+    assert await local.run() is None
 
 
-async def test_what_waits_when_it_is_emptied_goes_elsewhere_at_once():
-    beside = Beside()
-    beside.beat()
-    beside.go = anyio.Event()
+async def test_evacuation_refuses_queued_requests_at_once():
+    local = LocalServer()
+    local.send_heartbeat()
+    local.may_answer = anyio.Event()
     codes = []
 
     async def one():
-        codes.append(await beside.run())
+        codes.append(await local.run())
 
     async with anyio.create_task_group() as tasks:
         for _ in range(8):
             tasks.start_soon(one)
         await anyio.wait_all_tasks_blocked()
-        assert beside.target.admission.queued == 3
-        beside.empty("a")
+        assert local.target.admission.queued == 3
+        local.evacuate("a")
         await anyio.wait_all_tasks_blocked()
         assert codes == [ResultCode.DOMAIN_EMPTIED] * 3
-        beside.go.set()
+        local.may_answer.set()
 
     assert codes[3:] == [None] * 5
-    assert len(beside.sender.sent) == 5
+    assert len(local.sender.sent) == 5
 
 
-async def test_one_taken_back_is_cold_until_it_tells_anew():
-    beside = Beside()
-    beside.beat()
-    beside.empty("a")
-    asked_before = beside.clock.monotonic()
-    beside.clock.advance(5.0)
-    beside.empty(revision=2)
+async def test_server_is_cold_after_evacuation_until_it_reports():
+    local = LocalServer()
+    local.send_heartbeat()
+    local.evacuate("a")
+    sent_before = local.clock.monotonic()
+    local.clock.advance(5.0)
+    local.evacuate(revision=2)
 
-    beside.target._on_health_response(
-        ResponseMetadata(warmup_left_s=0.0), True, asked_before
+    local.target._on_health_response(
+        ResponseMetadata(warmup_left_s=0.0), True, sent_before
     )
-    codes = await beside.burst(MOST + 5)
+    codes = await local.burst(MAX_COLD + 5)
 
-    assert codes == [None] * MOST + [ResultCode.SERVER_COLD] * 5
-    now = beside.clock.monotonic()
-    beside.target._on_health_response(
+    assert codes == [None] * MAX_COLD + [ResultCode.SERVER_COLD] * 5
+    now = local.clock.monotonic()
+    local.target._on_health_response(
         ResponseMetadata(warmup_left_s=0.0), True, now
     )
-    assert await beside.run() is None
+    assert await local.run() is None
 
 
-async def test_a_server_that_fell_and_stands_again_is_cold_until_it_tells():
-    beside = Beside()
-    beside.beat()
-    beside.target.server.mark_unreachable()
-    asked = beside.clock.monotonic()
+async def test_server_reachable_again_is_cold_until_it_reports():
+    local = LocalServer()
+    local.send_heartbeat()
+    local.target.server.mark_unreachable()
+    sent_at = local.clock.monotonic()
 
-    beside.target._on_health_response(
-        ResponseMetadata(warmup_left_s=2.9), True, asked
+    local.target._on_health_response(
+        ResponseMetadata(warmup_left_s=2.9), True, sent_at
     )
 
-    assert (await beside.burst(MOST + 1))[-1] is ResultCode.SERVER_COLD
+    assert (await local.burst(MAX_COLD + 1))[-1] is ResultCode.SERVER_COLD
 
 
-async def test_another_incarnation_that_answers_is_cold_until_it_tells():
-    beside = Beside()
-    beside.beat()
-    assert (await beside.burst(40))[-1] is None
+async def test_other_incarnation_that_answers_is_cold_until_it_reports():
+    local = LocalServer()
+    local.send_heartbeat()
+    assert (await local.burst(40))[-1] is None
 
-    beside.target._on_server_replaced("i-1", "i-2")
+    local.target._on_server_replaced("i-1", "i-2")
 
-    assert await beside.run() is ResultCode.SERVER_COLD
+    assert await local.run() is ResultCode.SERVER_COLD
 
 
-async def test_a_server_that_nobody_told_of_is_bounded_from_the_first_on():
-    beside = Beside()
-    beside.target._on_health_response(
-        ResponseMetadata(incarnation="i-1"), True, beside.clock.monotonic()
+async def test_server_without_heartbeat_is_limited_from_first_request():
+    local = LocalServer()
+    local.target._on_health_response(
+        ResponseMetadata(incarnation="i-1"), True, local.clock.monotonic()
     )
 
-    assert (await beside.burst(MOST + 1))[-1] is ResultCode.SERVER_COLD
+    assert (await local.burst(MAX_COLD + 1))[-1] is ResultCode.SERVER_COLD
 
 
-async def test_where_nothing_is_configured_a_cold_server_gets_all_that_comes():
-    beside = Beside(per_s=None)
-    beside.beat(cold_s=3.0)
+async def test_cold_server_without_configured_limit_gets_all_requests():
+    local = LocalServer(per_s=None)
+    local.send_heartbeat(warmup_left_s=3.0)
 
-    assert set(await beside.burst(60)) == {None}
-    assert beside.target.pipeline.load_report().warmup_requests_left is None
+    assert set(await local.burst(60)) == {None}
+    assert local.target.pipeline.load_report().warmup_requests_left is None
 
 
-async def test_the_load_tells_how_many_a_cold_server_still_takes():
-    beside = Beside()
-    beside.beat(cold_s=3.0)
-    await beside.burst(MOST - 2)
+async def test_load_report_states_remaining_requests_of_cold_server():
+    local = LocalServer()
+    local.send_heartbeat(warmup_left_s=3.0)
+    await local.burst(MAX_COLD - 2)
 
-    assert beside.target.pipeline.load_report().warmup_requests_left == 2
+    assert local.target.pipeline.load_report().warmup_requests_left == 2
 
 
-async def test_a_new_law_holds_at_once():
-    beside = Beside(per_s=None)
-    beside.beat(cold_s=3.0)
-    await beside.burst(30)
+async def test_new_warmup_limit_applies_at_once():
+    local = LocalServer(per_s=None)
+    local.send_heartbeat(warmup_left_s=3.0)
+    await local.burst(30)
 
-    beside.target.adopt(config(7.0))
+    local.target.adopt(config(7.0))
 
-    assert await beside.run() is ResultCode.SERVER_COLD
+    assert await local.run() is ResultCode.SERVER_COLD
