--- a/src/radishwind/platform/__init__.py
+++ b/src/radishwind/platform/__init__.py
@@ -1,7 +1,8 @@
-"""The platform's wire: names, formats and calls, decoded once.
+"""The wire formats of the users' platform: names, messages and calls.
 
-Everything here turns bytes of the platform into typed values of this project
-and back. Nothing here decides anything; who decides gets the typed values.
+The modules of this package decode the platform's bytes into typed values of
+this project and encode them back. They make no decisions: other packages work
+with the typed values only.
 """
 
 from radishwind.platform.boot import decode_settings
--- a/src/radishwind/platform/boot.py
+++ b/src/radishwind/platform/boot.py
@@ -1,4 +1,4 @@
-"""Decodes the settings file that the platform writes for a process."""
+"""Decodes the settings file that the platform writes for each process."""
 
 import tomllib
 from typing import Any
@@ -9,7 +9,7 @@
 from radishwind.platform.errors import PlatformMalformedError
 from radishwind.settings.placed import PlacedSettings
 
-#: The variable that holds the path of the file.
+#: The environment variable with the path of the settings file.
 PATH_VARIABLE = "RADISHWIND_BOOT"
 
 
@@ -32,8 +32,8 @@
 
 class _File(msgspec.Struct, frozen=True, rename="kebab"):
     # `ip` is the address of the instance, `zone` its failure domain, `zones`
-    # all failure domains with their regions. `app-addr` is the backend server
-    # beside; `provider` is the platform's store.
+    # all failure domains with their regions. `app-addr` is the address of the
+    # local backend server; `provider` is the platform's store.
     node: str
     ip: str
     zone: str
@@ -44,35 +44,36 @@
     port_range: tuple[int, int]
     zones: dict[str, str] = {}
     heartbeat_ms: int = 1500
-    # Not what a process does to begin, but whether all of them begin now.
+    # Whether the whole fleet starts for the first time, not how this process
+    # starts.
     bootstrap: bool = False
     bounds: tuple[str, ...] = ()
     limits: _Limits = _Limits()
 
 
 def decode_settings(text: str, metrics_port: int = 0) -> PlacedSettings:
-    """Returns the settings in `text`, the platform's TOML.
+    """Decodes the platform's settings file.
 
     Args:
-      text: the file.
-      metrics_port: where metrics are served; 0 for nowhere.
+      text: content of the file, TOML.
+      metrics_port: port on which metrics are served; 0 to serve none.
 
     Raises:
       PlatformMalformedError: a field is missing or cannot be read.
     """
     try:
         file = msgspec.convert(tomllib.loads(text), _File)
-        return _settings(file, metrics_port)
+        return _make_settings(file, metrics_port)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as exc:
         raise PlatformMalformedError(f"settings file: {exc}") from exc
     except ValueError as exc:
         raise PlatformMalformedError(f"settings file: {exc}") from exc
 
 
-def _settings(file: _File, metrics_port: int) -> PlacedSettings:
-    texts = _texts(file.bounds)
-    bounds = _numbers(texts)
-    strict = _flag(texts, "strict-revoke")
+def _make_settings(file: _File, metrics_port: int) -> PlacedSettings:
+    texts = _split_bounds(file.bounds)
+    bounds = _parse_numbers(texts)
+    strict = _parse_flag(texts, "strict-revoke")
     return PlacedSettings(
         node=file.node,
         service=file.service,
@@ -105,11 +106,12 @@
     )
 
 
-def _flag(texts: dict[str, str], name: str) -> bool:
-    """Returns whether the bound `name` is true; false where it is missing.
+def _parse_flag(texts: dict[str, str], name: str) -> bool:
+    """Returns the value of the bound `name`; false if it is missing.
 
     Raises:
-      ValueError: it is neither; a rule is never off by a misspelt word.
+      ValueError: the value is neither true nor false. A misspelt value must
+        not turn a rule off.
     """
     text = texts.get(name, "false").lower()
     if text not in ("true", "false"):
@@ -117,24 +119,24 @@
     return text == "true"
 
 
-def _texts(lines: tuple[str, ...]) -> dict[str, str]:
-    """Returns the bounds as they are written, by name."""
-    found: dict[str, str] = {}
+def _split_bounds(lines: tuple[str, ...]) -> dict[str, str]:
+    """Returns the unparsed values of the bounds by name."""
+    texts: dict[str, str] = {}
     for line in lines:
-        name, mark, value = line.partition("=")
-        if not mark:
+        name, separator, value = line.partition("=")
+        if not separator:
             raise ValueError(f"bounds: expected NAME=VALUE, got {line[:80]!r}")
-        found[name.strip()] = value.strip()
-    return found
+        texts[name.strip()] = value.strip()
+    return texts
 
 
-def _numbers(texts: dict[str, str]) -> dict[str, float]:
-    """Returns the bounds that are numbers."""
-    read = {name: _number(text) for name, text in texts.items()}
-    return {name: n for name, n in read.items() if n is not None}
+def _parse_numbers(texts: dict[str, str]) -> dict[str, float]:
+    """Returns the numeric bounds by name."""
+    numbers = {name: _parse_number(text) for name, text in texts.items()}
+    return {name: n for name, n in numbers.items() if n is not None}
 
 
-def _number(text: str) -> float | None:
+def _parse_number(text: str) -> float | None:
     try:
         return float(text)
     except ValueError:
@@ -142,5 +144,5 @@
 
 
 def parse_tables(text: str) -> dict[str, Any]:
-    """Returns the file as plain tables, to be shown to operators."""
+    """Returns the settings file as plain tables, for display."""
     return tomllib.loads(text)
--- a/src/radishwind/platform/caller_fields.py
+++ b/src/radishwind/platform/caller_fields.py
@@ -1,4 +1,4 @@
-"""Decodes what a caller tells in header fields."""
+"""Decodes the header fields of requests from external callers."""
 
 from radishwind.entry.call import CallRejectedError
 from radishwind.entry.routed_classifier import CallerFields
@@ -24,19 +24,20 @@
 def decode_caller_fields(
     headers: Headers, own_service: str, *, accounts: bool = False
 ) -> CallerFields:
-    """Returns what a caller tells.
+    """Decodes the header fields of a caller's request.
 
     Args:
-      headers: as received, without those of one connection only.
-      own_service: the service of this instance; it goes on as the caller's.
-      accounts: whether there are client accounts, so that a key is read and
-        goes no further, nor does a name that the caller claims.
+      headers: fields as received, without hop-by-hop fields.
+      own_service: service of this instance, forwarded as the caller's service.
+      accounts: whether client accounts are configured. If so, the key is
+        decoded, and neither it nor an account that the caller claims is
+        forwarded.
 
     Raises:
-      CallRejectedError: the id is missing or a field cannot be read.
+      CallRejectedError: the request id is missing or a field is malformed.
     """
     request_id, timeout, host = "", "", ""
-    kept = []
+    forwarded = []
     keys: tuple[str, ...] = ()
     for item in headers:
         name = item[0].lower()
@@ -48,38 +49,42 @@
             host = item[1]
         if accounts and name in ACCOUNT_FIELDS:
             if name == _KEY:
-                keys += (_key(item[1]),)
+                keys += (_parse_key(item[1]),)
             continue
         if name not in OVERWRITTEN_FIELDS:
-            kept.append(item)
-    kept.append((CALLER_SERVICE, own_service))
+            forwarded.append(item)
+    forwarded.append((CALLER_SERVICE, own_service))
     if not 0 < len(request_id) <= _MAX_ID_CHARS:
         raise CallRejectedError(
             f"expected {REQUEST_ID} of 1 to {_MAX_ID_CHARS} characters, "
             f"got {len(request_id)}"
         )
     return CallerFields(
-        request_id, _timeout_ms(timeout), _host(host), tuple(kept), keys
+        request_id,
+        _parse_timeout_ms(timeout),
+        _strip_port(host),
+        tuple(forwarded),
+        keys,
     )
 
 
 def parse_host(headers: Headers) -> str:
-    """Returns the host that a request names; empty where it names none."""
-    return _host(get_header(headers, "host") or "")
+    """Returns the host of a request without its port; empty if it has none."""
+    return _strip_port(get_header(headers, "host") or "")
 
 
 def account_fields(headers: Headers) -> tuple[str, ...]:
-    """Returns the accounts that a request names to a backend server."""
+    """Returns all values of the field that names the account of a request."""
     return tuple(value for name, value in headers if name.lower() == _ACCOUNT)
 
 
 def add_account_field(headers: Headers, name: str) -> Headers:
-    """Returns `headers` with the account `name` for the backend server."""
+    """Returns `headers` with a field that names the account `name`."""
     return (*headers, (ACCOUNT, name))
 
 
-def _key(text: str) -> str:
-    """Returns the key in `text`; empty where that is malformed."""
+def _parse_key(text: str) -> str:
+    """Returns the API key in `text`; empty if it is malformed."""
     scheme, _, key = text.strip().partition(" ")
     key = key.strip()
     if scheme.lower() != KEY_SCHEME.lower() or not key.isascii():
@@ -87,7 +92,7 @@
     return "" if any(c.isspace() for c in key) else key
 
 
-def _timeout_ms(text: str) -> int | None:
+def _parse_timeout_ms(text: str) -> int | None:
     if not text:
         return None
     try:
@@ -101,8 +106,8 @@
     return int(value)
 
 
-def _host(text: str) -> str:
-    name, mark, port = text.rpartition(":")
-    if mark and port.isdigit():
+def _strip_port(text: str) -> str:
+    name, separator, port = text.rpartition(":")
+    if separator and port.isdigit():
         return name.lower()
     return text.lower()
--- a/src/radishwind/platform/errors.py
+++ b/src/radishwind/platform/errors.py
@@ -1,10 +1,10 @@
-"""Errors of what the platform sent, with the place and what was expected."""
+"""Errors in data from the platform."""
 
 from radishwind.core.codes import ResultCode
 from radishwind.core.errors import RadishwindError
 
 
 class PlatformMalformedError(RadishwindError):
-    """A message or file of the platform cannot be read; nothing was taken."""
+    """A message or file of the platform is malformed and was ignored whole."""
 
     code = ResultCode.PLATFORM_MALFORMED
--- a/src/radishwind/platform/header_fields.py
+++ b/src/radishwind/platform/header_fields.py
@@ -1,52 +1,53 @@
-"""Names of the platform's header fields and paths; used in here only."""
+"""Names of the platform's header fields and paths, for this package only."""
 
-#: Names a sending of a caller; it goes on unchanged and answers echo it. One
-#: sending may become several attempts of ours.
+#: The id of a caller's request. It is forwarded unchanged and responses echo
+#: it. A node may make several attempts for one request.
 REQUEST_ID = "Attempt-Id"
 
-#: How long the receiver may take (ms), counted from its arrival.
+#: The time that the receiver has (ms), from the arrival of the request.
 TIMEOUT = "Timeout-Ms"
 
-#: The incarnation of the backend server that is meant; any other refuses.
+#: The incarnation that the request is for; any other refuses it.
 EXPECTED_INCARNATION = "Expect-Instance"
 
-#: The service of the instance on which the request began.
+#: The service of the instance from which the request originates.
 CALLER_SERVICE = "Caller-Service"
 
-#: The backend server's signature of its answer; an answer of success without
-#: it does not count.
+#: The backend server's signature of its response. A successful response without
+#: it is not authentic.
 SIGNATURE = "Response-Signature"
 
-#: Marks an answer of a backend server that did not run the request.
+#: Marks the response of a backend server that did not run the request.
 NOT_EXECUTED = "Not-Executed"
 
-#: Running, waiting, slots, and the time that work takes in percent of usual.
+#: Running requests, queued requests, slots, and run time in percent of normal.
 LOAD = "Server-Load"
 
-#: How much longer the backend server is cold (ms); in health answers.
+#: The warm-up time left of the backend server (ms); in health responses.
 WARMUP = "Warmup-Ms"
 
-#: The incarnation of the backend server that answers.
+#: The incarnation of the responding backend server.
 SERVER_INCARNATION = "Instance-Id"
 
-#: Carries a caller's key; it goes to nobody.
+#: A caller's API key; it is never forwarded.
 KEY = "Authorization"
 
-#: The scheme of a key in that field.
+#: The authentication scheme in that field.
 KEY_SCHEME = "Token"
 
-#: The account whose key a request carries.
+#: The client account whose API key the request carries.
 ACCOUNT = "Tenant"
 
-#: Fields of a caller that the system sets anew (lower case).
+#: Fields of a caller that the node overwrites (lower case).
 OVERWRITTEN_FIELDS = frozenset(
     {TIMEOUT.lower(), EXPECTED_INCARNATION.lower(), CALLER_SERVICE.lower()}
 )
 
-#: The same where there are client accounts (lower case).
+#: Further fields that the node overwrites if there are client accounts (lower
+#: case).
 ACCOUNT_FIELDS = frozenset({KEY.lower(), ACCOUNT.lower()})
 
-#: Fields by which a backend server speaks to the system only (lower case).
+#: Fields from a backend server that the node does not forward (lower case).
 NODE_ONLY_FIELDS = frozenset(
     {LOAD.lower(), SERVER_INCARNATION.lower(), WARMUP.lower()}
 )
--- a/src/radishwind/platform/platform_dialect.py
+++ b/src/radishwind/platform/platform_dialect.py
@@ -1,4 +1,4 @@
-"""How a request and its answer look between a node and the server beside."""
+"""The platform's header fields between a node and its backend server."""
 
 from radishwind.entry.call import Call
 from radishwind.http.types import get_header
@@ -18,27 +18,28 @@
 from radishwind.target.dialect import ServerDialect
 from radishwind.target.dialect import ServerLoad
 
-_ANOTHER_INCARNATION = 421
-_USUAL_PERCENT = 100.0
+#: The status by which a server refuses requests for another incarnation.
+_OTHER_INCARNATION_STATUS = 421
+_NORMAL_PACE_PERCENT = 100.0
 
-#: A load figure beyond this is an error of its writer.
-_MOST_FIGURE = 1e6
+#: Larger values in a load report are treated as malformed.
+_MAX_LOAD_VALUE = 1e6
 
 
 class PlatformDialect(ServerDialect):
-    """The platform's fields towards a backend server."""
+    """Encodes requests to backend servers and parses their responses."""
 
     def build_request(
         self, call: Call, incarnation: str, left_s: float
     ) -> Request:
-        told = [(TIMEOUT, str(max(1, int(left_s * 1000))))]
+        added = [(TIMEOUT, str(max(1, int(left_s * 1000))))]
         if incarnation:
-            told.append((EXPECTED_INCARNATION, incarnation))
+            added.append((EXPECTED_INCARNATION, incarnation))
         request = call.request
         return Request(
             request.method,
             request.path,
-            (*request.headers, *told),
+            (*request.headers, *added),
             request.body,
             request.body_bytes,
         )
@@ -49,54 +50,58 @@
     def parse_response(
         self, call: Call, response: Response
     ) -> ResponseMetadata:
-        found: dict[str, str] = {}
-        kept = []
+        fields: dict[str, str] = {}
+        forwarded = []
         for item in response.headers:
             name = item[0].lower()
-            found[name] = item[1]
+            fields[name] = item[1]
             if name not in NODE_ONLY_FIELDS:
-                kept.append(item)
+                forwarded.append(item)
         success = 200 <= response.status < 300
-        encoded = "content-encoding" in found
-        unsigned = success and SIGNATURE.lower() not in found
-        # A refusal of ours and one of the server differ by this field.
-        not_run = NOT_EXECUTED.lower() in found or _is_another(response)
+        encoded = "content-encoding" in fields
+        unsigned = success and SIGNATURE.lower() not in fields
+        # This field distinguishes a server's refusal from one by a node.
+        not_run = NOT_EXECUTED.lower() in fields or _is_other_incarnation(
+            response
+        )
         return ResponseMetadata(
-            matches_request=_names(call, found, not_run),
-            incarnation=found.get(SERVER_INCARNATION.lower(), ""),
+            matches_request=_matches_request(call, fields, not_run),
+            incarnation=fields.get(SERVER_INCARNATION.lower(), ""),
             is_not_run=not_run,
-            is_other_incarnation=_is_another(response),
+            is_other_incarnation=_is_other_incarnation(response),
             is_authentic=not encoded and not unsigned,
-            load=_load(found.get(LOAD.lower())),
-            headers=tuple(kept),
+            load=_parse_load(fields.get(LOAD.lower())),
+            headers=tuple(forwarded),
         )
 
     def parse_health_response(self, response: Response) -> ResponseMetadata:
         return ResponseMetadata(
             incarnation=get_header(response.headers, SERVER_INCARNATION.lower())
             or "",
-            load=_load(get_header(response.headers, LOAD.lower())),
-            warmup_left_s=_cold_s(get_header(response.headers, WARMUP.lower())),
+            load=_parse_load(get_header(response.headers, LOAD.lower())),
+            warmup_left_s=_parse_warmup_left(
+                get_header(response.headers, WARMUP.lower())
+            ),
         )
 
 
-def _names(call: Call, found: dict[str, str], not_run: bool) -> bool:
-    """Returns whether an answer names the request of `call`.
+def _matches_request(call: Call, fields: dict[str, str], not_run: bool) -> bool:
+    """Returns whether the fields of a response carry the id of `call`.
 
-    A server that refuses may leave the name out; any other answer has it.
+    A refusal may omit the request id; any other response must carry it.
     """
-    told = found.get(REQUEST_ID.lower())
-    if told is None:
+    request_id = fields.get(REQUEST_ID.lower())
+    if request_id is None:
         return not_run
-    return told == get_header(call.request.headers, REQUEST_ID.lower())
+    return request_id == get_header(call.request.headers, REQUEST_ID.lower())
 
 
-def _is_another(response: Response) -> bool:
-    return response.status == _ANOTHER_INCARNATION
+def _is_other_incarnation(response: Response) -> bool:
+    return response.status == _OTHER_INCARNATION_STATUS
 
 
-def _cold_s(text: str | None) -> float | None:
-    """Returns the time in `text` (s); `None` where it is none or malformed."""
+def _parse_warmup_left(text: str | None) -> float | None:
+    """Returns the warm-up time left (s); `None` if missing or malformed."""
     if not text:
         return None
     try:
@@ -106,18 +111,18 @@
     return left_ms / 1000 if 0 <= left_ms <= MAX_WARMUP_MS else None
 
 
-def _load(text: str | None) -> ServerLoad | None:
-    """Returns the load in `text`; `None` where it is none or malformed."""
+def _parse_load(text: str | None) -> ServerLoad | None:
+    """Returns the load report in `text`; `None` if missing or malformed."""
     if not text:
         return None
     try:
-        figures = [float(part) for part in text.split(",")]
+        values = [float(part) for part in text.split(",")]
     except ValueError:
         return None
-    sound = all(0 <= figure <= _MOST_FIGURE for figure in figures)
-    if len(figures) < 3 or not sound:
+    is_valid = all(0 <= value <= _MAX_LOAD_VALUE for value in values)
+    if len(values) < 3 or not is_valid:
         return None
-    pace = figures[3] / _USUAL_PERCENT if len(figures) > 3 else 1.0
+    pace = values[3] / _NORMAL_PACE_PERCENT if len(values) > 3 else 1.0
     return ServerLoad(
-        int(figures[0]), int(figures[1]), int(figures[2]), max(0.01, pace)
+        int(values[0]), int(values[1]), int(values[2]), max(0.01, pace)
     )
--- a/src/radishwind/platform/platform_store.py
+++ b/src/radishwind/platform/platform_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store."""
+"""Client of the platform's store."""
 
 import base64
 from collections.abc import AsyncIterator
@@ -33,16 +33,16 @@
 from radishwind.store.base import TxnResult
 from radishwind.store.base import WatchEvent
 
-#: How long a call may take (s). The store answers in 4 ms, and in 0.3 s where
-#: it is slow; a call on a connection that went silent never ends by itself.
+#: Timeout of a call (s). The store responds within 4 ms, and within 0.3 s when
+#: it is slow; a call on a silent connection would never end by itself.
 CALL_TIMEOUT_S = 1.0
 
-#: How long a watch waits for a change (s); each return costs a call, and the
-#: store takes at most 30 s.
+#: How long a watch call waits for a change (s). Each return costs another
+#: call; the store accepts at most 30 s.
 WATCH_WAIT_S = 29.0
 
-#: What a watch may take beyond its wait (s).
-_WATCH_SLACK_S = 2.0
+#: Timeout of a watch call beyond its wait (s).
+_WATCH_MARGIN_S = 2.0
 
 _CONNECT_TIMEOUT_S = 0.5
 _JSON = (("Content-Type", "application/json"), ("Host", "store"))
@@ -57,13 +57,13 @@
     created_rev: int = 0
     lease: int = 0
     removed: bool = False
-    # The store's revision when it answered; of single items only.
+    # The store's revision at the time of the response; in single items only.
     current_rev: int = 0
 
 
 class _Range(msgspec.Struct, frozen=True, rename="kebab"):
-    # Decoded one by one: others may write there, and one bad item is no reason
-    # to lose the rest.
+    # Decoded one by one: other programs may write below the prefix, and one
+    # malformed item must not make the others unreadable.
     items: tuple[msgspec.Raw, ...] = ()
     truncated: bool = False
     current_rev: int = 0
@@ -88,7 +88,7 @@
 
 
 class PlatformStore(Store):
-    """Speaks to the platform's store; every method is one call or one page."""
+    """Store that the platform provides; each method makes one call per page."""
 
     def __init__(
         self,
@@ -96,58 +96,59 @@
         address: Address,
         on_item_skipped: Callable[[str], None] | None = None,
     ) -> None:
-        """Makes a client.
+        """Initializes the client.
 
         Args:
           sender: sends the calls.
-          address: of the store.
-          on_item_skipped: called with the reason for each item that cannot be
-            read.
+          address: address of the store.
+          on_item_skipped: called with the reason for each malformed item,
+            which is skipped.
         """
         self._sender = sender
         self._address = address
-        self._on_item_skipped = on_item_skipped or _ignored
+        self._on_item_skipped = on_item_skipped or _ignore
 
     async def get(
         self, key: str, *, allow_stale: bool = False
     ) -> StoreEntry | None:
-        asked = {"key": key} | _staleness(allow_stale)
-        response = await self._call("GET", _path("kv-key", **asked))
+        query = {"key": key} | _stale_query(allow_stale)
+        response = await self._call("GET", _make_path("kv-key", **query))
         if response.status == 404:
             return None
-        return _entry(await _decoded(response, _Item))
+        return _make_entry(await _decode_response(response, _Item))
 
     async def list(
         self, prefix: str, limit: int = 0, *, allow_stale: bool = False
     ) -> tuple[StoreEntry, ...]:
-        found: list[StoreEntry] = []
+        entries: list[StoreEntry] = []
         after = ""
         while True:
-            asked = {"prefix": prefix} | _staleness(allow_stale)
+            query = {"prefix": prefix} | _stale_query(allow_stale)
             if after:
-                asked["after"] = after
-            response = await self._call("GET", _path("kv-range", **asked))
-            page = await _decoded(response, _Range)
-            found += [
-                _entry(item, page.current_rev)
-                for item in self._readable(page.items)
+                query["after"] = after
+            response = await self._call("GET", _make_path("kv-range", **query))
+            page = await _decode_response(response, _Range)
+            entries += [
+                _make_entry(item, page.current_rev)
+                for item in self._decode_items(page.items)
             ]
             if not page.truncated or not page.items:
                 break
-            if limit and len(found) >= limit:
+            if limit and len(entries) >= limit:
                 break
-            after = _key_of(page.items[-1])
+            after = _decode_key(page.items[-1])
             if not after:
                 raise StoreAnswerMalformedError(
                     "expected a key in the last item of a page, got none"
                 )
-        return tuple(found[:limit] if limit else found)
+        return tuple(entries[:limit] if limit else entries)
 
     async def revision(self) -> int:
-        # The page behind the only key so named is empty: no value travels.
-        asked = {"prefix": CONFIG_KEY, "after": CONFIG_KEY}
-        response = await self._call("GET", _path("kv-range", **asked))
-        revision = (await _decoded(response, _Range)).current_rev
+        # Only one key has this prefix, so the page after it is empty and the
+        # response carries the revision without any value.
+        query = {"prefix": CONFIG_KEY, "after": CONFIG_KEY}
+        response = await self._call("GET", _make_path("kv-range", **query))
+        revision = (await _decode_response(response, _Range)).current_rev
         if revision <= 0:
             raise StoreAnswerMalformedError(
                 f"expected the store's revision, got {revision}"
@@ -161,32 +162,32 @@
             "expected-rev": [
                 {"key": c.key, "rev": c.mod_revision or 0} for c in compares
             ],
-            "puts": [_put(o) for o in operations if isinstance(o, Put)],
+            "puts": [_encode_put(o) for o in operations if isinstance(o, Put)],
             "deletes": [o.key for o in operations if isinstance(o, Delete)],
         }
         response = await self._call(
             "POST", "/-/kv-txn", msgspec.json.encode(body)
         )
         if response.status == 412:
-            await _drained(response)
+            await _read_response(response)
             return TxnResult(False, 0)
-        done = await _decoded(response, _Revision)
-        return TxnResult(True, done.rev)
+        result = await _decode_response(response, _Revision)
+        return TxnResult(True, result.rev)
 
     async def grant(self, ttl_s: int) -> int:
         body = msgspec.json.encode({"ttl-ms": ttl_s * 1000})
         response = await self._call("POST", "/-/kv-lease", body)
-        return (await _decoded(response, _Lease)).lease
+        return (await _decode_response(response, _Lease)).lease
 
     async def keep_alive(self, lease_id: int) -> int:
         response = await self._call("POST", f"/-/kv-keep/{lease_id}")
         if response.status == 404:
-            await _drained(response)
+            await _read_response(response)
             return 0
-        return (await _decoded(response, _Lease)).ttl_ms // 1000
+        return (await _decode_response(response, _Lease)).ttl_ms // 1000
 
     async def revoke(self, lease_id: int) -> None:
-        await _drained(
+        await _read_response(
             await self._call("DELETE", f"/-/kv-lease-end/{lease_id}")
         )
 
@@ -197,28 +198,28 @@
         while True:
             response = await self._call(
                 "GET",
-                _path(
+                _make_path(
                     "kv-watch",
                     prefix=prefix,
                     after=str(after),
                     **{"wait-ms": str(int(WATCH_WAIT_S * 1000))},
                 ),
-                timeout_s=WATCH_WAIT_S + _WATCH_SLACK_S,
+                timeout_s=WATCH_WAIT_S + _WATCH_MARGIN_S,
             )
-            told = await _decoded(response, _Events)
-            for item in self._readable(told.events):
-                entry = None if item.removed else _entry(item)
+            page = await _decode_response(response, _Events)
+            for item in self._decode_items(page.events):
+                entry = None if item.removed else _make_entry(item)
                 yield WatchEvent(item.key, entry, item.rev)
-            after = max(after, told.current_rev)
+            after = max(after, page.current_rev)
 
-    def _readable(self, raws: Sequence[msgspec.Raw]) -> Iterator[_Item]:
-        """Returns the items that can be read; says which can't."""
+    def _decode_items(self, raws: Sequence[msgspec.Raw]) -> Iterator[_Item]:
+        """Yields the decoded items; reports and skips malformed ones."""
         for raw in raws:
             try:
                 item = msgspec.json.decode(raw, type=_Item)
                 base64.b64decode(item.value, validate=True)
             except (msgspec.MsgspecError, ValueError) as exc:
-                key = _key_of(raw)[:80]
+                key = _decode_key(raw)[:80]
                 self._on_item_skipped(f"item {key!r}: {exc}")
                 continue
             yield item
@@ -233,12 +234,13 @@
         body: bytes = b"",
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> Response:
-        """Returns an answer that says what the call did.
+        """Makes a call and returns its response, of status 200, 404 or 412.
 
         Raises:
           StoreUnavailableError: the call certainly had no effect.
-          StoreAnswerLostError: it may have had one, now or later.
-          StoreCompactedError: the history asked for is gone.
+          StoreAnswerLostError: the call may have had an effect, or may still
+            have one later.
+          StoreCompactedError: the requested history is no longer kept.
         """
         request = Request(method, path, _JSON, body, len(body))
         try:
@@ -252,7 +254,7 @@
             raise StoreAnswerLostError(f"{method}: {exc!r}") from exc
         if response.status in (200, 404, 412):
             return response
-        await _drained(response)
+        await _read_response(response)
         if response.status == 410:
             raise StoreCompactedError("expected history, got 410")
         raise StoreUnavailableError(
@@ -261,24 +263,24 @@
         )
 
 
-def _staleness(allow_stale: bool) -> dict[str, str]:
-    """Returns the words of a read that may be answered with old state."""
+def _stale_query(allow_stale: bool) -> dict[str, str]:
+    """Returns the query parameters for a read that may return stale state."""
     return {"allow-stale": "1"} if allow_stale else {}
 
 
-def _path(name: str, **query: str) -> str:
+def _make_path(name: str, **query: str) -> str:
     return f"/-/{name}?{urllib.parse.urlencode(query)}"
 
 
-async def _drained(response: Response) -> bytes:
+async def _read_response(response: Response) -> bytes:
     try:
         return await read_body(response.body)
     except SendError as exc:
-        raise StoreAnswerLostError(f"answer cut: {exc}") from exc
+        raise StoreAnswerLostError(f"response broken off: {exc}") from exc
 
 
-async def _decoded(response: Response, kind: type[_T]) -> _T:
-    body = await _drained(response)
+async def _decode_response(response: Response, kind: type[_T]) -> _T:
+    body = await _read_response(response)
     if response.status != 200:
         raise StoreUnavailableError(
             f"expected status 200, got {response.status}"
@@ -286,22 +288,22 @@
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.MsgspecError, ValueError) as exc:
-        raise StoreAnswerMalformedError(f"answer: {exc}") from exc
+        raise StoreAnswerMalformedError(f"response: {exc}") from exc
 
 
-def _key_of(raw: msgspec.Raw) -> str:
-    """Returns the key of an item, whatever else is in it; empty if none."""
+def _decode_key(raw: msgspec.Raw) -> str:
+    """Returns the key of a possibly malformed item; empty if it has none."""
     try:
         return msgspec.json.decode(raw, type=_Key).key
     except (msgspec.MsgspecError, ValueError):
         return ""
 
 
-def _ignored(reason: str) -> None:
-    """Takes why an item was left out where nobody wants to know."""
+def _ignore(reason: str) -> None:
+    """Ignores the reason why an item was skipped."""
 
 
-def _entry(item: _Item, store_revision: int = 0) -> StoreEntry:
+def _make_entry(item: _Item, store_revision: int = 0) -> StoreEntry:
     try:
         value = base64.b64decode(item.value, validate=True)
     except ValueError as exc:
@@ -316,6 +318,6 @@
     )
 
 
-def _put(put: Put) -> dict[str, Any]:
+def _encode_put(put: Put) -> dict[str, Any]:
     value = base64.b64encode(put.value).decode()
     return {"key": put.key, "value": value, "lease": put.lease_id}
--- a/src/radishwind/platform/responses.py
+++ b/src/radishwind/platform/responses.py
@@ -1,4 +1,4 @@
-"""Answers of our own as the platform's callers read them."""
+"""Responses of the node as the platform's callers expect them."""
 
 import msgspec
 
@@ -14,28 +14,28 @@
 
 _RETRY_AFTER = "Retry-After"
 
-#: The family of codes by which one node refuses what another sent.
-_OF_PEERS = 6
+#: The family of codes by which a node refuses messages of its peers.
+_PEER_FAMILY = 6
 
 _CHALLENGE = ("WWW-Authenticate", KEY_SCHEME)
 
 
 def respond(outcome: Outcome) -> Response:
-    """Returns the final answer to the caller for `outcome`.
+    """Returns the final response to the caller for `outcome`.
 
-    Callers here read fractions of a second in `Retry-After`, which tells them
-    to come back long before a whole second is over.
+    The platform's callers read fractions of a second in `Retry-After`, so that
+    they can be asked to retry well within a second.
     """
     response = outcome_response(outcome)
     if isinstance(outcome, Done):
         return response
-    if outcome.code // 1000 == _OF_PEERS:
-        response = _refused_by_peer(outcome)
+    if outcome.code // 1000 == _PEER_FAMILY:
+        response = _peer_refusal_response(outcome)
     if outcome.retry_after_s is None:
         return response
     headers = [item for item in response.headers if item[0] != _RETRY_AFTER]
     if outcome.code is ResultCode.KEY_REFUSED:
-        # To come back with the same key is of no use.
+        # A retry with the same key would fail again.
         return msgspec.structs.replace(response, headers=(*headers, _CHALLENGE))
     headers.append((_RETRY_AFTER, f"{outcome.retry_after_s:.3f}"))
     return Response(
@@ -43,14 +43,19 @@
     )
 
 
-def _refused_by_peer(outcome: NotRun | Unknown) -> Response:
-    """Returns the answer for what one node refused another.
+def _peer_refusal_response(outcome: NotRun | Unknown) -> Response:
+    """Returns the response to the caller if one node refused another.
 
-    The status of such a code is for the node; the caller did nothing wrong.
+    The status that belongs to such a code addresses the refused node and would
+    blame the caller, who did nothing wrong.
     """
-    status, said = (
+    status, outcome_name = (
         (503, "not-run") if isinstance(outcome, NotRun) else (502, "unknown")
     )
     return make_problem_response(
-        outcome.code, status, outcome.detail, said, outcome.retry_after_s
+        outcome.code,
+        status,
+        outcome.detail,
+        outcome_name,
+        outcome.retry_after_s,
     )
--- a/src/radishwind/platform/routes.py
+++ b/src/radishwind/platform/routes.py
@@ -13,19 +13,19 @@
 from radishwind.routes.model import ServiceInfo
 from radishwind.routes.model import WeightedService
 
-#: The key of the store that holds the newest configuration, whole.
+#: The store key that holds the complete newest configuration.
 CONFIG_KEY = "op/config"
 
-#: Below it lies all that the operator writes, and nothing of others.
+#: The store prefix under which the operator, and nobody else, writes.
 OPERATOR_PREFIX = "op/"
 
-#: Below it lies a key for each failure domain that is to be emptied.
+#: The store prefix of the keys that name evacuated failure domains.
 _EVACUATION_PREFIX = "op/evacuate/"
 
-#: Kinds of routes whose requests may run more than once.
+#: The kinds of routes whose requests may run more than once.
 _IDEMPOTENT_KINDS = frozenset({"safe", "download"})
 
-#: The kind of routes whose answers are large.
+#: The kind of routes whose responses are large.
 _LARGE_KIND = "download"
 
 _Milliseconds = Annotated[float, msgspec.Meta(ge=0)]
@@ -60,7 +60,7 @@
 
 
 class _Tenant(msgspec.Struct, frozen=True, rename="kebab"):
-    # A client account; a rate of 0 is no limit.
+    # A client account; a rate of 0 means no limit.
     name: str
     api_keys: tuple[str, ...] = ()
     priority: int | None = None
@@ -87,10 +87,14 @@
 
 
 def decode_routes(data: bytes) -> RouteConfig:
-    """Returns the configuration in `data`.
+    """Decodes a configuration.
+
+    Args:
+      data: content of the key `CONFIG_KEY`, JSON.
 
     Raises:
-      PlatformMalformedError: it cannot be read; it says where and why.
+      PlatformMalformedError: `data` is malformed; the message states where
+        and why.
     """
     try:
         cfg = _decoder.decode(data)
@@ -98,7 +102,7 @@
         raise PlatformMalformedError(f"configuration: {exc}") from exc
     return RouteConfig(
         cfg.version,
-        tuple(_route(route) for route in cfg.routes),
+        tuple(_make_route(route) for route in cfg.routes),
         {
             s.name: ServiceInfo(
                 s.name,
@@ -115,19 +119,19 @@
             cfg.limits.header_timeout_ms / 1000,
             cfg.limits.idle_timeout_ms / 1000,
         ),
-        tuple(_account(tenant) for tenant in cfg.tenants),
+        tuple(_make_account(tenant) for tenant in cfg.tenants),
     )
 
 
 def evacuated_domain(key: str) -> str | None:
-    """Returns the failure domain that `key` says is emptied, if it does."""
+    """Returns the failure domain evacuated by `key`, if there is one."""
     if not key.startswith(_EVACUATION_PREFIX):
         return None
     name = key.removeprefix(_EVACUATION_PREFIX)
     return name if name and "/" not in name else None
 
 
-def _account(tenant: _Tenant) -> Account:
+def _make_account(tenant: _Tenant) -> Account:
     return Account(
         tenant.name,
         tuple(digest_key(key) for key in tenant.api_keys),
@@ -137,7 +141,7 @@
     )
 
 
-def _route(route: _Route) -> Route:
+def _make_route(route: _Route) -> Route:
     weighted_services = tuple(
         WeightedService(part.service, part.weight) for part in route.split
     )
--- a/src/radishwind/platform/simulated_endpoints.py
+++ b/src/radishwind/platform/simulated_endpoints.py
@@ -1,6 +1,7 @@
-"""The other ends of the wire, callers and backend servers, for models of them.
+"""Messages of callers and backend servers, for simulations of them.
 
-Nodes read and make the same fields in `caller` and `dialect`.
+Nodes decode and encode the same header fields in `caller_fields` and
+`platform_dialect`.
 """
 
 import dataclasses
@@ -17,17 +18,17 @@
 from radishwind.platform.header_fields import WARMUP
 from radishwind.target.dialect import ServerLoad
 
-#: Taken where a request tells no time (s).
-_NO_TIMEOUT_S = 10.0
+#: The timeout of requests that carry none (s).
+_DEFAULT_TIMEOUT_S = 10.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SimulatedRequest:
-    """One request as its caller sends it.
+    """A request as its caller sends it.
 
     Attributes:
-      request_id: names it, unique.
-      timeout_s: how long the caller waits (s).
+      request_id: unique id.
+      timeout_s: time that the caller waits for the response (s).
     """
 
     request_id: str
@@ -48,9 +49,9 @@
 
 
 def decode_simulated_request(request: Request) -> SimulatedRequest:
-    """Returns what a backend server reads of a request."""
+    """Decodes the fields of a request that a backend server reads."""
     timeout_ms = get_header(request.headers, TIMEOUT.lower())
-    timeout_s = float(timeout_ms) / 1000 if timeout_ms else _NO_TIMEOUT_S
+    timeout_s = float(timeout_ms) / 1000 if timeout_ms else _DEFAULT_TIMEOUT_S
     return SimulatedRequest(
         get_header(request.headers, REQUEST_ID.lower()) or "", timeout_s
     )
@@ -59,30 +60,30 @@
 def build_simulated_response(
     request: SimulatedRequest, status: int, incarnation: str, load: ServerLoad
 ) -> Response:
-    """Returns a backend server's answer to what it ran."""
-    fields = [(REQUEST_ID, request.request_id), _load(load)]
+    """Returns a backend server's response to a request that it ran."""
+    fields = [(REQUEST_ID, request.request_id), _load_field(load)]
     if status == 200:
         fields.append((SIGNATURE, f"{incarnation}.{request.request_id}"))
     return Response(status, tuple(fields), b"done", 4)
 
 
 def build_refusal(load: ServerLoad) -> Response:
-    """Returns a backend server's refusal of what it did not run."""
-    return Response(503, ((NOT_EXECUTED, "1"), _load(load)), b"", 0)
+    """Returns a backend server's refusal of a request that it did not run."""
+    return Response(503, ((NOT_EXECUTED, "1"), _load_field(load)), b"", 0)
 
 
 def build_health_response(
-    incarnation: str, load: ServerLoad, cold_s: float = 0.0
+    incarnation: str, load: ServerLoad, warmup_left_s: float = 0.0
 ) -> Response:
-    """Returns a backend server's answer to a health check."""
+    """Returns a backend server's response to a health check."""
     fields = (
         (SERVER_INCARNATION, incarnation),
-        (WARMUP, str(round(cold_s * 1000))),
-        _load(load),
+        (WARMUP, str(round(warmup_left_s * 1000))),
+        _load_field(load),
     )
     return Response(200, fields, b"", 0)
 
 
-def _load(load: ServerLoad) -> tuple[str, str]:
-    figures = (load.in_flight, load.queued, load.slots, round(load.pace * 100))
-    return LOAD, ",".join(map(str, figures))
+def _load_field(load: ServerLoad) -> tuple[str, str]:
+    values = (load.in_flight, load.queued, load.slots, round(load.pace * 100))
+    return LOAD, ",".join(map(str, values))
--- a/src/radishwind/platform/tests/test_decoding.py
+++ b/src/radishwind/platform/tests/test_decoding.py
@@ -1,4 +1,4 @@
-"""The platform's messages become typed values, or a numbered error."""
+"""The platform's messages decode to typed values or to a numbered error."""
 
 import pytest
 
@@ -53,7 +53,7 @@
 "limits":{"idle-timeout-ms":15000},"base-version":5}"""
 
 
-def test_settings_are_read_in_our_words():
+def test_decodes_settings():
     settings = decode_settings(SETTINGS)
 
     assert settings.failure_domain == "a"
@@ -74,7 +74,9 @@
         ("", None),
     ],
 )
-def test_keys_need_proof_only_where_the_bounds_ask_for_it(bounds, bound_s):
+def test_proof_of_keys_is_required_only_if_the_bounds_demand_it(
+    bounds, bound_s
+):
     flag = '"flag=true"'
     text = SETTINGS.replace(flag, ",".join(filter(None, (flag, bounds))))
 
@@ -82,7 +84,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "named"),
+    ("change", "expected"),
     [
         (("zone = ", "zonal = "), "zone"),
         (('"10.1.0.41:8625"', '"10.1.0.41"'), "HOST:PORT"),
@@ -90,14 +92,14 @@
         (("[listen]", "[listen"), "settings file"),
     ],
 )
-def test_a_fault_of_the_settings_is_named(change, named):
-    with pytest.raises(PlatformMalformedError, match=named) as caught:
+def test_error_names_the_fault_in_the_settings(change, expected):
+    with pytest.raises(PlatformMalformedError, match=expected) as caught:
         decode_settings(SETTINGS.replace(*change))
 
     assert caught.value.code is ResultCode.PLATFORM_MALFORMED
 
 
-def test_routes_are_read_in_our_words():
+def test_decodes_routes():
     cfg = decode_routes(ROUTES)
 
     first, second = cfg.routes
@@ -125,12 +127,12 @@
         ROUTES.replace(b'"attempts":2', b'"attempts":0'),
     ],
 )
-def test_malformed_routes_are_refused_whole(data):
+def test_rejects_malformed_configurations(data):
     with pytest.raises(PlatformMalformedError):
         decode_routes(data)
 
 
-def test_accounts_are_read_in_our_words():
+def test_decodes_accounts():
     tenants = (
         b'"tenants":[{"name":"t1","api-keys":["k1","k2"],"priority":1,'
         b'"rate-per-s":135,"burst":27.5},{"name":"t2"}],"limits"'
@@ -151,7 +153,7 @@
     assert decode_routes(ROUTES).accounts == ()
 
 
-def test_a_heartbeat_is_read():
+def test_decodes_heartbeats_and_deregistrations():
     body = (
         b'{"service":"s","address":"10.0.0.9:80","zone":"a","version":"v1",'
         b'"slots":6,"state":"draining","warmup-left-ms":1500,"seq":4}'
@@ -171,8 +173,8 @@
         decode_heartbeat(request, b'{"service":"s"}')
 
 
-def test_a_caller_is_read_and_cannot_speak_for_the_system():
-    told = decode_caller_fields(
+def test_overwrites_node_fields_of_callers():
+    fields = decode_caller_fields(
         (
             ("Host", "H.example:80"),
             ("Attempt-Id", "9c"),
@@ -184,12 +186,12 @@
         "own",
     )
 
-    assert (told.request_id, told.timeout_ms, told.host) == (
+    assert (fields.request_id, fields.timeout_ms, fields.host) == (
         "9c",
         1200,
         "h.example",
     )
-    assert dict(told.headers) == {
+    assert dict(fields.headers) == {
         "Host": "H.example:80",
         "Attempt-Id": "9c",
         "Accept": "x",
@@ -208,15 +210,15 @@
     return Call("9c", "s", request, ServiceRules(), True, 1.0, 1, "c")
 
 
-def test_a_request_tells_the_server_its_time_and_incarnation():
+def test_request_carries_timeout_and_expected_incarnation():
     request = PlatformDialect().build_request(call(), "i-7", 0.25)
 
-    told = dict(request.headers)
-    assert (told["Timeout-Ms"], told["Expect-Instance"]) == ("250", "i-7")
+    fields = dict(request.headers)
+    assert (fields["Timeout-Ms"], fields["Expect-Instance"]) == ("250", "i-7")
 
 
 @pytest.mark.parametrize(
-    ("status", "fields", "ours", "genuine", "not_run", "another"),
+    ("status", "fields", "matches", "authentic", "not_run", "is_other"),
     [
         (200, {"Response-Signature": "s"}, True, True, False, False),
         (200, {}, True, False, False, False),
@@ -236,18 +238,23 @@
          True, True, True, True),
     ],
 )  # fmt: skip
-def test_only_the_servers_own_word_counts(
-    status, fields, ours, genuine, not_run, another
+def test_accepts_only_authentic_responses_to_the_same_request(
+    status, fields, matches, authentic, not_run, is_other
 ):
-    told = {"Attempt-Id": "9c", **fields}
-    headers = tuple((k, v) for k, v in told.items() if v is not None)
+    values = {"Attempt-Id": "9c", **fields}
+    headers = tuple((k, v) for k, v in values.items() if v is not None)
 
-    answer = PlatformDialect().parse_response(call(), Response(status, headers))
+    metadata = PlatformDialect().parse_response(
+        call(), Response(status, headers)
+    )
 
-    assert (answer.matches_request, answer.is_authentic) == (ours, genuine)
-    assert (answer.is_not_run, answer.is_other_incarnation) == (
+    assert (metadata.matches_request, metadata.is_authentic) == (
+        matches,
+        authentic,
+    )
+    assert (metadata.is_not_run, metadata.is_other_incarnation) == (
         not_run,
-        another,
+        is_other,
     )
 
 
@@ -260,18 +267,23 @@
         ("a,b,c", None),
     ],
 )
-def test_the_load_is_read(text, load):
+def test_decodes_load_reports(text, load):
     headers = (("Server-Load", text), ("Instance-Id", "i-7"))
 
-    answer = PlatformDialect().parse_health_response(Response(200, headers))
+    response = PlatformDialect().parse_health_response(Response(200, headers))
 
-    got = answer.load
-    assert answer.incarnation == "i-7"
-    told = got and (got.in_flight, got.queued, got.slots, got.pace)
-    assert told == load
+    report = response.load
+    assert response.incarnation == "i-7"
+    values = report and (
+        report.in_flight,
+        report.queued,
+        report.slots,
+        report.pace,
+    )
+    assert values == load
 
 
-def test_a_refusal_tells_when_to_come_back_in_fractions():
+def test_refusal_has_retry_after_in_fractions_of_a_second():
     response = respond(NotRun(ResultCode.OVERLOADED, "full", 0.15))
 
     assert response.status == 503
@@ -279,15 +291,15 @@
     assert respond(Unknown(ResultCode.EXCHANGE_BROKEN, "x")).status == 502
 
 
-def test_the_link_of_an_instance_is_read_where_it_is_told():
+def test_decodes_optional_link_rate():
     limits = "[limits]\nlink-mbps = 12.5\n[provider]"
 
     assert decode_settings(SETTINGS).link_mbps == 0
-    told = decode_settings(SETTINGS.replace("[provider]", limits))
-    assert told.link_mbps == 12.5
+    limited = decode_settings(SETTINGS.replace("[provider]", limits))
+    assert limited.link_mbps == 12.5
 
 
-def test_answers_of_downloads_are_large():
+def test_downloads_have_large_responses():
     kept = ROUTES.replace(b'"kind":"safe"', b'"kind":"download"')
 
     large = [route.has_large_responses for route in decode_routes(kept).routes]
@@ -301,19 +313,19 @@
 @pytest.mark.parametrize(
     ("text", "revoke_s"), [("true", 5.0), ("True", 5.0), ("false", None)]
 )
-def test_strict_revocation_is_read(text, revoke_s):
+def test_decodes_strict_revocation(text, revoke_s):
     bounds = f'"strict-revoke={text}","revoke-ms=5000"'
     settings = decode_settings(SETTINGS.replace('"flag=true"', bounds))
 
     assert settings.revoke_s == revoke_s
 
 
-def test_a_misspelt_flag_is_refused():
+def test_rejects_misspelt_flags():
     with pytest.raises(PlatformMalformedError, match="strict-revoke"):
         decode_settings(SETTINGS.replace('"flag=true"', '"strict-revoke=yse"'))
 
 
-def test_bounds_of_quotas_are_read():
+def test_decodes_quota_bounds():
     bounds = '"quota-window-s=4","quota-over=0.2","quota-slack=7"'
     settings = decode_settings(SETTINGS.replace('"flag=true"', bounds))
 
--- a/src/radishwind/platform/tests/test_malformed_input.py
+++ b/src/radishwind/platform/tests/test_malformed_input.py
@@ -1,4 +1,4 @@
-"""Whatever another writer sends is read, or refused with a numbered error."""
+"""Decoders accept any input or reject it with a numbered error."""
 
 import contextlib
 import json
@@ -40,7 +40,7 @@
     ),
     max_leaves=12,
 )
-BEAT = {
+HEARTBEAT = {
     "service": "s",
     "address": "10.0.0.9:80",
     "zone": "a",
@@ -80,13 +80,13 @@
 }
 
 
-def changed(sound):
-    """Returns `sound` with some fields left out or of another type."""
-    fields = st.sampled_from(sorted(sound))
+def mutations_of(valid):
+    """Returns `valid` with some fields missing or of another type."""
+    fields = st.sampled_from(sorted(valid))
     return st.builds(
-        lambda gone, other: {
-            **{k: v for k, v in sound.items() if k not in gone},
-            **other,
+        lambda missing, replaced: {
+            **{k: v for k, v in valid.items() if k not in missing},
+            **replaced,
         },
         st.sets(fields, max_size=2),
         st.dictionaries(fields, JSON, max_size=2),
@@ -101,69 +101,71 @@
     )
 
 
-def beat(data, path="/-/Instances.Heartbeat/i-7"):
+def decode_call(data, path="/-/Instances.Heartbeat/i-7"):
     return decode_heartbeat(Request("POST", path), data)
 
 
 @settings(max_examples=300)
-@given(as_bytes(st.one_of(JSON, changed(BEAT))))
-@example(json.dumps({**BEAT, "state": "asleep"}).encode())
-@example(json.dumps({**BEAT, "born": 1.5}).encode())
-@example(json.dumps({**BEAT, "slots": 10**30}).encode())
-def test_heartbeats(data):
+@given(as_bytes(st.one_of(JSON, mutations_of(HEARTBEAT))))
+@example(json.dumps({**HEARTBEAT, "state": "asleep"}).encode())
+@example(json.dumps({**HEARTBEAT, "born": 1.5}).encode())
+@example(json.dumps({**HEARTBEAT, "slots": 10**30}).encode())
+def test_decodes_or_rejects_heartbeats(data):
     try:
-        told = beat(data)
+        heartbeat = decode_call(data)
     except PlatformMalformedError:
         return
-    assert told.incarnation == "i-7"
-    assert told.service
-    assert told.slots >= 1
-    assert 0 <= told.warmup_left_s <= 86_400
-    assert told.started_ms >= 0
+    assert heartbeat.incarnation == "i-7"
+    assert heartbeat.service
+    assert heartbeat.slots >= 1
+    assert 0 <= heartbeat.warmup_left_s <= 86_400
+    assert heartbeat.started_ms >= 0
 
 
 @pytest.mark.parametrize(
-    "gone", sorted(set(BEAT) - {"zone", "version", "born"})
+    "missing", sorted(set(HEARTBEAT) - {"zone", "version", "born"})
 )
-def test_a_heartbeat_without_one_of_its_fields_names_no_server(gone):
-    fields = {k: v for k, v in BEAT.items() if k != gone}
+def test_rejects_heartbeats_without_a_required_field(missing):
+    fields = {k: v for k, v in HEARTBEAT.items() if k != missing}
 
     with pytest.raises(PlatformMalformedError):
-        beat(json.dumps(fields).encode())
+        decode_call(json.dumps(fields).encode())
 
 
 @pytest.mark.parametrize("born", ["1700", 1.5, None, True, -3, 0])
-def test_a_birth_that_is_no_whole_number_names_no_server(born):
-    data = json.dumps({**BEAT, "born": born}).encode()
+def test_rejects_start_times_that_are_not_positive_integers(born):
+    data = json.dumps({**HEARTBEAT, "born": born}).encode()
 
     if born is None:
-        assert beat(data).started_ms == 0
+        assert decode_call(data).started_ms == 0
         return
     with pytest.raises(PlatformMalformedError):
-        beat(data)
+        decode_call(data)
 
 
-def test_the_birth_goes_with_a_deregistration():
+def test_deregistration_may_carry_the_start_time():
     path = "/-/Instances.Deregister/i-7"
 
-    assert beat(b'{"born":1700}', path).started_ms == 1700
-    assert beat(b"", path).started_ms == 0
+    assert decode_call(b'{"born":1700}', path).started_ms == 1700
+    assert decode_call(b"", path).started_ms == 0
 
 
-@given(as_bytes(st.one_of(JSON, changed(BEAT))), st.text(max_size=200))
-def test_deregistrations(data, name):
+@given(
+    as_bytes(st.one_of(JSON, mutations_of(HEARTBEAT))), st.text(max_size=200)
+)
+def test_decodes_or_rejects_deregistrations(data, name):
     try:
-        told = beat(data, f"/-/Instances.Deregister/{name}")
+        heartbeat = decode_call(data, f"/-/Instances.Deregister/{name}")
     except PlatformMalformedError:
         return
-    assert told.is_deregistered
-    life = ServerProcess(told.incarnation, told.started_ms)
-    assert ServerProcess.from_key(life.key) == life
+    assert heartbeat.is_deregistered
+    process = ServerProcess(heartbeat.incarnation, heartbeat.started_ms)
+    assert ServerProcess.from_key(process.key) == process
 
 
 @settings(max_examples=300)
-@given(as_bytes(st.one_of(JSON, changed(ROUTES))))
-def test_configurations(data):
+@given(as_bytes(st.one_of(JSON, mutations_of(ROUTES))))
+def test_decodes_or_rejects_configurations(data):
     try:
         cfg = decode_routes(data)
     except PlatformMalformedError:
@@ -173,7 +175,7 @@
 
 @given(st.text(max_size=300))
 @example("port-range = []")
-def test_settings_files(text):
+def test_rejects_malformed_settings_files(text):
     with pytest.raises(PlatformMalformedError):
         decode_settings(text)
 
@@ -188,12 +190,12 @@
 @example("nan,1,2")
 @example("1,inf,9,100")
 @example("1,2,3,nan")
-def test_loads(text):
-    answer = PlatformDialect().parse_health_response(
+def test_decodes_or_ignores_load_reports(text):
+    metadata = PlatformDialect().parse_health_response(
         Response(200, (("Server-Load", text),))
     )
 
-    load = answer.load
+    load = metadata.load
     if load is None:
         return
     assert min(load.in_flight, load.queued, load.slots) >= 0
@@ -201,16 +203,16 @@
 
 
 @given(st.lists(st.tuples(st.text(max_size=20), st.text(max_size=20))))
-def test_callers_fields(fields):
+def test_decodes_or_rejects_caller_fields(fields):
     try:
-        told = decode_caller_fields(tuple(fields), "own")
+        caller = decode_caller_fields(tuple(fields), "own")
     except RadishwindError:
         return
-    assert told.request_id
+    assert caller.request_id
 
 
 @given(as_bytes(JSON))
-def test_what_peers_tell(data):
+def test_decodes_or_rejects_messages_of_peers(data):
     for decode, refusal in (
         (messages.decode_message, messages.MessageError),
         (route_messages.decode, route_messages.FeedMalformedError),
@@ -219,14 +221,14 @@
         with contextlib.suppress(refusal):
             decode(data)
     load_message.decode(data)
-    found = contact_records.contact_addresses(
+    addresses = contact_records.contact_addresses(
         contact_records.decode_contact_record(data)
     )
-    assert all(isinstance(address, Address) for address in found)
+    assert all(isinstance(address, Address) for address in addresses)
 
 
 @given(JSON)
-def test_datagrams_of_another_shape(value):
+def test_rejects_datagrams_of_another_structure(value):
     try:
         data = msgspec.msgpack.encode(value)
     except OverflowError:
--- a/src/radishwind/platform/tests/test_platform_store.py
+++ b/src/radishwind/platform/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The store's client tells "certainly not done" from "unknown"."""
+"""The store client separates "certainly not done" from "unknown"."""
 
 import base64
 
@@ -21,13 +21,13 @@
 pytestmark = pytest.mark.anyio
 
 
-class Script(Sender):
+class ScriptedSender(Sender):
     def __init__(self, *answers):
         self.answers = list(answers)
-        self.asked = []
+        self.requests = []
 
     async def send(self, address, request, connect_timeout_s):
-        self.asked.append(request)
+        self.requests.append(request)
         answer = self.answers.pop(0)
         if isinstance(answer, Exception):
             raise answer
@@ -39,7 +39,7 @@
 
 
 def store(*answers):
-    script = Script(*answers)
+    script = ScriptedSender(*answers)
     return PlatformStore(script, Address("10.0.0.1", 1)), script
 
 
@@ -48,7 +48,7 @@
     return {"key": key, "value": text, "rev": rev, "created-rev": 2, "lease": 9}
 
 
-async def test_one_key_is_read():
+async def test_reads_one_key():
     client, _ = store((200, {**item("k"), "current-rev": 7}))
 
     entry = await client.get("k")
@@ -56,20 +56,20 @@
     assert (entry.value, entry.mod_revision, entry.lease_id) == (b"v", 4, 9)
 
 
-async def test_a_key_that_is_not_there_is_none():
+async def test_missing_key_is_none():
     client, _ = store((404, {}))
 
     assert await client.get("k") is None
 
 
-async def test_a_range_is_read_page_by_page():
+async def test_reads_ranges_page_by_page():
     client, script = store(
         (200, {"items": [item("a"), item("b")], "truncated": True}),
         (200, {"items": [item("c")], "truncated": False}),
     )
 
     assert [e.key for e in await client.list("p/")] == ["a", "b", "c"]
-    assert "after=b" in script.asked[1].path
+    assert "after=b" in script.requests[1].path
 
 
 @pytest.mark.parametrize(
@@ -84,14 +84,14 @@
         ((200, {"rev": "x"}), StoreAnswerMalformedError),
     ],
 )
-async def test_what_no_good_answer_means(answer, error):
+async def test_failed_calls_raise_by_their_possible_effect(answer, error):
     client, _ = store(answer)
 
     with pytest.raises(error):
         await client.transact((Compare("k", 0),), (Put("k", b"v"),))
 
 
-async def test_a_lost_race_is_told():
+async def test_failed_comparison_is_reported():
     client, _ = store((412, {"items": [item("k")]}))
 
     result = await client.transact((Compare("k", 0),), (Put("k", b"v"),))
@@ -99,80 +99,80 @@
     assert not result.succeeded
 
 
-async def test_a_lease_that_has_ended_has_no_time_left():
+async def test_expired_lease_has_no_time_left():
     client, _ = store((404, {}))
 
     assert await client.keep_alive(7) == 0
 
 
-async def test_a_watch_goes_on_from_the_last_revision():
+async def test_watch_continues_from_the_last_revision():
     client, script = store(
         (200, {"events": [item("k", rev=5)], "current-rev": 6}),
         (200, {"events": [{"key": "k", "rev": 8, "removed": True}],
                "current-rev": 8}),
         (410, {}),
     )  # fmt: skip
-    seen = []
+    events = []
 
     async def follow():
         async for event in client.watch("k", 5):
-            seen.append((event.key, event.entry is not None, event.revision))
+            events.append((event.key, event.entry is not None, event.revision))
 
     with pytest.raises(StoreCompactedError):
         await follow()
 
-    assert seen == [("k", True, 5), ("k", False, 8)]
-    assert "after=4" in script.asked[0].path
-    assert "after=6" in script.asked[1].path
+    assert events == [("k", True, 5), ("k", False, 8)]
+    assert "after=4" in script.requests[0].path
+    assert "after=6" in script.requests[1].path
 
 
-async def test_items_of_another_writer_are_left_out_and_the_others_hold():
-    foreign = [
+async def test_skips_and_reports_malformed_items():
+    malformed = [
         {"key": "b", "value": 7, "rev": 4},
         {"key": "c", "value": "not base64!", "rev": 4},
         {"value": "", "rev": "x"},
         "no item",
         None,
     ]
-    page = {"items": [item("a"), *foreign, item("d")], "truncated": False}
+    page = {"items": [item("a"), *malformed, item("d")], "truncated": False}
     reasons = []
     client = PlatformStore(
-        Script((200, page)), Address("10.0.0.1", 1), reasons.append
+        ScriptedSender((200, page)), Address("10.0.0.1", 1), reasons.append
     )
 
-    found = await client.list("x/")
+    entries = await client.list("x/")
 
-    assert [entry.key for entry in found] == ["a", "d"]
-    assert len(reasons) == len(foreign)
+    assert [entry.key for entry in entries] == ["a", "d"]
+    assert len(reasons) == len(malformed)
     assert "'c'" in reasons[1]
 
 
-async def test_a_page_that_ends_with_a_bad_item_goes_on_behind_it():
+async def test_continues_after_a_page_that_ends_with_a_malformed_item():
     bad = {"key": "b", "value": 7, "rev": 4}
     first = {"items": [item("a"), bad], "truncated": True}
     client, script = store(
         (200, first), (200, {"items": [item("c")], "truncated": False})
     )
 
-    found = await client.list("x/")
+    entries = await client.list("x/")
 
-    assert [entry.key for entry in found] == ["a", "c"]
-    assert "after=b" in script.asked[1].path
+    assert [entry.key for entry in entries] == ["a", "c"]
+    assert "after=b" in script.requests[1].path
 
 
-async def test_a_watch_goes_on_past_an_event_nobody_can_read():
-    told = {
+async def test_watch_skips_malformed_events():
+    page = {
         "events": [{"key": "a", "rev": "?"}, item("b", rev=6)],
         "current-rev": 6,
     }
-    client, _ = store((200, told))
+    client, _ = store((200, page))
 
     async for event in client.watch("x/", 1):
         assert (event.key, event.revision) == ("b", 6)
         break
 
 
-async def test_a_key_is_read_with_the_revision_of_the_store():
+async def test_entry_has_the_revision_of_the_store():
     client, _ = store((200, {**item("k", rev=4), "current-rev": 70}))
 
     entry = await client.get("k")
@@ -180,24 +180,24 @@
     assert (entry.mod_revision, entry.store_revision) == (4, 70)
 
 
-async def test_only_a_read_that_may_be_old_says_so():
+async def test_only_reads_that_accept_stale_state_request_it():
     client, script = store((404, {}), (404, {}), (200, {"items": []}))
 
     await client.get("k")
     await client.get("k", allow_stale=True)
     await client.list("p/", allow_stale=True)
 
-    stale = ["allow-stale=1" in request.path for request in script.asked]
+    stale = ["allow-stale=1" in request.path for request in script.requests]
     assert stale == [False, True, True]
 
 
-async def test_the_revision_is_read_without_a_value():
+async def test_reads_the_revision_without_values():
     client, script = store(
         (200, {"items": [], "truncated": False, "current-rev": 530})
     )
 
     assert await client.revision() == 530
-    assert script.asked[0].path == (
+    assert script.requests[0].path == (
         "/-/kv-range?prefix=op%2Fconfig&after=op%2Fconfig"
     )
 
@@ -212,7 +212,7 @@
         (ExchangeBrokenError("cut"), StoreAnswerLostError),
     ],
 )
-async def test_no_revision_is_made_up(answer, error):
+async def test_missing_revision_is_an_error(answer, error):
     client, _ = store(answer)
 
     with pytest.raises(error):
--- a/src/radishwind/platform/tests/test_responses.py
+++ b/src/radishwind/platform/tests/test_responses.py
@@ -1,4 +1,4 @@
-"""What a caller is told of an outcome."""
+"""Responses to callers by outcome."""
 
 import pytest
 
@@ -7,22 +7,20 @@
 from radishwind.outcomes import Unknown
 from radishwind.platform.responses import respond
 
-OF_PEERS = [code for code in ResultCode if code // 1000 == 6]
+PEER_CODES = [code for code in ResultCode if code // 1000 == 6]
 
 
-@pytest.mark.parametrize("code", OF_PEERS)
+@pytest.mark.parametrize("code", PEER_CODES)
 @pytest.mark.parametrize("retry_after_s", [None, 0.2])
-def test_what_a_node_refuses_another_is_no_fault_of_the_caller(
-    code, retry_after_s
-):
-    refused = respond(NotRun(code, "refused", retry_after_s))
+def test_refusal_by_a_peer_is_not_a_client_error(code, retry_after_s):
+    response = respond(NotRun(code, "refused", retry_after_s))
 
-    assert refused.status == 503
-    assert b'"status":503' in refused.body
+    assert response.status == 503
+    assert b'"status":503' in response.body
     assert respond(Unknown(code, "refused")).status == 502
 
 
-def test_a_caller_without_a_key_is_told_so():
+def test_refused_key_gets_an_authentication_challenge():
     response = respond(NotRun(ResultCode.KEY_REFUSED, "no key", 1.0))
 
     assert response.status == 401
