--- a/src/radishwind/sidecar/account_policy.py
+++ b/src/radishwind/sidecar/account_policy.py
@@ -1,4 +1,4 @@
-"""Decides what a forwarded attempt may claim of client accounts."""
+"""Decides which forwarded attempts may name a client account."""
 
 from radishwind.http.types import Request
 from radishwind.membership.directory import Directory
@@ -11,35 +11,39 @@
 
 
 class AccountPolicy(AttemptPolicy):
-    """Believes the name of an account from nodes only.
+    """Accepts the name of an account only from authenticated nodes.
 
-    A node that started while the store was away can't sign yet. Its callers'
-    requests on public routes are still taken: anybody may make those.
+    A node that started while the store was unavailable cannot sign yet. The
+    attempts that it forwards for public routes are accepted nevertheless, since
+    these need no account.
     """
 
     def __init__(
         self, keyring: Keyring, routes: ActiveRoutes, directory: Directory
     ) -> None:
-        """Makes a policy.
+        """Creates a policy.
 
         Args:
-          keyring: whether signatures are required.
+          keyring: knows whether signatures are required.
           routes: the routes in force.
-          directory: the nodes there are.
+          directory: the known nodes.
         """
         self._keyring = keyring
         self._routes = routes
         self._directory = directory
 
     def matches_account(self, info: AttemptInfo, request: Request) -> bool:
-        """Returns whether the server is told the account that was signed."""
+        """Returns whether the request names exactly the signed account."""
         if not self._keyring.requires_signatures:
             return True
-        told = (info.account,) if info.account else ()
-        return account_fields(request.headers) == told
+        expected = (info.account,) if info.account else ()
+        return account_fields(request.headers) == expected
 
     def accepts_unsigned(self, info: AttemptInfo, request: Request) -> bool:
-        """Returns whether any caller might make the request without a key."""
+        """Returns whether the attempt is accepted without a signature.
+
+        Only a known node may forward one, for a public route and no account.
+        """
         if info.account:
             return False
         host = parse_host(request.headers)
@@ -47,7 +51,8 @@
         if route is None or not route.public:
             return False
         if all(
-            part.service != info.service for part in route.weighted_services
+            weighted.service != info.service
+            for weighted in route.weighted_services
         ):
             return False
         return any(
--- a/src/radishwind/sidecar/app.py
+++ b/src/radishwind/sidecar/app.py
@@ -124,7 +124,7 @@
                 DISCOVERY, spread_s=start_spread_s(settings)
             ),
             socket=self._peers.socket,
-            on_listed=self._peers.listed,
+            on_listed=self._peers.on_listed,
             on_round_trip=self._links.record_round_trip,
         )
         self._routes = ActiveRoutes(self._clock)
--- a/src/radishwind/sidecar/entry_side.py
+++ b/src/radishwind/sidecar/entry_side.py
@@ -1,4 +1,7 @@
-"""Wires the entry side: choice, attempts, hedges, retries, refusals."""
+"""Wires the entry side, which routes the requests of callers.
+
+Its parts choose targets, run attempts, hedges and retries, and refuse requests.
+"""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -54,10 +57,10 @@
     """The parts that answer callers.
 
     Attributes:
-      chooser: chooses targets; hears their load.
-      classifier: finds the route of a request.
-      keys: finds the client account of a request.
-      pipeline: answers requests.
+      chooser: chooses targets by their load reports.
+      classifier: determines the route of a request.
+      keys: authenticates the client account of a request.
+      pipeline: handles requests.
     """
 
     def __init__(
@@ -85,26 +88,28 @@
         """Wires the entry side.
 
         Args:
-          settings: of the node.
+          settings: settings of the node.
           clock: the clock.
-          rng: spreads choices and times to come back.
-          sender: sends to other nodes.
-          directory: the nodes there are.
+          rng: randomizes choices and retry times.
+          sender: sends requests to other nodes.
+          directory: the known nodes.
           routes: the routes in force.
-          evacuation: the failure domains that get nothing new.
+          evacuation: the evacuated failure domains.
           target: the own target.
-          switches: what is in use.
-          node_count: returns how many nodes share the budget of repeats.
-          service: returns the service that the own instance's requests are of.
-          on_unreachable: takes the name of a target whose node takes no
+          switches: the mechanisms in use.
+          node_count: returns how many nodes share the retry budget.
+          service: returns the service of the local backend server, which is the
+            caller of its own requests.
+          on_unreachable: called with the name of a target whose node accepts no
             connection.
-          reports_unsolicited: returns whether a target tells this node its
-            load though it got nothing from here.
-          observers: hear of each request that ended.
-          signer: signs what is sent to other nodes.
-          freshness: whether what is known of keys is recent.
-          quotas: counts the requests of client accounts.
-          links: what is known of links and ways; by default a way is fixed.
+          reports_unsolicited: returns whether a target sends its load reports
+            to this node even if it gets no attempts from here.
+          observers: notified of each finished request.
+          signer: signs requests to other nodes.
+          freshness: whether the keys known here are fresh enough to accept.
+          quotas: enforces the quotas of client accounts.
+          links: path costs and link statistics; by default the path costs are
+            fixed.
         """
         self._service = service
         self._log = PartLogger("entry", clock)
@@ -127,14 +132,16 @@
             clock=clock,
             routes=routes,
             rules=ServiceRules(),
-            decode_fields=self._read,
+            decode_fields=self._decode_caller_fields,
             normal_run_s=self.chooser.normal_run_s,
             keys=self.keys,
             with_account=add_account_field,
             retry_ages=RetryAgeEstimator() if switches.returns else None,
             fan_outs=FanOutDetector(rng) if switches.siblings else None,
             nested_routes=(
-                NestedRouteDetector(target.local_concurrency, self._nested)
+                NestedRouteDetector(
+                    target.local_concurrency, self._on_nested_route
+                )
                 if switches.nested
                 else None
             ),
@@ -186,15 +193,15 @@
             quotas=quotas,
         )
 
-    def _nested(self, route: str, is_nested: bool) -> None:
+    def _on_nested_route(self, route: str, is_nested: bool) -> None:
         self._log.change(
-            "Requests of a route are calls of the server beside."
+            "Requests of a route are calls of the local backend server."
             if is_nested
-            else "Requests of a route are no longer taken for calls.",
+            else "Requests of a route no longer count as such calls.",
             route=route,
         )
 
-    def _read(self, headers: Headers) -> CallerFields:
+    def _decode_caller_fields(self, headers: Headers) -> CallerFields:
         return decode_caller_fields(
             headers, self._service(), accounts=self.keys.has_accounts
         )
--- a/src/radishwind/sidecar/link_side.py
+++ b/src/radishwind/sidecar/link_side.py
@@ -1,4 +1,4 @@
-"""What a node knows of its link and of the ways to other nodes."""
+"""Wires what a node learns about its link and the paths to other nodes."""
 
 from radishwind.core.clock import Clock
 from radishwind.http.types import Address
@@ -13,21 +13,21 @@
 
 
 class LinkSide:
-    """The parts that learn of links, and decide by what they learned.
+    """The parts that measure the link, and those that use the results.
 
     Attributes:
-      meter: what the link carries.
-      room: what the node takes on for others.
-      sizes: of requests and answers, by route.
-      traffic: what passes to other nodes.
-      trips: round trips to other failure domains.
+      meter: measures the utilization of the link.
+      link_admission: admits forwarded attempts by the free link capacity.
+      sizes: body sizes of requests and responses, by route.
+      traffic: counts the messages to other nodes.
+      round_trips: round-trip times to other failure domains.
     """
 
     def __init__(self, settings: PlacedSettings, clock: Clock) -> None:
-        """Knows nothing yet.
+        """Starts without measurements.
 
         Args:
-          settings: of the node; they tell its link.
+          settings: settings of the node, with the capacity of its link.
           clock: the clock.
         """
         self._clock = clock
@@ -40,11 +40,11 @@
         self.round_trips = RoundTripTimes()
 
     def path_costs(self, cross_domain_s: float) -> LinkPathCosts:
-        """Returns how ways to other nodes are weighed.
+        """Returns the model of the path costs to other nodes.
 
         Args:
-          cross_domain_s: what the way to another failure domain and back counts
-            for at least (s).
+          cross_domain_s: minimum round trip counted for a path to another
+            failure domain (s).
         """
         return LinkPathCosts(
             own_domain=self._own_domain,
@@ -56,14 +56,16 @@
         )
 
     def adopt(self, cfg: RouteConfig) -> None:
-        """Follows a new configuration."""
+        """Adopts a new routes configuration."""
         self._aims = {route.name: route.aim_s for route in cfg.routes}
         self.sizes.expect_large(
             frozenset(r.name for r in cfg.routes if r.has_large_responses)
         )
 
-    def record_round_trip(self, address: Address, trip_s: float) -> None:
-        """Takes how long a message to another node took there and back (s)."""
+    def record_round_trip(self, address: Address, round_trip_s: float) -> None:
+        """Records the round-trip time of a message to another node (s)."""
         domain = self.traffic.domain_of(address.host)
         if domain is not None:
-            self.round_trips.record(domain, trip_s, self._clock.monotonic())
+            self.round_trips.record(
+                domain, round_trip_s, self._clock.monotonic()
+            )
--- a/src/radishwind/sidecar/metrics.py
+++ b/src/radishwind/sidecar/metrics.py
@@ -154,7 +154,7 @@
     metrics.add_counter(
         "radishwind_peer_messages_refused_total",
         "Messages between nodes that were refused, by what and why.",
-        counted.peers.refused,
+        counted.peers.refused_by_label,
     )
     metrics.add_gauge(
         "radishwind_peer_signatures",
--- a/src/radishwind/sidecar/peer_side.py
+++ b/src/radishwind/sidecar/peer_side.py
@@ -1,7 +1,7 @@
-"""Wires what goes between nodes, and what authenticates it.
+"""Wires the communication between nodes and its authentication.
 
-With client accounts a node says for which account an attempt is, so messages
-between nodes are signed while the configuration in force has any.
+A forwarded attempt names its client account, so messages between nodes are
+signed while the configuration in force has any accounts.
 """
 
 from collections.abc import Callable
@@ -42,15 +42,15 @@
 
 
 class PeerSide:
-    """What a node sends to others and takes from them.
+    """Sends messages to other nodes and receives theirs.
 
     Attributes:
-      keyring: the secrets that count.
+      keyring: the secrets by which messages are signed and verified.
       authenticator: signs and verifies datagrams.
       signer: signs requests.
       client: sends control messages.
-      socket: sends datagrams.
-      listener: takes requests of other nodes.
+      socket: sends and receives datagrams.
+      listener: handles requests of other nodes.
     """
 
     def __init__(
@@ -61,22 +61,22 @@
         sender: Sender,
         traffic: PeerTraffic,
     ) -> None:
-        """Wires what needs no other part.
+        """Wires the parts that depend on no other side of the node.
 
         Args:
-          settings: of the node.
+          settings: settings of the node.
           clock: the clock.
-          sender: sends to other nodes.
-          traffic: counts what is sent to them.
+          sender: sends requests to other nodes.
+          traffic: counts the messages to other nodes.
         """
         self._settings = settings
         self._clock = clock
-        self._own = settings.peer_address or settings.peers
-        self._ran_without = False
+        self._own_address = settings.peer_address or settings.peers
+        self._had_no_accounts = False
         self._start_ids = StartIds(os.urandom(START_ID_BYTES))
         self.keyring = Keyring(clock)
         self.authenticator = FleetDatagramAuthenticator(
-            self.keyring, self._start_ids, self._own, clock
+            self.keyring, self._start_ids, self._own_address, clock
         )
         self.signer = FleetSigner(self.keyring, self._start_ids)
         self.client = HttpPeerClient(sender, self.signer, traffic)
@@ -94,17 +94,18 @@
         link_admission: LinkAdmission,
         restart: Callable[[], None],
     ) -> None:
-        """Wires what needs other parts.
+        """Wires the parts that depend on other sides of the node.
 
         Args:
-          rng: the random source of pauses.
+          rng: randomizes backoff.
           store: the platform's store.
-          membership: which nodes there are.
+          membership: the known nodes.
           routes: the routes in force.
-          target: runs the attempts.
-          record_request_from: takes the host of each node that sends an
-            attempt.
-          link_admission: bounds the large answers that go out at once.
+          target: runs the forwarded attempts.
+          record_request_from: called with the host of each node that forwards
+            an attempt.
+          link_admission: limits concurrent large responses by the free capacity
+            of the link.
           restart: ends the process, to start without its unverified routes.
         """
         self._directory = membership.directory
@@ -132,26 +133,31 @@
             clock=self._clock,
             rules_for=lambda service: ServiceRules(),
             target=target,
-            verifier=FleetVerifier(self.keyring, self._start_ids, self._own),
+            verifier=FleetVerifier(
+                self.keyring, self._start_ids, self._own_address
+            ),
             policy=AccountPolicy(self.keyring, routes, self._directory),
             record_request_from=record_request_from,
             link_admission=link_admission,
         )
         membership.listen_on(self.listener)
-        routes.subscribe(self._adopted)
+        routes.subscribe(self._on_adopted)
 
-    def listed(self, entry: StoreEntry) -> None:
-        """Takes an entry that was listed with the contacts."""
+    def on_listed(self, entry: StoreEntry) -> None:
+        """Accepts an entry that was listed together with the contacts."""
         self._secret_manager.on_listed(entry)
 
     async def run(self) -> None:
-        """Finds the secret when it is needed, until cancelled."""
+        """Obtains the secret when it is needed; runs until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._route_verifier.run)
             await self._secret_manager.run()
 
-    def refused(self) -> dict[str, int]:
-        """Returns how many messages were refused, by what and why."""
+    def refused_by_label(self) -> dict[str, int]:
+        """Returns the number of refused messages by kind and reason.
+
+        The keys are the labels of the metric.
+        """
         return {
             **{
                 f'what="request",why="RW-{code}"': count
@@ -163,18 +169,19 @@
             },
         }
 
-    def _adopted(self, cfg: RouteConfig) -> None:
-        """Signs where there are accounts, and asks others to some time later.
+    def _on_adopted(self, cfg: RouteConfig) -> None:
+        """Signs if there are accounts, and later requires signatures.
 
-        Where this node ran without accounts the others may still do so, and at
-        the very first start all read the secret at the same time.
+        With a grace period if this node had no accounts before, since other
+        nodes may not have adopted them yet, and at the first start of the whole
+        system, when all nodes read the secret at the same time.
         """
-        with_grace = self._ran_without or self._settings.first_start
+        with_grace = self._had_no_accounts or self._settings.first_start
         self.keyring.set_has_accounts(bool(cfg.accounts), with_grace=with_grace)
-        self._ran_without = not cfg.accounts
+        self._had_no_accounts = not cfg.accounts
 
     def _ranks_first(self) -> bool:
-        """Returns whether this node ranks first of those that live."""
+        """Returns whether this node ranks first among the live nodes."""
         others = [
             member.name
             for member in self._directory.members()
--- a/src/radishwind/sidecar/recency_side.py
+++ b/src/radishwind/sidecar/recency_side.py
@@ -1,4 +1,4 @@
-"""Wires the proof that keys are recent, where the settings ask for it."""
+"""Wires the freshness proof of keys, if the settings require one."""
 
 import random
 
@@ -18,11 +18,11 @@
 
 
 class RecencySide:
-    """The proof of a node, and the task that keeps it.
+    """The freshness of the keys known here, and the task that proves it.
 
     Attributes:
-      proof: for the entry.
-      keeper: renews it; `None` where the settings ask for no proof.
+      freshness: whether the keys known here are fresh enough to accept.
+      renewer: renews the proof; `None` if the settings require none.
     """
 
     def __init__(
@@ -38,12 +38,12 @@
         """Wires the proof.
 
         Args:
-          settings: of the node.
+          settings: settings of the node.
           clock: the clock.
-          rng: names questions, spreads calls.
-          directory: the nodes there are.
+          rng: chooses identifiers of queries and spreads store calls.
+          directory: the known nodes.
           routes: the configuration in force.
-          socket: carries questions and answers.
+          socket: carries queries and replies.
         """
         self.freshness: KeyFreshness = AlwaysFresh()
         self.renewer: ProofRenewer | None = None
@@ -63,7 +63,7 @@
         self.freshness = self.renewer.freshness
 
     def start(self, tasks: anyio.abc.TaskGroup, feed: RouteFeed) -> None:
-        """Starts the task, which asks the store by `feed`."""
+        """Starts the task, which reads the store through `feed`."""
         if self.renewer is None:
             return
         self.renewer.connect(feed.confirm, feed.note_version)
--- a/src/radishwind/sidecar/tests/test_forged.py
+++ b/src/radishwind/sidecar/tests/test_forged.py
@@ -134,7 +134,7 @@
 
     @property
     def refused(self):
-        return sum(self.peers.refused().values())
+        return sum(self.peers.refused_by_label().values())
 
 
 class Sender:
