--- a/src/radishwind/sidecar/__init__.py
+++ b/src/radishwind/sidecar/__init__.py
@@ -1,6 +1,6 @@
-"""The node as a platform places it beside each backend server.
+"""The node as the platform runs it beside each backend server.
 
-It wires the same slices as `radishwind.node` for a place where servers
+It wires the same parts as `radishwind.node` for a platform on which servers
 announce themselves by heartbeats and operators write routes to the store.
-Import `radishwind.sidecar.app` for the whole.
+Import `radishwind.sidecar.app` for the whole node.
 """
--- a/src/radishwind/sidecar/__main__.py
+++ b/src/radishwind/sidecar/__main__.py
@@ -1,4 +1,4 @@
-"""Runs a node by its settings file: `python -m radishwind.sidecar`."""
+"""Runs a node on the platform: `python -m radishwind.sidecar`."""
 
 from radishwind.sidecar.startup import install_startup_signal_handlers
 from radishwind.sidecar.startup import skip_unneeded_imports
--- a/src/radishwind/sidecar/app.py
+++ b/src/radishwind/sidecar/app.py
@@ -1,4 +1,4 @@
-"""Composes a node for the platform and runs it until it is told to stop."""
+"""Composes a node for the platform and runs it until it is stopped."""
 
 import os
 import random
@@ -33,22 +33,22 @@
 from radishwind.sidecar.graceful_shutdown import late_request_response
 from radishwind.sidecar.link_side import LinkSide
 from radishwind.sidecar.listeners import Handlers
-from radishwind.sidecar.listeners import listening
+from radishwind.sidecar.listeners import open_listeners
 from radishwind.sidecar.load_report_exchange import LoadReportExchange
 from radishwind.sidecar.metrics import add_metrics
-from radishwind.sidecar.metrics import Counted
 from radishwind.sidecar.metrics import MetricsListener
-from radishwind.sidecar.options import AHEAD
+from radishwind.sidecar.metrics import MetricSources
 from radishwind.sidecar.options import DISCOVERY
 from radishwind.sidecar.options import GOSSIP
+from radishwind.sidecar.options import MAX_PIPELINED
 from radishwind.sidecar.options import membership_settings
-from radishwind.sidecar.options import PEER_CONNECTIONS
-from radishwind.sidecar.options import PEER_KEEPALIVE_S
-from radishwind.sidecar.options import SERVER_CONNECTIONS
-from radishwind.sidecar.options import SERVER_KEEPALIVE_S
+from radishwind.sidecar.options import PEER_POOL_IDLE_S
+from radishwind.sidecar.options import PEER_POOL_SIZE
+from radishwind.sidecar.options import SERVER_POOL_IDLE_S
+from radishwind.sidecar.options import SERVER_POOL_SIZE
 from radishwind.sidecar.options import start_spread_s
 from radishwind.sidecar.options import STORE_BUDGET
-from radishwind.sidecar.options import STORE_CONNECTIONS
+from radishwind.sidecar.options import STORE_POOL_SIZE
 from radishwind.sidecar.peer_side import PeerSide
 from radishwind.sidecar.quota_sharing import QuotaSharing
 from radishwind.sidecar.recency_side import RecencySide
@@ -77,30 +77,30 @@
         self._switches = switches
         self._settings = settings
         self._clock = clock
-        self._follower = SettingsReloader(file, clock, self._take_settings)
+        self._reloader = SettingsReloader(file, clock, self._apply_settings)
         self._output = output
         self._rng = random.Random(int.from_bytes(os.urandom(8), "big"))
         self._log = PartLogger("node", clock)
 
     def _build(self) -> None:
-        """Wires everything; called where the event loop runs."""
+        """Wires the node; must be called in the running event loop."""
         settings = self._settings
         self._stopping = anyio.Event()
-        self._leaving = False
-        self._items_left_out = 0
-        self._readiness = Readiness(self._ready)
+        self._is_leaving = False
+        self._malformed_store_items = 0
+        self._readiness = Readiness(self._is_ready)
         self._links = LinkSide(settings, self._clock)
         self._peer_sender = HttptoolsSender(
-            PEER_CONNECTIONS, PEER_KEEPALIVE_S, self._links.meter
+            PEER_POOL_SIZE, PEER_POOL_IDLE_S, self._links.meter
         )
         self._server_sender = HttptoolsSender(
-            SERVER_CONNECTIONS, SERVER_KEEPALIVE_S
+            SERVER_POOL_SIZE, SERVER_POOL_IDLE_S
         )
         self._store = BudgetedStore(
             PlatformStore(
-                HttptoolsSender(STORE_CONNECTIONS),
+                HttptoolsSender(STORE_POOL_SIZE),
                 settings.store,
-                self._left_out,
+                self._on_malformed_store_item,
             ),
             self._clock,
             self._rng,
@@ -163,7 +163,7 @@
             link_free_kbps=self._links.meter.free_kbps,
         )
         self._on_ready_changed(False)
-        self._routes.subscribe(self._adopted)
+        self._routes.subscribe(self._on_routes_adopted)
         self._routes.subscribe(self._links.adopt)
         self._evacuation.subscribe(self._target.apply_evacuation)
 
@@ -246,7 +246,7 @@
         self._control.listen_on(self._peers.listener)
         add_metrics(
             self._metrics,
-            Counted(
+            MetricSources(
                 attempts=self._entry.pipeline.counts,
                 target=self._target,
                 membership=self._membership,
@@ -258,17 +258,17 @@
                 links=self._links,
                 clock=self._clock,
                 output=self._output,
-                left_out=self._words_left_out,
+                malformed_by_source=self._malformed_by_source,
                 keys=self._entry.keys,
                 recency=self._recency.renewer,
             ),
         )
 
     async def run(self) -> None:
-        """Runs until SIGTERM or SIGINT; then finishes what is in progress."""
+        """Runs until SIGTERM or SIGINT; then finishes requests in progress."""
         self._build()
         async with anyio.create_task_group() as tasks:
-            # Before it listens, so that no signal meets callers unheeded.
+            # Before the node listens, so that no signal drops a request.
             await tasks.start(self._wait_for_signal)
             await self._listen()
             tasks.start_soon(self._membership.run)
@@ -278,7 +278,7 @@
             tasks.start_soon(self._loads.run)
             tasks.start_soon(self._quotas.run)
             tasks.start_soon(self._entry.pipeline.run_hedges)
-            tasks.start_soon(self._follower.run)
+            tasks.start_soon(self._reloader.run)
             self._log.change(
                 "Started.",
                 node=self._settings.node,
@@ -286,8 +286,8 @@
                 failure_domain=self._settings.failure_domain,
             )
             await self._stopping.wait()
-            self._log.change("Stops as planned; finishes what is in progress.")
-            await self._stop()
+            self._log.change("Shutting down; finishing requests in progress.")
+            await self._shut_down()
             tasks.cancel_scope.cancel()
         await self._close_senders()
         self._log.change("Stopped.")
@@ -303,14 +303,18 @@
             metrics=MetricsListener(self._metrics).handle,
             may_run_in_parallel=self._entry.classifier.is_idempotent,
         )
-        ahead = AHEAD if self._switches.ahead else 0
-        self._servers = await listening(
-            self._settings, handlers, ahead, self._log, self._links.meter
+        max_pipelined = MAX_PIPELINED if self._switches.ahead else 0
+        self._servers = await open_listeners(
+            self._settings,
+            handlers,
+            max_pipelined,
+            self._log,
+            self._links.meter,
         )
 
-    async def _stop(self) -> None:
-        """Ends the node's part in the traffic; then nobody hears its load."""
-        stop = GracefulShutdown(
+    async def _shut_down(self) -> None:
+        """Runs the graceful shutdown; then sends no more load reports."""
+        shutdown = GracefulShutdown(
             clock=self._clock,
             grace_s=self._settings.stop_grace_s,
             readiness=self._readiness,
@@ -318,19 +322,19 @@
             attempts=self._attempts,
             target=self._target.pipeline,
             notices=DepartureNotices(
-                self._say_leaving, self._membership.advertise_left
+                self._advertise_leaving, self._membership.advertise_left
             ),
         )
-        await stop.run(self._servers)
+        await shutdown.run(self._servers)
         self._peers.socket.close()
 
-    def _say_leaving(self) -> None:
-        self._leaving = True
+    def _advertise_leaving(self) -> None:
+        self._is_leaving = True
         self._membership.advertise(AdvertisedState.LEAVING)
         self._loads.send_due_report()
 
     async def _close_senders(self) -> None:
-        """Closes what tasks send by, once none of them runs any more."""
+        """Closes the senders once no task uses them any more."""
         await self._peer_sender.close()
         await self._server_sender.close()
         await self._store.close()
@@ -344,44 +348,49 @@
             task_status.started()
             async for number in signals:
                 if number is signal.SIGHUP:
-                    self._follower.look_now()
+                    self._reloader.check_now()
                 else:
                     self._stopping.set()
 
-    def _take_settings(self, changed: PlacedSettings) -> None:
-        """Takes what may change without a new start."""
-        old, self._settings = self._settings, changed
-        self._control.take(changed)
+    def _apply_settings(self, changed: PlacedSettings) -> None:
+        """Applies the settings that may change without a restart."""
+        previous, self._settings = self._settings, changed
+        self._control.apply_settings(changed)
         self._log.change("Reloaded the settings.", service=changed.service)
-        if (old.server, old.service) != (changed.server, changed.service):
+        if (previous.server, previous.service) != (
+            changed.server,
+            changed.service,
+        ):
             self._target.server.apply_settings(changed.server, changed.service)
             self._membership.set_service(changed.service)
 
-    def _ready(self) -> bool:
+    def _is_ready(self) -> bool:
         return self._routes.cfg is not None and not self._stopping.is_set()
 
-    def _on_ready_changed(self, ready: bool) -> None:
-        """Tells peers whether the server beside takes new work."""
-        if self._leaving:
+    def _on_ready_changed(self, is_ready: bool) -> None:
+        """Advertises whether the local backend server accepts new work."""
+        if self._is_leaving:
             return
-        if ready:
+        if is_ready:
             self._membership.set_service(self._target.server.service)
-        announced = (
-            AdvertisedState.SERVING if ready else AdvertisedState.DRAINING
+        state = (
+            AdvertisedState.SERVING if is_ready else AdvertisedState.DRAINING
         )
-        self._membership.advertise(announced)
+        self._membership.advertise(state)
 
-    def _words_left_out(self) -> dict[str, int]:
+    def _malformed_by_source(self) -> dict[str, int]:
         return {
             "heartbeats": self._control.heartbeats.malformed_count,
-            "store": self._items_left_out,
+            "store": self._malformed_store_items,
         }
 
-    def _left_out(self, reason: str) -> None:
-        """Says which item of the store nobody can read; the others hold."""
-        self._items_left_out += 1
-        self._log.warning("An item of the store is left out.", reason=reason)
+    def _on_malformed_store_item(self, reason: str) -> None:
+        """Counts and logs an item that is ignored; the others stay in force."""
+        self._malformed_store_items += 1
+        self._log.warning(
+            "A malformed item of the store is left out.", reason=reason
+        )
 
-    def _adopted(self, cfg: RouteConfig) -> None:
+    def _on_routes_adopted(self, cfg: RouteConfig) -> None:
         self._membership.set_config_revision(cfg.version)
         self._target.adopt(cfg)
--- a/src/radishwind/sidecar/control_side.py
+++ b/src/radishwind/sidecar/control_side.py
@@ -1,4 +1,4 @@
-"""Wires what a node learns and keeps: routes, heartbeats, leaving, habits."""
+"""Wires the control side: routes, heartbeats, leaving records, profiles."""
 
 import random
 
@@ -35,10 +35,10 @@
 
 
 class ControlSide:
-    """The parts beside the data path, and their tasks.
+    """The parts of the control plane, and their tasks.
 
     Attributes:
-      heartbeats: answers the server beside.
+      heartbeats: handles heartbeats of the local backend server.
     """
 
     def __init__(
@@ -58,16 +58,16 @@
         """Wires the control side.
 
         Args:
-          settings: of the node.
+          settings: settings of the node.
           clock: the clock.
-          rng: chooses peers and spreads calls.
+          rng: chooses peers and spreads store calls.
           store: the platform's store.
-          client: calls other nodes.
-          membership: which nodes there are.
+          client: sends control messages to other nodes.
+          membership: the known nodes.
           routes: the routes in force.
-          evacuation: the failure domains that get nothing new.
+          evacuation: the evacuated failure domains.
           target: the own target.
-          recency: the proof that what is known of keys is recent.
+          recency: the freshness proof of keys.
         """
         self._settings = settings
         self._recency = recency
@@ -84,7 +84,7 @@
             rng=rng,
             on_leaving=target.server.mark_leaving,
         )
-        self._habits = ProfileSynchronizer(
+        self._profile = ProfileSynchronizer(
             clock=clock,
             store=store,
             estimates=LocalEstimates(
@@ -115,7 +115,7 @@
             if recency.renewer
             else None,
         )
-        self._unsigned_asks = UnsignedRequestHandler(
+        self._unsigned_requests = UnsignedRequestHandler(
             feed=self._feed,
             directory=membership.directory,
             peers=client,
@@ -138,12 +138,12 @@
         )
 
     def listen_on(self, peers: PeerListener) -> None:
-        """Answers what other nodes tell of routes and of who leaves."""
+        """Handles messages of other nodes about routes and leaving servers."""
         peers.add_control_handler(
             ROUTES_CONTROL,
             self._feed.handle,
             ROUTES_MAX_BYTES,
-            unsigned_handler=self._unsigned_asks.handle,
+            unsigned_handler=self._unsigned_requests.handle,
         )
         peers.add_control_handler(LEAVING_CONTROL, self._records.handle)
 
@@ -152,23 +152,24 @@
         tasks.start_soon(self._feed.run)
         self._recency.start(tasks, self._feed)
         tasks.start_soon(self._records_loader.run)
-        tasks.start_soon(self._habits.run)
+        tasks.start_soon(self._profile.run)
 
-    def take(self, settings: PlacedSettings) -> None:
-        """Takes changed settings."""
+    def apply_settings(self, settings: PlacedSettings) -> None:
+        """Applies changed settings."""
         self._settings = settings
 
     def is_early_learner(self) -> bool:
-        """Returns whether this node learns of its server before it is used.
+        """Returns whether this node measures its server before it is used.
 
-        One that knows no other of its service learns once it has callers.
+        A node that knows no other node of its service need not, since it learns
+        as soon as it has callers.
         """
         return bool(self._others_of_service()) and self._ranks_among(
             EARLY_LEARNERS
         )
 
     def _ranks_among(self, count: int) -> bool:
-        """Returns whether this node is one of the first of its service."""
+        """Returns whether it ranks among the first `count` of its service."""
         others = self._others_of_service()
         return ranks_among_first(self._settings.node, others, count)
 
@@ -181,7 +182,7 @@
         ]
 
     def _is_service_allowed(self, service: str) -> bool:
-        """Returns whether a server of `service` may stand beside this node."""
+        """Returns whether a server of `service` may run beside this node."""
         cfg = self._routes.cfg
         if cfg is None or service == self._settings.service:
             return True
--- a/src/radishwind/sidecar/listeners.py
+++ b/src/radishwind/sidecar/listeners.py
@@ -1,4 +1,4 @@
-"""Opens the listeners of a node, each with its limits."""
+"""Opens the listeners of a node, each with its own limits."""
 
 from collections.abc import Sequence
 
@@ -13,23 +13,23 @@
 from radishwind.http.types import Address
 from radishwind.node.error_logging import with_error_logging
 from radishwind.settings.placed import PlacedSettings
-from radishwind.sidecar.options import CALLER_IDLE_S
+from radishwind.sidecar.options import CALLER_IDLE_TIMEOUT_S
 from radishwind.sidecar.options import MAX_CALLER_CONNECTIONS
 from radishwind.sidecar.options import MAX_OTHER_CONNECTIONS
 from radishwind.sidecar.options import MAX_PEER_CONNECTIONS
-from radishwind.sidecar.options import PEER_IDLE_S
+from radishwind.sidecar.options import PEER_IDLE_TIMEOUT_S
 from radishwind.telemetry.part_logger import PartLogger
 
 
 class Handlers(msgspec.Struct, frozen=True):
-    """Who answers at each listener.
+    """The handlers of the listeners.
 
     Attributes:
-      callers: requests of callers.
-      peers: requests of other nodes.
-      heartbeats: what the server beside tells.
-      ready: the platform's question whether the node takes callers.
-      metrics: the metrics.
+      callers: handles requests of callers.
+      peers: handles requests of other nodes.
+      heartbeats: handles heartbeats of the local backend server.
+      ready: handles readiness checks of the platform.
+      metrics: serves the metrics.
       may_run_in_parallel: whether a pipelined request of a caller may run
         before the ones ahead of it are answered.
     """
@@ -42,38 +42,41 @@
     may_run_in_parallel: MayRunInParallel
 
 
-async def listening(
+async def open_listeners(
     settings: PlacedSettings,
     handlers: Handlers,
     max_pipelined: int,
     log: PartLogger,
-    link: ByteMeter,
+    link_meter: ByteMeter,
 ) -> Sequence[HttptoolsServer]:
-    """Returns the listeners, open.
+    """Opens the listeners.
 
     Args:
-      settings: where they listen.
-      handlers: who answers.
+      settings: the addresses to listen on.
+      handlers: the handlers of the listeners.
       max_pipelined: pipelined requests of a caller that run in parallel.
-      log: told of handlers that fail.
-      link: counts what passes between nodes.
+      log: logs unexpected errors of handlers.
+      link_meter: counts the bytes exchanged with other nodes.
+
+    Returns:
+      The open listeners.
     """
     callers = ServerLimits(
         max_connections=MAX_CALLER_CONNECTIONS,
-        idle_timeout_s=CALLER_IDLE_S,
+        idle_timeout_s=CALLER_IDLE_TIMEOUT_S,
         max_pipelined=max_pipelined,
     )
     peers = ServerLimits(
         max_connections=MAX_PEER_CONNECTIONS,
-        idle_timeout_s=PEER_IDLE_S,
+        idle_timeout_s=PEER_IDLE_TIMEOUT_S,
         max_pipelined=0,
     )
     others = ServerLimits(
         max_connections=MAX_OTHER_CONNECTIONS,
-        idle_timeout_s=CALLER_IDLE_S,
+        idle_timeout_s=CALLER_IDLE_TIMEOUT_S,
         max_pipelined=0,
     )
-    wanted = [
+    listeners = [
         (handlers.peers, settings.peers, peers),
         (handlers.heartbeats, settings.control, others),
         (handlers.callers, settings.callers, callers),
@@ -81,10 +84,10 @@
     ]
     if settings.metrics_port:
         address = Address(settings.host, settings.metrics_port)
-        wanted.append((handlers.metrics, address, others))
+        listeners.append((handlers.metrics, address, others))
     servers = []
-    for handler, listen, limits in wanted:
-        meter = link if limits is peers else NO_METER
+    for handler, listen, limits in listeners:
+        meter = link_meter if limits is peers else NO_METER
         server = HttptoolsServer(limits, handlers.may_run_in_parallel, meter)
         await server.start(with_error_logging(handler, log), listen)
         servers.append(server)
--- a/src/radishwind/sidecar/metrics.py
+++ b/src/radishwind/sidecar/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a node and where they are served."""
+"""Registers the metrics of a node and serves them."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -25,14 +25,14 @@
 
 PATH = "/metrics"
 
-#: Routes whose sizes are told: those used most.
-MOST_ROUTES_TOLD = 32
+#: Number of routes whose body sizes are exported: those used most.
+MAX_ROUTES = 32
 
 _TEXT = (("Content-Type", "text/plain; version=0.0.4"),)
 
 
-class Counted(typing.NamedTuple):
-    """What is counted in a node."""
+class MetricSources(typing.NamedTuple):
+    """The parts of a node whose state the metrics expose."""
 
     attempts: AttemptCounts
     target: SidecarTarget
@@ -45,21 +45,21 @@
     links: LinkSide
     clock: Clock
     output: BoundedOutput
-    left_out: Callable[[], Mapping[str, int]]
+    malformed_by_source: Callable[[], Mapping[str, int]]
     keys: KeyAuthenticator
     recency: ProofRenewer | None
 
 
-def add_metrics(metrics: NodeExposition, counted: Counted) -> None:
-    """Adds what the parts of a node count anyway."""
-    _add_data_path(metrics, counted)
-    _add_control(metrics, counted)
-    _add_keys(metrics, counted.keys, counted.recency)
-    _add_quotas(metrics, counted.quotas)
+def add_metrics(metrics: NodeExposition, sources: MetricSources) -> None:
+    """Adds the metrics that read the state of the parts of a node."""
+    _add_data_path(metrics, sources)
+    _add_control(metrics, sources)
+    _add_keys(metrics, sources.keys, sources.recency)
+    _add_quotas(metrics, sources.quotas)
 
 
-def _add_data_path(metrics: NodeExposition, counted: Counted) -> None:
-    counts, target = counted.attempts, counted.target
+def _add_data_path(metrics: NodeExposition, sources: MetricSources) -> None:
+    counts, target = sources.attempts, sources.target
     metrics.add_counter(
         "radishwind_attempts_total",
         "Attempts, hedges among them.",
@@ -113,8 +113,8 @@
     )
 
 
-def _add_control(metrics: NodeExposition, counted: Counted) -> None:
-    store, membership = counted.store, counted.membership
+def _add_control(metrics: NodeExposition, sources: MetricSources) -> None:
+    store, membership = sources.store, sources.membership
     metrics.add_counter(
         "radishwind_store_calls_total",
         "Calls of the store, by kind.",
@@ -135,48 +135,50 @@
     metrics.add_gauge(
         "radishwind_routes_version",
         "The version of the routes in force.",
-        lambda: {"": counted.routes.version},
+        lambda: {"": sources.routes.version},
     )
     metrics.add_gauge(
         "radishwind_domains_emptied",
         "Failure domains that get nothing new, by name.",
-        lambda: {f'domain="{n}"': 1 for n in sorted(counted.evacuation.names)},
+        lambda: {f'domain="{n}"': 1 for n in sorted(sources.evacuation.names)},
     )
     metrics.add_counter(
         "radishwind_datagrams_total",
         "Datagrams between nodes: load, and short messages of membership.",
         lambda: {
-            'way="sent"': counted.peers.socket.sent_count,
-            'way="received"': counted.peers.socket.received_count,
-            'way="malformed"': counted.peers.socket.malformed_count,
+            'way="sent"': sources.peers.socket.sent_count,
+            'way="received"': sources.peers.socket.received_count,
+            'way="malformed"': sources.peers.socket.malformed_count,
         },
     )
     metrics.add_counter(
         "radishwind_peer_messages_refused_total",
         "Messages between nodes that were refused, by what and why.",
-        counted.peers.refused_by_label,
+        sources.peers.refused_by_label,
     )
     metrics.add_gauge(
         "radishwind_peer_signatures",
         "1 for what holds: messages are signed, required to be, lack a secret.",
         lambda: {
             'state="signed"': int(
-                counted.peers.keyring.signing_secret is not None
+                sources.peers.keyring.signing_secret is not None
             ),
-            'state="required"': int(counted.peers.keyring.requires_signatures),
-            'state="lacking"': int(counted.peers.keyring.lacks_secret),
+            'state="required"': int(sources.peers.keyring.requires_signatures),
+            'state="lacking"': int(sources.peers.keyring.lacks_secret),
         },
     )
-    _add_links(metrics, counted)
+    _add_links(metrics, sources)
     metrics.add_counter(
         "radishwind_left_out_total",
         "Words of other writers that nobody can read, by where they came.",
-        lambda: {f'from="{k}"': n for k, n in counted.left_out().items()},
+        lambda: {
+            f'from="{k}"': n for k, n in sources.malformed_by_source().items()
+        },
     )
     metrics.add_counter(
         "radishwind_log_lines_dropped_total",
         "Log lines that the reader did not take in time.",
-        lambda: {"": counted.output.dropped},
+        lambda: {"": sources.output.dropped},
     )
 
 
@@ -248,8 +250,8 @@
     )
 
 
-def _add_links(metrics: NodeExposition, counted: Counted) -> None:
-    links, link = counted.links, counted.links.meter
+def _add_links(metrics: NodeExposition, sources: MetricSources) -> None:
+    links, link = sources.links, sources.links.meter
     metrics.add_counter(
         "radishwind_peer_messages_total",
         "Messages to other nodes, by failure domain, cause and route.",
@@ -290,9 +292,9 @@
         "radishwind_round_trip_seconds",
         "The usual way to a failure domain and back, where one is fresh.",
         lambda: {
-            f'domain="{name}"': trip_s
-            for name, trip_s in links.round_trips.fresh_means_s(
-                counted.clock.monotonic()
+            f'domain="{name}"': round_trip_s
+            for name, round_trip_s in links.round_trips.fresh_means_s(
+                sources.clock.monotonic()
             ).items()
         },
     )
@@ -301,7 +303,7 @@
         "Bodies of a route's exchanges, as learned.",
         lambda: {
             f'route="{route}",body="{body}"': size
-            for route, known in links.sizes.most_used(MOST_ROUTES_TOLD).items()
+            for route, known in links.sizes.most_used(MAX_ROUTES).items()
             for body, size in (
                 ("request", known.request_bytes),
                 ("answer", known.response_bytes),
@@ -312,21 +314,21 @@
 
 
 def _label(name: str) -> str:
-    """Returns `name` as the value of a label."""
+    """Returns `name` with characters allowed in the value of a label."""
     return "".join(c if c.isalnum() or c in "-_." else "_" for c in name[:64])
 
 
 class MetricsListener(msgspec.Struct, frozen=True):
-    """Answers on the metrics address.
+    """Serves the metrics.
 
     Attributes:
-      metrics: what is told.
+      metrics: the metrics to serve.
     """
 
     metrics: NodeExposition
 
     async def handle(self, request: Request) -> Response:
-        """Answers one question."""
+        """Handles one request."""
         if request.path.partition("?")[0] != PATH:
             return Response(404, (), b"", 0)
         body = self.metrics.render().encode()
--- a/src/radishwind/sidecar/options.py
+++ b/src/radishwind/sidecar/options.py
@@ -1,4 +1,4 @@
-"""The limits and times of a node on the platform, and where they come from."""
+"""Limits and times of a node on the platform, with their reasons."""
 
 from radishwind.membership.contact_registry import DiscoveryOptions
 from radishwind.membership.gossip_options import GossipOptions
@@ -8,55 +8,60 @@
 from radishwind.sidecar.switches import Switches
 from radishwind.store.budgeted_store import StoreBudget
 
-#: Connections kept to one peer, to the server beside, and to the store.
-PEER_CONNECTIONS = 250
-SERVER_CONNECTIONS = 250
-STORE_CONNECTIONS = 8
-
-#: Connections that the listeners hold, by who comes there. With those that we
-#: open they stay below the 3,900 sockets that the platform grants: callers who
-#: come back each time on a new connection left 3,003 and 4,199 open in one node
-#: while they were kept for their idle time.
+#: Maximum number of connections to one peer, to the local backend server, and
+#: to the store.
+PEER_POOL_SIZE = 250
+SERVER_POOL_SIZE = 250
+STORE_POOL_SIZE = 8
+
+#: Maximum number of connections of a listener, by its clients. Together with
+#: the outgoing connections they stay below the 3,900 sockets that the platform
+#: grants. Without these limits, callers that opened a connection for each
+#: request left 3,003 and 4,199 connections open in one node until their idle
+#: timeout.
 MAX_CALLER_CONNECTIONS = 2000
 MAX_PEER_CONNECTIONS = 1200
 MAX_OTHER_CONNECTIONS = 64
 
-#: Idle connections to peers are kept so long (s); they are ours at both ends.
-PEER_KEEPALIVE_S = 20.0
+#: Idle timeout of connections to peers; both ends are nodes.
+PEER_POOL_IDLE_S = 20.0
 
-#: Idle connections to the server are kept so long (s): less than the shortest
-#: idle time that servers of the deployments have, 10 s.
-SERVER_KEEPALIVE_S = 8.0
+#: Idle timeout of connections to the server: less than the shortest idle
+#: timeout of the servers in the deployments, 10 s.
+SERVER_POOL_IDLE_S = 8.0
 
-#: Listeners keep idle connections at least so long (s); callers use one again
-#: after up to four fifths of the configured limit, 15 s as deployed.
-CALLER_IDLE_S = 20.0
-PEER_IDLE_S = 60.0
+#: Idle timeouts of the listeners. Callers reuse a connection after up to four
+#: fifths of the configured limit, which is 15 s as deployed.
+CALLER_IDLE_TIMEOUT_S = 20.0
+PEER_IDLE_TIMEOUT_S = 60.0
 
-#: Pipelined requests of one connection that run before their turn: callers of
-#: the deployments send one or two; more of one connection would take a server's
-#: slots from others.
-AHEAD = 8
+#: Pipelined requests of one connection that may run in parallel. Callers in the
+#: deployments send one or two; more of one connection would take a server's
+#: slots from other callers.
+MAX_PIPELINED = 8
 
-#: A refused request may come back after about this time (s); callers heed at
-#: most a third of the time they have left.
+#: Approximate time after which a refused request may be retried. Callers wait
+#: for at most a third of their remaining time.
 RETRY_AFTER_S = 0.15
 
-#: Nobody is told to come back later than this (s): the time limits of the
-#: deployments are 0.25 to 2.5 s. Returns are spread by this part.
+#: Longest retry time given to a caller, since the time limits in the
+#: deployments are 0.25 to 2.5 s, and the fraction by which retry times are
+#: spread.
 MAX_RETRY_AFTER_S = 0.25
 RETRY_AFTER_SPREAD = 0.3
 
-#: The first calls of the store wait up to this long, at random (s).
+#: The first store calls are delayed by a random time up to this.
 START_SPREAD_S = 0.15
 
-#: The same where the whole system starts for the first time (s): callers come
-#: 10 s later, and who comes late finds contacts and routes by one call. With
-#: 26 nodes a calm day made 274 calls of the store where all came within 0.15 s.
+#: The same at the first start of the whole system. Callers arrive 10 s later,
+#: and a node that starts late finds contacts and routes by one call. With 26
+#: nodes that all called within 0.15 s, a day without faults took 274 store
+#: calls.
 FIRST_START_SPREAD_S = 1.5
 
-#: Facts of one message (bytes), by their length in JSON: in msgpack, with the
-#: own fact and that of the receiver beside them, it still fits a datagram.
+#: Records and rumors in one message, by their length in JSON. Encoded as
+#: msgpack, together with the records of sender and receiver, they still fit a
+#: datagram.
 DATAGRAM_PAYLOAD_BYTES = 1_000
 
 GOSSIP = GossipOptions(
@@ -71,7 +76,8 @@
     message_payload_bytes=DATAGRAM_PAYLOAD_BYTES,
 )
 
-#: A node alone looks for others within a second of the store's return.
+#: A node without peers searches for them within a second after the store
+#: becomes available.
 DISCOVERY = DiscoveryOptions(
     spread_s=START_SPREAD_S,
     backoff_s=0.3,
@@ -89,7 +95,7 @@
 
 
 def membership_settings(settings: PlacedSettings) -> NodeSettings:
-    """Returns the settings that membership reads."""
+    """Returns the settings that the membership uses."""
     return NodeSettings(
         target=settings.node,
         service=settings.service,
@@ -104,17 +110,17 @@
 
 
 def start_spread_s(settings: PlacedSettings) -> float:
-    """Returns how long the first calls of the store wait at most (s)."""
+    """Returns the maximum delay of the first store calls (s)."""
     if settings.first_start:
         return FIRST_START_SPREAD_S
     return START_SPREAD_S
 
 
 def cost_weights_for(switches: Switches) -> CostWeights:
-    """Returns what counts in a choice of a target."""
-    usual = CostWeights()
+    """Returns the weights of the routing cost with `switches`."""
+    defaults = CostWeights()
     return CostWeights(
-        cross_domain_s=usual.cross_domain_s if switches.crossing else 0.0,
-        failure_factor=usual.failure_factor if switches.failures else 0.0,
-        slowness_weight=usual.slowness_weight if switches.slowness else 0.0,
+        cross_domain_s=defaults.cross_domain_s if switches.crossing else 0.0,
+        failure_factor=defaults.failure_factor if switches.failures else 0.0,
+        slowness_weight=defaults.slowness_weight if switches.slowness else 0.0,
     )
--- a/src/radishwind/sidecar/program.py
+++ b/src/radishwind/sidecar/program.py
@@ -21,55 +21,55 @@
 from radishwind.sidecar.switches import read_switches
 from radishwind.telemetry.bounded_output import start_bounded_logging
 
-#: The variable that holds the port of the metrics; 0 for none.
+#: Environment variable with the port of the metrics; 0 for none.
 METRICS_VARIABLE = "RADISHWIND_METRICS_PORT"
 
-#: The variable that holds where other nodes reach this one, as HOST:PORT, where
-#: an address translator or a proxy stands in between.
+#: Environment variable with the address, as HOST:PORT, by which other nodes
+#: reach this one through an address translator or a proxy.
 PEER_ADDRESS_VARIABLE = "RADISHWIND_PEER_ADDRESS"
 
-_LAST_PORT = 65535
+_MAX_PORT = 65535
 
-#: Exit code for settings that cannot be used (sysexits.h: EX_CONFIG).
-_EXIT_SETTINGS = 78
+#: Exit code for invalid settings (sysexits.h: EX_CONFIG).
+_EXIT_CONFIG = 78
 
-#: Allocations before a collection of the youngest generation. Requests leave
-#: few cycles behind, and a collection stops every request.
-_GC_THRESHOLD = 20_000
+#: Allocations before a collection of the youngest generation. Requests create
+#: few reference cycles, and a collection pauses all requests.
+_GC_THRESHOLD_ALLOCATIONS = 20_000
 
 
 def main() -> None:
-    """Runs a node by the settings file that the environment names."""
+    """Runs a node with the settings file named in the environment."""
     output = start_bounded_logging(sys.stdout)
     try:
-        file = SettingsFile(pathlib.Path(_path()), _read)
+        file = SettingsFile(pathlib.Path(_settings_path()), _decode_settings)
         settings = file.load()
         switches = read_switches(os.environ)
     except RadishwindError as exc:
         print(f"radishwind: {exc}", file=sys.stderr)
-        sys.exit(_EXIT_SETTINGS)
+        sys.exit(_EXIT_CONFIG)
     gc.freeze()
     gc.enable()
-    gc.set_threshold(_GC_THRESHOLD, 10, 10)
+    gc.set_threshold(_GC_THRESHOLD_ALLOCATIONS, 10, 10)
     node = SidecarNode(settings, BootClock(), file, output, switches)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(node.run())
 
 
-def _path() -> str:
+def _settings_path() -> str:
     return os.environ.get(PATH_VARIABLE, "/etc/radishwind/boot.toml")
 
 
-def _read(text: str) -> PlacedSettings:
+def _decode_settings(text: str) -> PlacedSettings:
     settings = decode_settings(text, _metrics_port())
     return msgspec.structs.replace(settings, peer_address=_peer_address())
 
 
 def _peer_address() -> Address | None:
-    """Returns the address that the environment names; `None` for none.
+    """Returns the address named in the environment; `None` for none.
 
     Raises:
-      SettingError: it is no address.
+      SettingError: the value is not an address.
     """
     text = os.environ.get(PEER_ADDRESS_VARIABLE, "")
     if not text:
@@ -81,15 +81,15 @@
 
 
 def _metrics_port() -> int:
-    """Returns the port that the environment names; 0 for no metrics.
+    """Returns the port named in the environment; 0 for no metrics.
 
     Raises:
-      SettingError: it is not a port.
+      SettingError: the value is not a port.
     """
     text = os.environ.get(METRICS_VARIABLE, "0")
-    if not text.isdigit() or int(text) > _LAST_PORT:
+    if not text.isdigit() or int(text) > _MAX_PORT:
         raise SettingError(
-            f"{METRICS_VARIABLE}: expected a port from 0 to {_LAST_PORT}, "
+            f"{METRICS_VARIABLE}: expected a port from 0 to {_MAX_PORT}, "
             f"got {text[:40]!r}"
         )
     return int(text)
--- a/src/radishwind/sidecar/settings_reloader.py
+++ b/src/radishwind/sidecar/settings_reloader.py
@@ -1,4 +1,4 @@
-"""The settings file and its changes, told by a signal or by nothing."""
+"""Reads the settings file and reloads it when it changes."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,18 +12,18 @@
 from radishwind.settings.placed import PlacedSettings
 from radishwind.telemetry.part_logger import PartLogger
 
-#: How often the file is looked at for a change that nobody signals (s).
+#: Interval of the checks for changes that no signal announces.
 CHECK_INTERVAL_S = 1.0
 
 
 class SettingsUnreadableError(RadishwindError):
-    """The settings file cannot be opened."""
+    """The settings file cannot be read."""
 
     code = ResultCode.SETTING_INVALID
 
 
 class SettingsFile:
-    """Reads the settings; a malformed file leaves the old ones in force."""
+    """The settings file."""
 
     def __init__(
         self, path: pathlib.Path, decode: Callable[[str], PlacedSettings]
@@ -33,7 +33,7 @@
         self._text = ""
 
     def load(self) -> PlacedSettings:
-        """Returns the settings as the file has them now.
+        """Returns the current settings in the file.
 
         Raises:
           RadishwindError: the file is missing or malformed.
@@ -43,12 +43,12 @@
         self._text = text
         return settings
 
-    def changed(self) -> PlacedSettings | None:
-        """Returns the settings if the file changed since they were read.
+    def load_if_changed(self) -> PlacedSettings | None:
+        """Returns the settings if the file changed since the last read.
 
         Raises:
-          RadishwindError: it changed and is missing or malformed; it is not
-            reported again until it changes once more.
+          RadishwindError: the file changed and is missing or malformed. A
+            malformed file is not reported again until it changes once more.
         """
         text = self._read()
         if text == self._text:
@@ -66,47 +66,50 @@
 
 
 class SettingsReloader:
-    """Takes a changed settings file, with or without a signal."""
+    """Reloads a changed settings file, with or without a signal.
+
+    A malformed file leaves the current settings in force.
+    """
 
     def __init__(
         self,
         file: SettingsFile,
         clock: Clock,
-        changed: Callable[[PlacedSettings], None],
+        on_changed: Callable[[PlacedSettings], None],
     ) -> None:
         """Wires the task.
 
         Args:
           file: the settings file.
           clock: the clock.
-          changed: takes the new settings.
+          on_changed: called with the new settings.
         """
         self._file = file
-        self._changed = changed
+        self._on_changed = on_changed
         self._log = PartLogger("settings", clock)
-        self._asked = asyncio.Event()
+        self._check_requested = asyncio.Event()
 
-    def look_now(self) -> None:
-        """Looks at the file without waiting for its turn."""
-        self._asked.set()
+    def check_now(self) -> None:
+        """Checks the file at once."""
+        self._check_requested.set()
 
     async def run(self) -> None:
-        """Looks at the file until cancelled."""
+        """Checks the file until cancelled."""
         while True:
             with anyio.move_on_after(CHECK_INTERVAL_S):
-                await self._asked.wait()
-            self._asked.clear()
-            self.look()
+                await self._check_requested.wait()
+            self._check_requested.clear()
+            self.check()
 
-    def look(self) -> None:
-        """Takes the file if it changed; a malformed one changes nothing."""
+    def check(self) -> None:
+        """Applies the file if it changed and is well-formed."""
         try:
-            changed = self._file.changed()
+            changed = self._file.load_if_changed()
         except RadishwindError as exc:
             self._log.error(
-                "The settings file is unusable; the old settings stay.",
+                "The settings file is invalid; the current settings stay.",
                 reason=str(exc),
             )
             return
         if changed is not None:
-            self._changed(changed)
+            self._on_changed(changed)
--- a/src/radishwind/sidecar/startup.py
+++ b/src/radishwind/sidecar/startup.py
@@ -1,6 +1,6 @@
-"""What comes before the imports of a node, which take most of its start.
+"""Prepares the process before the imports, which take most of a node's start.
 
-After a loss of power nobody is served until the imports are done.
+After a power loss no caller is served until the imports are done.
 """
 
 import gc
@@ -10,11 +10,11 @@
 
 
 def skip_unneeded_imports() -> None:
-    """Leaves out of the imports what a node does not need.
+    """Disables work during the imports that a node does not need.
 
-    No library may read the machine's certificates as it is imported, since no
-    connection of a node uses TLS; and the collector need not look through
-    modules that stay anyway.
+    Libraries do not read the machine's certificates when they are imported,
+    since no connection of a node uses TLS. The garbage collector does not scan
+    modules, which stay in memory anyway.
     """
     os.environ["SSL_CERT_FILE"] = os.devnull
     os.environ["SSL_CERT_DIR"] = os.devnull
@@ -22,17 +22,18 @@
 
 
 def install_startup_signal_handlers() -> None:
-    """Says what signals do before the node has handlers of its own.
+    """Installs the signal handlers in force until the node has its own.
 
-    A signal to stop ends the process with 0, as nothing is in progress yet. A
-    signal to reload would end it too; it is ignored, since the settings are
-    read after this or looked at again within a second.
+    A signal to stop ends the process with exit code 0, since no request is in
+    progress yet. A signal to reload would end the process by default; it is
+    ignored, since the settings are read later, or checked again within a
+    second.
     """
-    signal.signal(signal.SIGTERM, _end)
-    signal.signal(signal.SIGINT, _end)
+    signal.signal(signal.SIGTERM, _exit)
+    signal.signal(signal.SIGINT, _exit)
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
-def _end(number: int, frame: FrameType | None) -> None:
-    # An exception could be swallowed where the signal meets a callback.
+def _exit(number: int, frame: FrameType | None) -> None:
+    # An exception could be swallowed if the signal arrives during a callback.
     os._exit(0)
--- a/src/radishwind/sidecar/switches.py
+++ b/src/radishwind/sidecar/switches.py
@@ -1,7 +1,7 @@
-"""Mechanisms that an experiment may switch off, one by one.
+"""Mechanisms that an experiment may disable one by one.
 
-They are read here and nowhere else, from `RADISHWIND_WITHOUT`: names with
-commas between them. A node that serves callers has none switched off.
+The environment variable `RADISHWIND_WITHOUT` holds the names of the disabled
+mechanisms, separated by commas. Nodes in production disable none.
 """
 
 from collections.abc import Mapping
@@ -14,35 +14,36 @@
 
 
 class SwitchUnknownError(RadishwindError):
-    """A name is not that of a mechanism."""
+    """A name is not the name of a mechanism."""
 
     code = ResultCode.SETTING_INVALID
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Switches:
-    """What is in use.
+    """The mechanisms, each in use if true.
 
     Attributes:
-      room: the learned number of requests at once.
-      hold: work held back in a slow spell.
-      hedges: second attempts beside a first that will be late.
-      newest_first: the newest first in a congestion.
-      refuse_hopeless: refusal of what will come to its turn too late.
-      quarantine: care with requests that broke an attempt off.
-      failures: memory of failures in a choice.
-      slowness: memory of run times in a choice.
-      crossing: the cost of another failure domain in a choice.
-      ahead: pipelined reads run at once.
-      spread: times to come back are spread.
-      returns: callers that come back are known, and what an answer is still
-        worth to them.
-      siblings: calls that belong together are served or refused alike.
-      run_times: what a run takes there, its calls included, is learned, and
-        nothing begins that would not end in time.
-      ways: what the links between nodes add to a choice.
-      nested: calls of the server beside are told from callers' requests.
-      foresight: what every target would answer late is refused at once.
+      room: use of the learned best number of concurrent requests.
+      hold: delay of starts while the pace of the server is slow.
+      hedges: hedged requests for attempts that will be late.
+      newest_first: newest requests first during congestion.
+      refuse_hopeless: refusal of queued requests that will start too late.
+      quarantine: isolation of requests whose attempt broke off.
+      failures: past failures in the routing cost.
+      slowness: past run times in the routing cost.
+      crossing: the round trip to other failure domains in the routing cost.
+      ahead: parallel runs of pipelined reads.
+      spread: spread of the retry times given to callers.
+      returns: recognition of retrying callers, and of how much a response is
+        still worth to them.
+      siblings: equal admission of the calls of one fan-out.
+      run_times: learned run times of the server, nested calls included; a
+        request that would not end in time is not started.
+      ways: costs of the network paths in the routing cost.
+      nested: distinction of the local server's calls from external requests.
+      foresight: immediate refusal of requests that all targets would answer
+        late.
     """
 
     room: bool = True
@@ -68,21 +69,21 @@
 
 
 def parse_switches(names: str) -> Switches:
-    """Returns the switches with those in `names` off.
+    """Returns the switches with the mechanisms in `names` disabled.
 
     Raises:
-      SwitchUnknownError: a name is not that of a mechanism.
+      SwitchUnknownError: a name is not the name of a mechanism.
     """
     known = {field.name for field in dataclasses.fields(Switches)}
-    off = {name.strip() for name in names.split(",") if name.strip()}
-    if off - known:
+    disabled = {name.strip() for name in names.split(",") if name.strip()}
+    if disabled - known:
         raise SwitchUnknownError(
             f"{VARIABLE}: expected names of {sorted(known)}, got "
-            f"{sorted(off - known)}"
+            f"{sorted(disabled - known)}"
         )
-    return Switches(**dict.fromkeys(off, False))
+    return Switches(**dict.fromkeys(disabled, False))
 
 
 def read_switches(environment: Mapping[str, str]) -> Switches:
-    """Returns the switches that `environment` names."""
+    """Returns the switches as set in `environment`."""
     return parse_switches(environment.get(VARIABLE, ""))
--- a/src/radishwind/sidecar/tests/test_settings_reloader.py
+++ b/src/radishwind/sidecar/tests/test_settings_reloader.py
@@ -1,4 +1,4 @@
-"""Changed settings are taken; malformed ones leave the old in force."""
+"""Changed settings are applied; malformed ones leave the old in force."""
 
 import pytest
 
@@ -16,36 +16,36 @@
 
 @pytest.fixture
 def path(tmp_path):
-    made = tmp_path / "boot.toml"
-    made.write_text("one")
-    return made
+    file = tmp_path / "boot.toml"
+    file.write_text("one")
+    return file
 
 
-def follower(path, taken):
+def make_reloader(path, applied):
     file = SettingsFile(path, decode)
     assert file.load() == "one"
-    return SettingsReloader(file, ManualClock(), taken.append)
+    return SettingsReloader(file, ManualClock(), applied.append)
 
 
-def test_a_change_is_taken_once(path):
-    taken = []
-    made = follower(path, taken)
+def test_change_is_applied_once(path):
+    applied = []
+    reloader = make_reloader(path, applied)
 
-    made.look()
+    reloader.check()
     path.write_text("two")
-    made.look()
-    made.look()
+    reloader.check()
+    reloader.check()
 
-    assert taken == ["two"]
+    assert applied == ["two"]
 
 
-def test_a_malformed_or_missing_file_changes_nothing(path):
-    taken = []
-    made = follower(path, taken)
+def test_malformed_or_missing_file_changes_nothing(path):
+    applied = []
+    reloader = make_reloader(path, applied)
 
     path.write_text("bad")
-    made.look()
+    reloader.check()
     path.unlink()
-    made.look()
+    reloader.check()
 
-    assert taken == []
+    assert applied == []
--- a/src/radishwind/sidecar/tests/test_startup.py
+++ b/src/radishwind/sidecar/tests/test_startup.py
@@ -1,4 +1,4 @@
-"""A node starts without the certificates and commands it does not need."""
+"""A node starts without certificates and modules that it does not need."""
 
 import os
 import subprocess
@@ -17,26 +17,26 @@
 """
 
 
-def told():
+def start_node():
     env = {**os.environ, "PYTHONPATH": os.pathsep.join(sys.path)}
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-S", "-c", SCRIPT],
         env=env,
         capture_output=True,
         text=True,
         check=True,
     )
-    certificates, modules = done.stdout.splitlines()
+    certificates, modules = completed.stdout.splitlines()
     return int(certificates), frozenset(modules.split())
 
 
 def test_no_certificate_is_read():
-    assert told()[0] == 0
+    assert start_node()[0] == 0
 
 
 @pytest.mark.parametrize(
     "name",
     ["aiohttp", "opentelemetry", "hypercorn", "httpx", "typer", "matplotlib"],
 )
-def test_what_the_platform_does_not_need_is_not_imported(name):
-    assert name not in told()[1]
+def test_module_not_needed_on_platform_is_not_imported(name):
+    assert name not in start_node()[1]
