--- a/src/radishwind/core/__init__.py
+++ b/src/radishwind/core/__init__.py
@@ -1,4 +1,4 @@
-"""What every slice shares: the clock, result codes, the root of errors."""
+"""Shared by all packages: clocks, result codes and the base exception."""
 
 from radishwind.core.clock import BootClock
 from radishwind.core.clock import Clock
--- a/src/radishwind/core/clock.py
+++ b/src/radishwind/core/clock.py
@@ -1,4 +1,4 @@
-"""The clock as an interface, so that decisions never read the time themselves.
+"""Clocks behind an interface, so that no decision reads the time itself.
 
 Durations and monotonic times are `float` seconds on the hot path; points in
 wall-clock time are aware `datetime` values in UTC.
@@ -14,11 +14,11 @@
 
     @abc.abstractmethod
     def monotonic(self) -> float:
-        """Returns seconds on a clock that never goes back."""
+        """Returns the time of a clock that never goes backwards (s)."""
 
     @abc.abstractmethod
     def now(self) -> datetime.datetime:
-        """Returns the wall-clock time, aware, in UTC."""
+        """Returns the wall-clock time as an aware `datetime` in UTC."""
 
     def wall_ms(self) -> int:
         """Returns the wall-clock time (ms since the epoch, UTC)."""
@@ -26,7 +26,7 @@
 
 
 class SystemClock(Clock):
-    """The clock of the machine."""
+    """The system clock."""
 
     def monotonic(self) -> float:
         return time.monotonic()
@@ -36,11 +36,11 @@
 
 
 class BootClock(SystemClock):
-    """The clock of a machine that may be suspended.
+    """The system clock of a machine that may be suspended.
 
-    Its monotonic time goes on while the machine stands still, so that what
-    was due meanwhile is known to be late afterwards. The time of day tells
-    nothing here: it may jump.
+    Its monotonic time includes the time of suspension, so that whatever fell
+    due meanwhile is known to be late afterwards. The wall-clock time cannot
+    replace it, since it may jump.
     """
 
     def monotonic(self) -> float:
@@ -48,7 +48,7 @@
 
 
 class ManualClock(Clock):
-    """A clock that moves only when told; for tests and recorded sessions."""
+    """A clock that only `advance` moves; for tests and recorded sessions."""
 
     def __init__(
         self,
@@ -66,7 +66,14 @@
         return self._start + datetime.timedelta(seconds=self._elapsed_s)
 
     def advance(self, seconds: float) -> None:
-        """Moves both times forward by `seconds` (s, not negative)."""
+        """Moves both times forward.
+
+        Args:
+          seconds: duration (s).
+
+        Raises:
+          ValueError: `seconds` is negative.
+        """
         if seconds < 0:
             raise ValueError(f"expected seconds >= 0, got {seconds}")
         self._elapsed_s += seconds
--- a/src/radishwind/core/codes.py
+++ b/src/radishwind/core/codes.py
@@ -1,6 +1,6 @@
 """The numbered result codes; `docs/result-codes.md` has the same table.
 
-The thousands digit tells the family: 1 settings and operators' files, 2 the
+The thousands digit is the family: 1 settings and operators' files, 2 the
 caller's request, 3 not run, 4 outcome unknown, 5 the platform's store, 6 peers.
 """
 
@@ -8,7 +8,7 @@
 
 
 class ResultCode(enum.IntEnum):
-    """A number that stays the same across releases, one per kind of result."""
+    """Stable numbers of the kinds of results; they never change."""
 
     SETTING_INVALID = 1001
     PLATFORM_MALFORMED = 1002
--- a/src/radishwind/core/errors.py
+++ b/src/radishwind/core/errors.py
@@ -1,4 +1,4 @@
-"""The root of the exception tree; each slice derives its own branch."""
+"""The base exception, from which each package derives its own."""
 
 from typing import ClassVar
 
@@ -6,10 +6,10 @@
 
 
 class RadishwindError(Exception):
-    """Any error this product raises.
+    """Base of all exceptions of this project.
 
     Attributes:
-      code: the numbered result code of this kind of error.
+      code: result code of this class of errors.
     """
 
     code: ClassVar[ResultCode]
--- a/src/radishwind/core/tests/test_codes.py
+++ b/src/radishwind/core/tests/test_codes.py
@@ -1,4 +1,4 @@
-"""The table of result codes and the clock."""
+"""Result codes and the manual clock."""
 
 import pathlib
 import re
@@ -11,22 +11,22 @@
 PAGE = pathlib.Path(__file__).parents[4] / "docs" / "result-codes.md"
 
 
-def test_every_code_is_in_the_table_and_none_besides():
+def test_table_lists_exactly_the_result_codes():
     rows = re.findall(r"^\| (\d{4}) \| `([a-z-]+)` \|", PAGE.read_text(), re.M)
 
-    told = {(int(number), name) for number, name in rows}
-    assert told == {
+    documented = {(int(number), name) for number, name in rows}
+    assert documented == {
         (int(code), code.name.lower().replace("_", "-")) for code in ResultCode
     }
 
 
-def test_codes_are_in_order():
+def test_codes_are_sorted():
     numbers = [int(code) for code in ResultCode]
 
     assert numbers == sorted(numbers)
 
 
-def test_the_manual_clock_never_goes_back():
+def test_manual_clock_never_goes_backwards():
     clock = ManualClock()
     clock.advance(1.5)
 
--- a/src/radishwind/core/time_limit.py
+++ b/src/radishwind/core/time_limit.py
@@ -1,4 +1,4 @@
-"""A timeout for what every request does."""
+"""A cheap timeout for the steps that each request takes."""
 
 import types
 
@@ -6,18 +6,19 @@
 
 
 class TimeLimit:
-    """Does what `anyio.fail_after` does, for two thirds of its cost.
+    """Equivalent of `anyio.fail_after` at two thirds of its cost.
 
-    That is a generator around a cancel scope; this is the scope alone.
+    `anyio.fail_after` wraps a cancel scope in a generator; this class uses the
+    scope directly.
     """
 
     __slots__ = ("_scope",)
 
     def __init__(self, seconds: float) -> None:
-        """Makes a limit that starts now.
+        """Starts the time limit.
 
         Args:
-          seconds: after this time (s) the block is cancelled and
+          seconds: time (s) after which the block is cancelled and
             `TimeoutError` is raised.
         """
         self._scope = anyio.CancelScope(deadline=anyio.current_time() + seconds)
@@ -32,6 +33,7 @@
         trace: types.TracebackType | None,
     ) -> None:
         self._scope.__exit__(kind, exc, trace)
-        # Only the deadline cancels this scope, and nothing else is caught.
+        # Only the deadline cancels this scope, and the scope catches no other
+        # cancellation.
         if self._scope.cancelled_caught:
             raise TimeoutError
