--- a/src/radishwind/telemetry/__init__.py
+++ b/src/radishwind/telemetry/__init__.py
@@ -1,7 +1,8 @@
 """Logs and metrics.
 
-eliot and OpenTelemetry take time to load and memory: `metrics` is imported
-only by nodes that keep metrics, eliot by those that log by it.
+eliot and OpenTelemetry are slow to import and take memory. `node_metrics` is
+therefore imported only by nodes that keep OpenTelemetry metrics, and eliot only
+by processes that log through it.
 """
 
 from radishwind.telemetry.part_logger import PartLogger
--- a/src/radishwind/telemetry/explain.py
+++ b/src/radishwind/telemetry/explain.py
@@ -1,9 +1,10 @@
-"""Gathers what the logs of all nodes tell of one request.
+"""Collects the log lines of all nodes that concern one request.
 
-A log file has one JSON object a line; what stands before it, such as a time
-and the name of a node that a collector put there, is kept. Around the lines of
-the request itself stand the changes that the same node logged shortly before
-and while it ran, since they are what the request met.
+Each line of a log file has one JSON object. A collector may put a prefix before
+it, such as a time and the name of the node; the last word of the prefix names
+the node. The lines of the request are complemented by changes of state that may
+have affected it: those that the involved nodes logged, or that mention one of
+them, shortly before the request and while it ran.
 """
 
 from collections.abc import Iterable
@@ -14,13 +15,14 @@
 
 import msgspec
 
-#: Changes so long before the last line of a request belong to it (s).
+#: Changes logged up to this long before the start of a request are included
+#: (s).
 CONTEXT_BEFORE_S = 3.0
 
 _decoder = msgspec.json.Decoder(dict[str, Any])
 
-#: Fields of every line that tell an operator nothing more.
-_LEFT_OUT = frozenset(
+#: Fields of every line that are not shown to operators.
+_HIDDEN_FIELDS = frozenset(
     {"timestamp", "task_uuid", "task_level", "message_type", "level", "text"}
 )
 
@@ -30,10 +32,10 @@
     """One line of a log.
 
     Attributes:
-      at: when it was written (s since the epoch, UTC).
-      node: who wrote it: the word before the object, or the file's name.
-      text: the sentence.
-      fields: what it is about.
+      at: time at which it was logged (s since the epoch, UTC).
+      node: node that logged it: the word before the object, or the file's name.
+      text: sentence.
+      fields: further fields.
     """
 
     at: float
@@ -42,16 +44,16 @@
     fields: dict[str, Any]
 
     def format_row(self) -> str:
-        """Returns the line as one row for an operator."""
-        told = " ".join(f"{k}={v}" for k, v in self.fields.items())
-        return f"{self.at:.3f} {self.node}: {self.text} {told}".rstrip()
+        """Returns the line as one row of text for operators."""
+        fields = " ".join(f"{k}={v}" for k, v in self.fields.items())
+        return f"{self.at:.3f} {self.node}: {self.text} {fields}".rstrip()
 
 
 def read_log(path: pathlib.Path) -> Iterator[LogLine]:
-    """Yields the lines of one file; what is no log line is passed over."""
+    """Yields the log lines of one file; skips any other line."""
     with path.open("rb") as file:
         for raw in file:
-            line = _parsed(raw, path.stem)
+            line = _parse_line(raw, path.stem)
             if line is not None:
                 yield line
 
@@ -59,11 +61,11 @@
 def explain_request(
     request_id: str, paths: Iterable[pathlib.Path]
 ) -> list[LogLine]:
-    """Returns the lines that tell what became of a request, by time.
+    """Returns the lines that concern a request, ordered by time.
 
     Args:
-      request_id: the name of the request, as its caller sent it.
-      paths: the logs of all nodes.
+      request_id: id of the request, as sent by its caller.
+      paths: log files of all nodes.
     """
     files = list(paths)
     own = [
@@ -74,47 +76,47 @@
     ]
     if not own:
         return []
-    first = min(_began(line) for line in own) - CONTEXT_BEFORE_S
+    first = min(_started_at(line) for line in own) - CONTEXT_BEFORE_S
     last = max(line.at for line in own)
-    named = _names_in(own)
-    around = [
+    names = _involved_nodes(own)
+    context = [
         line
         for path in files
         for line in read_log(path)
         if "request" not in line.fields
         and first <= line.at <= last
-        and (line.node in named or _is_about(line, named))
+        and (line.node in names or _mentions_any(line, names))
     ]
-    return sorted([*own, *around], key=lambda line: line.at)
+    return sorted([*own, *context], key=lambda line: line.at)
 
 
-def _parsed(raw: bytes, default_node: str) -> LogLine | None:
+def _parse_line(raw: bytes, default_node: str) -> LogLine | None:
     start = raw.find(b"{")
     if start < 0:
         return None
     try:
-        told = _decoder.decode(raw[start:])
+        message = _decoder.decode(raw[start:])
     except msgspec.MsgspecError:
         return None
-    if "timestamp" not in told:
+    if "timestamp" not in message:
         return None
-    before = raw[:start].decode("utf-8", "replace").split()
+    prefix = raw[:start].decode("utf-8", "replace").split()
     fields = {
         k: v
-        for k, v in told.items()
-        if k not in _LEFT_OUT and v not in (None, "")
+        for k, v in message.items()
+        if k not in _HIDDEN_FIELDS and v not in (None, "")
     }
-    node = before[-1] if before else default_node
-    text = str(told.get("text", ""))
-    return LogLine(float(told["timestamp"]), node, text, fields)
+    node = prefix[-1] if prefix else default_node
+    text = str(message.get("text", ""))
+    return LogLine(float(message["timestamp"]), node, text, fields)
 
 
-def _began(line: LogLine) -> float:
+def _started_at(line: LogLine) -> float:
     return line.at - float(line.fields.get("elapsed_ms", 0.0)) / 1000
 
 
-def _names_in(lines: list[LogLine]) -> frozenset[str]:
-    """Returns the nodes that answered and those that were tried."""
+def _involved_nodes(lines: list[LogLine]) -> frozenset[str]:
+    """Returns the nodes that logged `lines` and those that were tried."""
     names = {line.node for line in lines}
     for line in lines:
         for step in str(line.fields.get("steps", "")).split("; "):
@@ -123,5 +125,5 @@
     return frozenset(names)
 
 
-def _is_about(line: LogLine, names: frozenset[str]) -> bool:
+def _mentions_any(line: LogLine, names: frozenset[str]) -> bool:
     return any(name in line.text for name in names)
--- a/src/radishwind/telemetry/node_metrics.py
+++ b/src/radishwind/telemetry/node_metrics.py
@@ -1,7 +1,8 @@
-"""Metrics by OpenTelemetry, read through the admin listener.
+"""OpenTelemetry metrics, served by the admin listener.
 
-Counters that the slices keep anyway are observed when they are read, so they
-cost a request nothing; only the answer times are recorded per request.
+Counters that other packages keep anyway are observed only when the metrics are
+read, so that they cost nothing per request. Only the response times are
+recorded per request.
 """
 
 from collections.abc import Callable
@@ -21,7 +22,7 @@
 from radishwind.outcomes.model import Done
 from radishwind.outcomes.model import Outcome
 
-#: Bounds of the answer times (s).
+#: Upper bounds of the histogram buckets of the response times (s).
 _BOUNDS_S = (
     *(0.001, 0.002, 0.005, 0.01, 0.02, 0.05),
     *(0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0),
@@ -34,7 +35,7 @@
     """The metrics of one node.
 
     Args:
-      resource: what tells this node from others, e.g. its target.
+      resource: attributes that identify this node, e.g. its target.
     """
 
     def __init__(self, resource: Mapping[str, str]) -> None:
@@ -74,7 +75,7 @@
         description: str,
         read: Callable[[], Mapping[str, float]],
     ) -> None:
-        """Observes values that go up and down, by kind."""
+        """Adds a gauge with the attribute `kind`, read on demand."""
         self._meter.create_observable_gauge(
             f"radishwind.{name}",
             [_callback(read)],
@@ -89,7 +90,7 @@
         description: str,
         read: Callable[[], Mapping[str, float]],
     ) -> None:
-        """Observes values that only grow, by kind."""
+        """Adds a counter with the attribute `kind`, read on demand."""
         self._meter.create_observable_counter(
             f"radishwind.{name}",
             [_callback(read)],
@@ -98,7 +99,7 @@
         )
 
     def as_json(self) -> bytes:
-        """Returns every metric as OpenTelemetry's JSON."""
+        """Returns all metrics in OpenTelemetry's JSON format."""
         data = self._reader.get_metrics_data()
         if data is None:
             return b'{"resource_metrics": []}'
--- a/src/radishwind/telemetry/part_logger.py
+++ b/src/radishwind/telemetry/part_logger.py
@@ -1,12 +1,13 @@
-"""Short sentences with a fixed prefix for each part, as JSON lines.
+"""Rate-limited log of each part of the system, as JSON lines.
 
-eliot writes them, but for a process that takes them by `set_log_sink`: eliot
-and what it brings take 32 ms of the 500 ms of processor time that the imports
-of a node on the platform took (importtime), and nobody is served before.
+Lines are written through eliot unless `set_log_sink` was called. eliot and its
+dependencies take 32 ms of the 500 ms of processor time that the imports of a
+node on the platform took (importtime), and a node serves no request before its
+imports are done.
 
-Nothing is logged per request; what is logged are changes of state and faults,
-and a sentence that comes again is held back for a while and counted. Callers
-pass names, numbers and codes, never bodies, keys or field values of requests.
+Nothing is logged per request. Loggers report changes of state and faults; a
+repeated sentence is suppressed for a while and counted. Callers pass names,
+numbers and codes, never bodies, keys or field values of requests.
 """
 
 from collections.abc import Callable
@@ -17,20 +18,19 @@
 
 from radishwind.core.clock import Clock
 
-#: The same sentence of the same part is logged once in this time (s).
-REPEAT_S = 10.0
+#: A part logs the same sentence at most once in this time (s).
+REPEAT_INTERVAL_S = 10.0
 
-#: Sentences remembered for that, a part.
-_REMEMBERED = 256
+#: Sentences that a part remembers for that.
+_MAX_REMEMBERED = 256
 
-#: Innermost calls told of an error.
-_FRAMES = 4
+#: Innermost stack frames logged for an error.
+_MAX_FRAMES = 4
 
-
-#: The fields of a line.
+#: The fields of a log line.
 LogMessage: TypeAlias = dict[str, str | float | None]
 
-#: Who takes the lines; the last one does.
+#: Receivers of log lines; only the last one is used.
 _sinks: list[Callable[[LogMessage], None]] = []
 
 
@@ -38,39 +38,39 @@
     """Logs for one part of the system.
 
     Args:
-      part: the prefix, a slice's name such as `membership`.
-      clock: for holding back what comes again.
+      part: prefix of each line, the name of a package such as `membership`.
+      clock: clock by which repeated sentences are suppressed.
     """
 
     def __init__(self, part: str, clock: Clock) -> None:
         self._part = part
         self._clock = clock
-        # By sentence: when it was logged last (monotonic, s), and how often it
-        # was held back since.
-        self._seen: dict[str, tuple[float, int]] = {}
+        # By sentence: time of its last line (monotonic, s), and how often it
+        # was suppressed since.
+        self._history: dict[str, tuple[float, int]] = {}
 
     def info(self, sentence: str, **fields: str | float | None) -> None:
         """Logs an ordinary change of state."""
         self._log("info", sentence, fields)
 
     def warning(self, sentence: str, **fields: str | float | None) -> None:
-        """Logs a fault that the system lives with."""
+        """Logs a fault that the system tolerates."""
         self._log("warning", sentence, fields)
 
     def error(self, sentence: str, **fields: str | float | None) -> None:
-        """Logs a fault that an operator must look at."""
+        """Logs a fault that needs an operator's attention."""
         self._log("error", sentence, fields)
 
     def change(self, sentence: str, **fields: str | float | None) -> None:
-        """Logs a change of what this process believes; none is held back."""
+        """Logs a change in this process's view; never suppressed."""
         self._write("info", sentence, fields)
 
     def failure(self, sentence: str, exc: BaseException) -> None:
-        """Logs an error that ought not to be: its kind and where it arose.
+        """Logs an unexpected error: its type and where it was raised.
 
-        The error's own text is left out, since it may hold what a caller sent.
+        The error's message is omitted, since it may contain data of a caller.
         """
-        frames = traceback.extract_tb(exc.__traceback__)[-_FRAMES:]
+        frames = traceback.extract_tb(exc.__traceback__)[-_MAX_FRAMES:]
         self.error(
             sentence,
             kind=type(exc).__name__,
@@ -84,15 +84,15 @@
         self, level: str, sentence: str, fields: dict[str, str | float | None]
     ) -> None:
         now = self._clock.monotonic()
-        last, held = self._seen.get(sentence, (-REPEAT_S, 0))
-        if now - last < REPEAT_S:
-            self._seen[sentence] = (last, held + 1)
+        last, suppressed = self._history.get(sentence, (-REPEAT_INTERVAL_S, 0))
+        if now - last < REPEAT_INTERVAL_S:
+            self._history[sentence] = (last, suppressed + 1)
             return
-        if held:
-            fields = {**fields, "held_back": held}
-        if len(self._seen) >= _REMEMBERED:
-            self._seen.clear()
-        self._seen[sentence] = (now, 0)
+        if suppressed:
+            fields = {**fields, "held_back": suppressed}
+        if len(self._history) >= _MAX_REMEMBERED:
+            self._history.clear()
+        self._history[sentence] = (now, 0)
         self._write(level, sentence, fields)
 
     def _write(
@@ -108,22 +108,22 @@
             message["timestamp"] = self._clock.now().timestamp()
             _sinks[-1](message)
             return
-        _log_by_eliot(message)
+        _log_with_eliot(message)
 
 
-def set_log_sink(taker: Callable[[LogMessage], None]) -> None:
-    """Hands each line to `taker` from now on, with its time, past eliot."""
-    _sinks.append(taker)
+def set_log_sink(sink: Callable[[LogMessage], None]) -> None:
+    """Passes each further line with its timestamp to `sink`, not to eliot."""
+    _sinks.append(sink)
 
 
 def start_logging(stream: TextIO) -> None:
-    """Writes the log lines to `stream`, one JSON object each."""
+    """Writes each log line to `stream` as a JSON object, through eliot."""
     import eliot
 
     eliot.to_file(stream)
 
 
-def _log_by_eliot(message: LogMessage) -> None:
+def _log_with_eliot(message: LogMessage) -> None:
     import eliot
 
     eliot.log_message(**message)
--- a/src/radishwind/telemetry/tests/test_bounded_output.py
+++ b/src/radishwind/telemetry/tests/test_bounded_output.py
@@ -1,4 +1,4 @@
-"""Log lines never hold a request up, and lost ones are counted."""
+"""Log output never blocks; dropped lines are counted."""
 
 import json
 import os
@@ -34,7 +34,7 @@
         data += piece
 
 
-def test_lines_arrive_whole_and_in_order(pipe):
+def test_lines_arrive_complete_and_in_order(pipe):
     output = BoundedOutput(pipe[1])
     for number in range(100):
         output.write({"n": number})
@@ -44,7 +44,7 @@
     assert [json.loads(line)["n"] for line in lines] == list(range(100))
 
 
-def test_a_reader_that_stops_costs_lines_and_not_time(pipe):
+def test_stalled_reader_drops_lines_without_blocking(pipe):
     output = BoundedOutput(pipe[1])
     written = 0
     while not output.dropped:
@@ -62,7 +62,7 @@
     assert lines[-2]["lines"] == 1
 
 
-def test_a_reader_that_is_gone_costs_lines_only(pipe):
+def test_closed_reader_drops_lines_without_error(pipe):
     output = BoundedOutput(pipe[1])
     os.close(pipe[0])
 
--- a/src/radishwind/telemetry/tests/test_node_exposition.py
+++ b/src/radishwind/telemetry/tests/test_node_exposition.py
@@ -1,4 +1,4 @@
-"""Metrics as text: each has its help, type and labels, and is documented."""
+"""Rendering of metrics in Prometheus' text format."""
 
 from radishwind.config.model import ServiceRules
 from radishwind.core.codes import ResultCode
@@ -16,7 +16,7 @@
     return Call("9c", service, Request("GET", "/"), rules, True, 1.0, 1, "c")
 
 
-def test_answers_are_counted_and_timed():
+def test_counts_and_times_requests():
     metrics = NodeExposition()
     metrics.finished(call(), Done(Response(200)), 0.04)
     metrics.finished(call(), Done(Response(200)), 0.2)
@@ -27,16 +27,16 @@
 
     labels = 'service="library",outcome="Done",code="200"'
     assert f"radishwind_requests_total{{{labels}}} 2" in lines
-    kind = 'service="library",idempotent="true"'
+    histogram_labels = 'service="library",idempotent="true"'
     name = "radishwind_request_duration_seconds"
-    assert f'{name}_bucket{{{kind},le="0.05"}} 1' in lines
-    assert f'{name}_bucket{{{kind},le="0.2"}} 2' in lines
-    assert f'{name}_bucket{{{kind},le="+Inf"}} 3' in lines
-    assert f"{name}_count{{{kind}}} 3" in lines
+    assert f'{name}_bucket{{{histogram_labels},le="0.05"}} 1' in lines
+    assert f'{name}_bucket{{{histogram_labels},le="0.2"}} 2' in lines
+    assert f'{name}_bucket{{{histogram_labels},le="+Inf"}} 3' in lines
+    assert f"{name}_count{{{histogram_labels}}} 3" in lines
     assert 'radishwind_members{state="x"} 3' in lines
 
 
-def test_the_number_of_series_is_bounded():
+def test_number_of_series_is_limited():
     metrics = NodeExposition()
     for number in range(2 * MAX_SERIES):
         metrics.finished(call(f"s{number}"), Done(Response(200)), 0.1)
--- a/src/radishwind/telemetry/tests/test_telemetry.py
+++ b/src/radishwind/telemetry/tests/test_telemetry.py
@@ -14,11 +14,11 @@
 from radishwind.telemetry.node_metrics import NodeMetrics
 
 
-def logged(act):
-    """Returns what `act` logs.
+def logged_lines(act):
+    """Returns the lines that `act` logs.
 
-    eliot hands what was logged before to the first destination, so that is
-    taken out of the way.
+    eliot passes earlier messages to the first destination added; a separate
+    destination receives and discards them.
     """
     earlier, lines = [], []
     eliot.add_destinations(earlier.append)
@@ -32,16 +32,18 @@
     return lines
 
 
-def test_a_line_is_a_sentence_behind_its_part():
+def test_line_is_a_sentence_prefixed_by_its_part():
     log = PartLogger("membership", ManualClock())
 
-    (line,) = logged(lambda: log.warning("A member is suspected.", member="a"))
+    (line,) = logged_lines(
+        lambda: log.warning("A member is suspected.", member="a")
+    )
 
     assert line["text"] == "membership: A member is suspected."
     assert (line["level"], line["member"]) == ("warning", "a")
 
 
-def test_what_comes_again_is_held_back_and_counted():
+def test_repeated_sentences_are_suppressed_and_counted():
     clock = ManualClock()
     log = PartLogger("store", clock)
 
@@ -51,12 +53,12 @@
         clock.advance(11)
         log.warning("The store is down.")
 
-    lines = logged(act)
+    lines = logged_lines(act)
 
     assert [line.get("held_back") for line in lines] == [None, 2]
 
 
-def test_metrics_are_told_as_opentelemetry_json():
+def test_exports_metrics_as_opentelemetry_json():
     metrics = NodeMetrics({"radishwind.target": "prenota-1"})
     metrics.add_counter("store.calls", "{call}", "Calls.", lambda: {"txn": 3})
     call = Call(
@@ -65,15 +67,15 @@
     )
     metrics.finished(call, Done(Response(200)), 0.03)
 
-    told = json.loads(metrics.as_json())
+    exported = json.loads(metrics.as_json())
 
-    (resource,) = told["resource_metrics"]
-    found = {
+    (resource,) = exported["resource_metrics"]
+    points = {
         metric["name"]: metric["data"]["data_points"][0]
         for scope in resource["scope_metrics"]
         for metric in scope["metrics"]
     }
-    assert found["radishwind.store.calls"]["value"] == 3
-    assert found["radishwind.request.duration"]["count"] == 1
-    attributes = found["radishwind.request.duration"]["attributes"]
+    assert points["radishwind.store.calls"]["value"] == 3
+    assert points["radishwind.request.duration"]["count"] == 1
+    attributes = points["radishwind.request.duration"]["attributes"]
     assert attributes == {"service": "prenota", "outcome": "Done", "code": 200}
