--- a/src/radishwind/sidecar/tests/test_forged.py
+++ b/src/radishwind/sidecar/tests/test_forged.py
@@ -1,7 +1,7 @@
-"""What no node of the fleet sent changes nothing that a node believes.
+"""Forged messages between nodes have no effect.
 
-Each message is sent to a whole node, wired as it runs: by a node of the fleet
-it has its effect, forged it has none, and is counted.
+Each kind of message is sent to a completely wired node. Sent by a node of the
+fleet it takes effect; forged it has no effect and is counted.
 """
 
 import os
@@ -96,8 +96,8 @@
     )
 
 
-class Here:
-    """A node that requires signatures, and knows one other."""
+class Receiver:
+    """A node that requires signatures and knows one other node."""
 
     def __init__(self, *, accounts=True, secret=SECRET):
         self.clock = ManualClock()
@@ -109,62 +109,64 @@
         if secret is not None:
             self.peers.keyring.update_secret(secret, 1)
         self.adopt(accounts=accounts)
-        fact = MemberRecord("b-1", "s", "b", str(PEER), 5)
-        self.node._membership._receive(Push("b-1", 0, (fact,)))
-        self.heard = []
+        record = MemberRecord("b-1", "s", "b", str(PEER), 5)
+        self.node._membership._receive(Push("b-1", 0, (record,)))
+        self.received = []
         for channel in (Channel.RECENCY, Channel.QUOTAS):
-            self.peers.socket.add_handler(channel, self._hear)
+            self.peers.socket.add_handler(channel, self._on_datagram)
 
     def adopt(self, *, accounts, version=3):
         held = (Account(ACCOUNT, (b"d",)),) if accounts else ()
         cfg = RouteConfig(version, (KEYED, PUBLIC), {}, accounts=held)
         self.node._routes.adopt(cfg, b"raw", "test")
 
-    def _hear(self, data, sender):
-        self.heard.append(data)
+    def _on_datagram(self, data, sender):
+        self.received.append(data)
         return True
 
-    def datagram(self, data):
+    def receive_datagram(self, data):
         self.peers.socket.datagram_received(data, tuple(PEER))
 
-    async def request(self, path, body, fields):
+    async def receive_request(self, path, body, fields):
         return await self.peers.listener.handle(
             Request("POST", path, fields, body, len(body), PEER.host)
         )
 
     @property
-    def refused(self):
+    def refused_count(self):
         return sum(self.peers.refused_by_label().values())
 
 
 class Sender:
-    """What a sender makes of a message, by the secret that it holds."""
+    """Sends messages signed by the secret that it holds, if any."""
 
-    def __init__(self, here, secret):
-        self.keyring = Keyring(here.clock)
+    def __init__(self, receiver, secret):
+        self.keyring = Keyring(receiver.clock)
         if secret is not None:
             self.keyring.update_secret(secret, 1)
         self.keyring.set_has_accounts(True, with_grace=False)
         start_ids = StartIds(b"peer")
-        start_ids.update(HERE, here.peers._start_ids.own)
+        start_ids.update(HERE, receiver.peers._start_ids.own)
         self.signer = FleetSigner(self.keyring, start_ids)
         self.authenticator = FleetDatagramAuthenticator(
-            self.keyring, start_ids, PEER, here.clock
+            self.keyring, start_ids, PEER, receiver.clock
         )
-        self.here = here
+        self.receiver = receiver
 
-    def datagram(self, channel, data):
+    def sign_datagram(self, channel, data):
         plain = bytes((channel,)) + data
         ((sent, _),) = self.authenticator.sign(plain, [HERE])
         return sent
 
-    def signed(self, path, covered):
+    def auth_fields(self, path, covered):
         auth = self.signer.sign(HERE, "POST", path, covered)
         return ((AUTH_FIELD, auth),) if auth else ()
 
     async def control(self, name, body):
         path = CONTROL_PREFIX + name
-        await self.here.request(path, body, self.signed(path, body))
+        await self.receiver.receive_request(
+            path, body, self.auth_fields(path, body)
+        )
 
     async def forward(
         self,
@@ -172,95 +174,102 @@
         *,
         account=ACCOUNT,
         claimed=None,
-        told=None,
+        tenant=None,
         service="s",
     ):
-        """Forwards an attempt; returns the result code it is answered with.
+        """Forwards an attempt; returns the result code of the response.
 
         Args:
-          route: whose path is asked for.
-          account: that is signed.
-          claimed: that stands in the attempt; by default the same.
-          told: that the server would be told; by default the same.
-          service: of the attempt.
+          route: the route whose path is requested.
+          account: the account that is signed.
+          claimed: the account in the attempt field; by default the same.
+          tenant: the account in the request to the server; by default the
+            same.
+          service: the service of the attempt.
         """
         info = AttemptInfo("x-1", "a-1", service, True, 900, 2**52, "c", 0)
         signed = msgspec.structs.replace(info, account=account)
         sent = msgspec.structs.replace(
             info, account=account if claimed is None else claimed
         )
-        told = account if told is None else told
+        tenant = account if tenant is None else tenant
         path = route.prefix + "x"
         fields = (
             ("Host", "h"),
-            *((("Tenant", told),) if told else ()),
+            *((("Tenant", tenant),) if tenant else ()),
             (ATTEMPT_FIELD, msgspec.json.encode(sent).decode()),
-            *self.signed(path, msgspec.json.encode(signed)),
+            *self.auth_fields(path, msgspec.json.encode(signed)),
+        )
+        self.response = response = await self.receiver.receive_request(
+            path, b"", fields
         )
-        self.answer = answer = await self.here.request(path, b"", fields)
-        field = get_header(answer.headers, ANSWER_FIELD.lower())
+        field = get_header(response.headers, ANSWER_FIELD.lower())
         return msgspec.json.decode(field)[2]
 
 
 class Load:
-    """The load of another target."""
+    """A load report of another target."""
 
     async def send(self, sender):
         report = LoadReport(5, 77, 0, 100.0)
         data = encode_load(LoadMessage("b-1", 9, 4, report))
-        sender.here.datagram(sender.datagram(Channel.LOADS, data))
+        sender.receiver.receive_datagram(
+            sender.sign_datagram(Channel.LOADS, data)
+        )
 
-    def has_effect(self, here):
-        seen = here.node._entry.chooser.statistics.record("b-1")
-        report = seen.report if seen is not None else None
+    def has_effect(self, receiver):
+        record = receiver.node._entry.chooser.statistics.record("b-1")
+        report = record.report if record is not None else None
         return report is not None and report.in_flight == 77
 
 
-class Fact:
-    """A fact on a member: it is at another address."""
+class MemberUpdate:
+    """A record of a known member with another address."""
 
     push = Push("b-1", 0, (MemberRecord("b-1", "s", "b", "10.6.6.6:1", 99),))
 
     async def send(self, sender):
         data = encode_envelope(Envelope(0, False, self.push))
-        sender.here.datagram(sender.datagram(Channel.GOSSIP, data))
+        sender.receiver.receive_datagram(
+            sender.sign_datagram(Channel.GOSSIP, data)
+        )
 
-    def has_effect(self, here):
-        members = here.node._membership.directory.members()
+    def has_effect(self, receiver):
+        members = receiver.node._membership.directory.members()
         return any(m.address.host == "10.6.6.6" for m in members)
 
 
-class FactByHttp(Fact):
+class MemberUpdateByHttp(MemberUpdate):
     async def send(self, sender):
         await sender.control(GOSSIP, encode_message(self.push))
 
 
-class Joined(Fact):
-    """A fact on a member that nobody knows."""
+class MemberJoin(MemberUpdate):
+    """A record of an unknown member."""
 
     push = Push("z-9", 0, (MemberRecord("z-9", "s", "b", "10.6.6.6:1", 99),))
 
 
 class ForgedRoutes:
-    """A version that no operator made."""
+    """A routes version that is not the operator's."""
 
     async def send(self, sender):
-        offer = routes.RouteUpdate(routes.compress(RAW))
-        await sender.control(ROUTES, routes.encode(offer))
+        update = routes.RouteUpdate(routes.compress(RAW))
+        await sender.control(ROUTES, routes.encode(update))
 
-    def has_effect(self, here):
-        return here.node._routes.version == 9
+    def has_effect(self, receiver):
+        return receiver.node._routes.version == 9
 
 
 class ForgedEvacuation:
     async def send(self, sender):
-        told = EvacuatedDomains(9, frozenset({"a"}))
+        domains = EvacuatedDomains(9, frozenset({"a"}))
         await sender.control(
-            ROUTES, routes.encode(routes.RouteUpdate(b"", told))
+            ROUTES, routes.encode(routes.RouteUpdate(b"", domains))
         )
 
-    def has_effect(self, here):
-        return here.node._evacuation.names == {"a"}
+    def has_effect(self, receiver):
+        return receiver.node._evacuation.names == {"a"}
 
 
 class ForgedEvacuationRumor:
@@ -269,20 +278,22 @@
         rumor = Rumor("emptied", "domains", 9, value.decode(), 60_000)
         push = Push("b-1", 0, (), (rumor,))
         data = encode_envelope(Envelope(0, False, push))
-        sender.here.datagram(sender.datagram(Channel.GOSSIP, data))
+        sender.receiver.receive_datagram(
+            sender.sign_datagram(Channel.GOSSIP, data)
+        )
 
-    def has_effect(self, here):
-        return here.node._evacuation.names == {"a"}
+    def has_effect(self, receiver):
+        return receiver.node._evacuation.names == {"a"}
 
 
 class Leaving:
-    """The word that the server beside leaves."""
+    """A notice that the local backend server is leaving."""
 
     async def send(self, sender):
         await sender.control(LEAVING, b"i-1")
 
-    def has_effect(self, here):
-        return here.node._target.server.has_ended("i-1")
+    def has_effect(self, receiver):
+        return receiver.node._target.server.has_ended("i-1")
 
 
 class LeavingRumor(Leaving):
@@ -290,35 +301,39 @@
         rumor = Rumor("leaving", "i-1", 1, "1", 60_000)
         push = Push("b-1", 0, (), (rumor,))
         data = encode_envelope(Envelope(0, False, push))
-        sender.here.datagram(sender.datagram(Channel.GOSSIP, data))
+        sender.receiver.receive_datagram(
+            sender.sign_datagram(Channel.GOSSIP, data)
+        )
 
 
-class Recency:
+class RecencyDatagram:
     channel = Channel.RECENCY
 
     async def send(self, sender):
-        sender.here.datagram(sender.datagram(self.channel, b"recent"))
+        sender.receiver.receive_datagram(
+            sender.sign_datagram(self.channel, b"recent")
+        )
 
-    def has_effect(self, here):
-        return here.heard == [b"recent"]
+    def has_effect(self, receiver):
+        return receiver.received == [b"recent"]
 
 
-class Quota(Recency):
+class QuotaDatagram(RecencyDatagram):
     channel = Channel.QUOTAS
 
 
 MESSAGES = [
     Load(),
-    Fact(),
-    FactByHttp(),
-    Joined(),
+    MemberUpdate(),
+    MemberUpdateByHttp(),
+    MemberJoin(),
     ForgedRoutes(),
     ForgedEvacuation(),
     ForgedEvacuationRumor(),
     Leaving(),
     LeavingRumor(),
-    Recency(),
-    Quota(),
+    RecencyDatagram(),
+    QuotaDatagram(),
 ]
 
 
@@ -328,136 +343,140 @@
 
 
 @pytest.fixture
-async def here():
-    return Here()
+async def receiver():
+    return Receiver()
 
 
-def named(message):
+def class_name(message):
     return type(message).__name__
 
 
-@pytest.mark.parametrize("message", MESSAGES, ids=named)
-async def test_message_of_a_node_has_its_effect(here, message):
-    await message.send(Sender(here, SECRET))
+@pytest.mark.parametrize("message", MESSAGES, ids=class_name)
+async def test_message_of_fleet_node_takes_effect(receiver, message):
+    await message.send(Sender(receiver, SECRET))
 
-    assert message.has_effect(here)
-    assert here.refused == 0
+    assert message.has_effect(receiver)
+    assert receiver.refused_count == 0
 
 
 @pytest.mark.parametrize("secret", [None, FOREIGN], ids=["unsigned", "foreign"])
-@pytest.mark.parametrize("message", MESSAGES, ids=named)
-async def test_forged_message_has_none_and_is_counted(here, message, secret):
-    await message.send(Sender(here, secret))
+@pytest.mark.parametrize("message", MESSAGES, ids=class_name)
+async def test_forged_message_has_no_effect_and_is_counted(
+    receiver, message, secret
+):
+    await message.send(Sender(receiver, secret))
 
-    assert not message.has_effect(here)
+    assert not message.has_effect(receiver)
     if (
         not isinstance(message, ForgedRoutes | ForgedEvacuation)
         or secret is not None
     ):
-        assert here.refused == 1
+        assert receiver.refused_count == 1
 
 
-@pytest.mark.parametrize("message", MESSAGES, ids=named)
-async def test_replayed_message_is_refused(here, message):
-    sender = Sender(here, SECRET)
+@pytest.mark.parametrize("message", MESSAGES, ids=class_name)
+async def test_replayed_message_is_refused(receiver, message):
+    sender = Sender(receiver, SECRET)
     await message.send(sender)
     sender.signer._sequence = 0
     sender.authenticator._sequence = 0
 
     await message.send(sender)
 
-    assert here.refused == 1
+    assert receiver.refused_count == 1
 
 
-@pytest.mark.parametrize("message", MESSAGES, ids=named)
-async def test_without_accounts_all_is_taken_as_before(message):
-    here = Here(accounts=False)
+@pytest.mark.parametrize("message", MESSAGES, ids=class_name)
+async def test_without_accounts_unsigned_messages_are_accepted(message):
+    receiver = Receiver(accounts=False)
 
-    await message.send(Sender(here, None))
+    await message.send(Sender(receiver, None))
 
-    assert message.has_effect(here)
-    assert here.refused == 0
+    assert message.has_effect(receiver)
+    assert receiver.refused_count == 0
 
 
-@pytest.mark.parametrize("message", MESSAGES, ids=named)
-async def test_node_that_lacks_the_secret_takes_what_nodes_sign(message):
-    here = Here(secret=None)
+@pytest.mark.parametrize("message", MESSAGES, ids=class_name)
+async def test_node_without_secret_accepts_signed_messages(message):
+    receiver = Receiver(secret=None)
 
-    await message.send(Sender(here, SECRET))
+    await message.send(Sender(receiver, SECRET))
 
-    assert message.has_effect(here)
+    assert message.has_effect(receiver)
 
 
-async def test_forward_of_a_node_is_tried(here):
-    code = await Sender(here, SECRET).forward()
+async def test_forward_of_fleet_node_is_attempted(receiver):
+    code = await Sender(receiver, SECRET).forward()
 
     assert code != ResultCode.PEER_UNAUTHENTICATED
-    assert here.refused == 0
+    assert receiver.refused_count == 0
 
 
-async def test_forward_with_an_account_needs_a_signature(here):
-    assert await Sender(here, None).forward() == 6001
-    assert await Sender(here, FOREIGN).forward() == 6001
-    assert here.refused == 2
+async def test_forward_with_account_needs_signature(receiver):
+    assert await Sender(receiver, None).forward() == 6001
+    assert await Sender(receiver, FOREIGN).forward() == 6001
+    assert receiver.refused_count == 2
 
 
-async def test_forward_with_another_account_than_signed_is_refused(here):
-    sender = Sender(here, SECRET)
+async def test_forward_with_other_account_than_signed_is_refused(receiver):
+    sender = Sender(receiver, SECRET)
 
     assert await sender.forward(claimed="other") == 6001
     assert await sender.forward(claimed="") == 6001
-    assert await sender.forward(told="other") == 6001
-    assert await sender.forward(account="", told="other") == 6001
-    assert here.refused == 4
+    assert await sender.forward(tenant="other") == 6001
+    assert await sender.forward(account="", tenant="other") == 6001
+    assert receiver.refused_count == 4
 
 
-async def test_replayed_forward_is_not_run_and_not_said_to_be_so(here):
-    sender = Sender(here, SECRET)
+async def test_replayed_forward_is_refused_without_reporting_not_run(receiver):
+    sender = Sender(receiver, SECRET)
     await sender.forward()
     sender.signer._sequence = 0
 
     assert await sender.forward() == ResultCode.PEER_REPLAYED
-    assert get_header(sender.answer.headers, START_FIELD.lower()) is None
+    assert get_header(sender.response.headers, START_FIELD.lower()) is None
 
 
-async def test_forward_that_did_not_run_is_told_how_to_sign(here):
-    sender = Sender(here, FOREIGN)
+async def test_refused_forward_gets_start_id_to_sign_again(receiver):
+    sender = Sender(receiver, FOREIGN)
 
     assert await sender.forward() == ResultCode.PEER_UNAUTHENTICATED
-    assert get_header(sender.answer.headers, START_FIELD.lower()) is not None
+    assert get_header(sender.response.headers, START_FIELD.lower()) is not None
 
 
-async def test_unsigned_forward_without_account_needs_a_public_route(here):
-    sender = Sender(here, None)
+async def test_unsigned_forward_without_account_needs_public_route(receiver):
+    sender = Sender(receiver, None)
 
     assert await sender.forward(PUBLIC, account="") != 6001
-    assert here.refused == 0
+    assert receiver.refused_count == 0
     assert await sender.forward(PUBLIC) == 6001
     assert await sender.forward(KEYED, account="") == 6001
-    assert await sender.forward(PUBLIC, account="", told="other") == 6001
+    assert await sender.forward(PUBLIC, account="", tenant="other") == 6001
     assert await sender.forward(PUBLIC, account="", service="t") == 6001
 
 
-async def test_unsigned_forward_of_a_stranger_is_refused(here):
-    here.node._membership.gossip.table.members.pop("b-1")
-    here.node._membership._receive(
+async def test_unsigned_forward_of_unknown_node_is_refused(receiver):
+    receiver.node._membership.gossip.table.members.pop("b-1")
+    receiver.node._membership._receive(
         Push("b-2", 0, (MemberRecord("b-2", "s", "b", "10.0.0.3:7600", 5),))
     )
 
-    assert await Sender(here, None).forward(PUBLIC, account="") == 6001
+    assert await Sender(receiver, None).forward(PUBLIC, account="") == 6001
 
 
-async def test_refusal_tells_who_refused(here):
-    answer = await here.request(CONTROL_PREFIX + GOSSIP, b"", ())
+async def test_refusal_carries_start_id(receiver):
+    response = await receiver.receive_request(CONTROL_PREFIX + GOSSIP, b"", ())
 
-    assert answer.status == 401
-    told = get_header(answer.headers, "radishwind-node-start")
-    assert told == here.peers._start_ids.own.hex()
+    assert response.status == 401
+    start_id = get_header(response.headers, "radishwind-node-start")
+    assert start_id == receiver.peers._start_ids.own.hex()
 
 
-async def test_configuration_is_given_to_nobody_who_does_not_sign(here):
-    ask = routes.encode(routes.UpdateRequest(0))
+async def test_unsigned_request_gets_no_routes(receiver):
+    request = routes.encode(routes.UpdateRequest(0))
 
-    answer = await here.request(CONTROL_PREFIX + ROUTES, ask, ())
+    response = await receiver.receive_request(
+        CONTROL_PREFIX + ROUTES, request, ()
+    )
 
-    assert routes.decode(answer.body) == routes.NoUpdate()
+    assert routes.decode(response.body) == routes.NoUpdate()
--- a/src/radishwind/sidecar/tests/test_link_side.py
+++ b/src/radishwind/sidecar/tests/test_link_side.py
@@ -1,4 +1,4 @@
-"""Links and ways are wired by what the settings and the routes say."""
+"""Link and path costs are wired by the settings and the routes."""
 
 import msgspec
 import pytest
@@ -15,7 +15,7 @@
 from radishwind.sidecar.link_side import LinkSide
 from radishwind.sidecar.tests.test_target_side import settings
 
-FAR = Member("f", "s", "b", Address("10.0.0.2", 80))
+REMOTE = Member("f", "s", "b", Address("10.0.0.2", 80))
 
 
 def route(name, **fields):
@@ -32,44 +32,48 @@
     return ManualClock()
 
 
-def side(clock, link_mbps=10.0):
-    told = msgspec.structs.replace(settings(), link_mbps=link_mbps)
-    made = LinkSide(told, clock)
-    made.adopt(CONFIG)
-    return made
+def make_link_side(clock, link_mbps=10.0):
+    link_settings = msgspec.structs.replace(settings(), link_mbps=link_mbps)
+    links = LinkSide(link_settings, clock)
+    links.adopt(CONFIG)
+    return links
 
 
-def test_a_route_of_large_answers_is_dear_to_send_far_from_the_first(clock):
-    ways = side(clock).path_costs(CROSS_DOMAIN_S)
+def test_route_with_large_responses_is_costly_from_first_request(clock):
+    path_costs = make_link_side(clock).path_costs(CROSS_DOMAIN_S)
 
-    large, small = (ways.path_cost("b", 0, name, 0.0) for name in ("l", "s"))
+    large, small = (
+        path_costs.path_cost("b", 0, name, 0.0) for name in ("l", "s")
+    )
 
     assert large.transmission_s == pytest.approx(DEFAULT_LARGE_BYTES * 8 / 10e6)
     assert small.transmission_s == 0
     assert large.penalty_s > small.penalty_s
 
 
-def test_without_a_link_in_the_settings_ways_are_fixed(clock):
-    made = side(clock, link_mbps=0.0)
-    made.traffic.set_members((FAR,))
-    made.record_round_trip(FAR.address, 0.3)
-    ways, fixed = made.path_costs(CROSS_DOMAIN_S), FixedPathCosts("a")
+def test_without_link_in_settings_path_costs_are_fixed(clock):
+    links = make_link_side(clock, link_mbps=0.0)
+    links.traffic.set_members((REMOTE,))
+    links.record_round_trip(REMOTE.address, 0.3)
+    path_costs, fixed = links.path_costs(CROSS_DOMAIN_S), FixedPathCosts("a")
 
     for domain in ("a", "b"):
         for name in ("l", "s"):
-            way = ways.path_cost(domain, 5_000, name, 0.0)
-            assert way == fixed.path_cost(domain, 0, name, 0.0)
+            cost = path_costs.path_cost(domain, 5_000, name, 0.0)
+            assert cost == fixed.path_cost(domain, 0, name, 0.0)
 
 
-def test_a_round_trip_counts_for_the_domain_of_the_node_that_answered(clock):
-    made = side(clock)
-    made.record_round_trip(FAR.address, 0.3)
-    assert made.round_trips.fresh_means_s(0.0) == {}
-    made.traffic.set_members((FAR,))
-    made.record_round_trip(FAR.address, 0.3)
+def test_round_trip_is_recorded_for_domain_of_answering_node(clock):
+    links = make_link_side(clock)
+    links.record_round_trip(REMOTE.address, 0.3)
+    assert links.round_trips.fresh_means_s(0.0) == {}
+    links.traffic.set_members((REMOTE,))
+    links.record_round_trip(REMOTE.address, 0.3)
 
-    assert made.round_trips.fresh_means_s(0.0) == {"b": 0.3}
+    assert links.round_trips.fresh_means_s(0.0) == {"b": 0.3}
     assert (
-        made.path_costs(CROSS_DOMAIN_S).path_cost("b", 0, "s", 0.0).round_trip_s
+        links.path_costs(CROSS_DOMAIN_S)
+        .path_cost("b", 0, "s", 0.0)
+        .round_trip_s
         == 0.3
     )
