--- a/src/radishwind/sidecar/secret_manager.py
+++ b/src/radishwind/sidecar/secret_manager.py
@@ -71,7 +71,7 @@
         return "SecretRecord(...)"
 
 
-def read_record(value: bytes) -> SecretRecord | None:
+def decode_record(value: bytes) -> SecretRecord | None:
     """Returns the record encoded in `value`; `None` if it is malformed."""
     try:
         record = msgspec.json.decode(value, type=SecretRecord)
@@ -235,7 +235,7 @@
                 return False
             if entry is None:
                 entry = await self._store.get(KEY)
-            if entry is None or read_record(entry.value) is None:
+            if entry is None or decode_record(entry.value) is None:
                 return await self._create(entry)
         except StoreError as exc:
             self._log.info(
@@ -273,7 +273,7 @@
         return True
 
     def _apply(self, entry: StoreEntry) -> None:
-        record = read_record(entry.value)
+        record = decode_record(entry.value)
         if record is None:
             self._log.error(
                 "The record of the secret in the store is malformed.",
--- a/src/radishwind/sidecar/tests/test_forged.py
+++ b/src/radishwind/sidecar/tests/test_forged.py
@@ -116,8 +116,8 @@
             self.peers.socket.add_handler(channel, self._on_datagram)
 
     def adopt(self, *, accounts, version=3):
-        held = (Account(ACCOUNT, (b"d",)),) if accounts else ()
-        cfg = RouteConfig(version, (KEYED, PUBLIC), {}, accounts=held)
+        in_force = (Account(ACCOUNT, (b"d",)),) if accounts else ()
+        cfg = RouteConfig(version, (KEYED, PUBLIC), {}, accounts=in_force)
         self.node._routes.adopt(cfg, b"raw", "test")
 
     def _on_datagram(self, data, sender):
--- a/src/radishwind/sidecar/tests/test_graceful_shutdown.py
+++ b/src/radishwind/sidecar/tests/test_graceful_shutdown.py
@@ -75,7 +75,7 @@
 
 class Target:
     def __init__(self, time):
-        self.refuse_new_work = lambda: time.record("target leaves")
+        self.refuse_new_work = lambda: time.record("target refuses")
 
     async def wait_drained(self):
         pass
@@ -108,7 +108,7 @@
             attempts=self.attempts,
             target=Target(time),
             notices=DepartureNotices(
-                lambda: time.record("says leaving"), self._advertise_left
+                lambda: time.record("advertises leaving"), self._advertise_left
             ),
         )
         self.responses = []
@@ -118,7 +118,7 @@
         return Response(200, (), b"done")
 
     async def _advertise_left(self):
-        self.time.record("says left")
+        self.time.record("advertises left")
 
     async def send(self, at_s):
         await self.time.sleep(at_s)
@@ -155,7 +155,7 @@
 
     await run_with(shutdown, (shutdown.check_readiness, 0.3))
 
-    assert shutdown.time.at("target leaves") == pytest.approx(1.3, abs=0.1)
+    assert shutdown.time.at("target refuses") == pytest.approx(1.3, abs=0.1)
     assert shutdown.time.at("closed") < 2.0
 
 
@@ -164,11 +164,16 @@
 
     await run_with(shutdown)
 
-    assert shutdown.time.at("says leaving") == pytest.approx(
+    assert shutdown.time.at("advertises leaving") == pytest.approx(
         graceful_shutdown.NOTICE_S, abs=0.1
     )
     names = [event for event, _ in shutdown.time.events]
-    assert names == ["says leaving", "target leaves", "says left", "closed"]
+    assert names == [
+        "advertises leaving",
+        "target refuses",
+        "advertises left",
+        "closed",
+    ]
 
 
 async def test_requests_in_progress_finish_before_listeners_close(
--- a/src/radishwind/sidecar/tests/test_route_verifier.py
+++ b/src/radishwind/sidecar/tests/test_route_verifier.py
@@ -82,10 +82,10 @@
 
 @pytest.fixture
 async def node():
-    made = Node()
+    node = Node()
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(made.task.run)
-        yield made
+        tasks.start_soon(node.task.run)
+        yield node
         tasks.cancel_scope.cancel()
 
 
--- a/src/radishwind/sidecar/tests/test_secret_manager.py
+++ b/src/radishwind/sidecar/tests/test_secret_manager.py
@@ -14,8 +14,8 @@
 from radishwind.membership.contact_records import decode_contact_record
 from radishwind.peers.keyring import Keyring
 from radishwind.sidecar import secret_manager
+from radishwind.sidecar.secret_manager import decode_record
 from radishwind.sidecar.secret_manager import KEY
-from radishwind.sidecar.secret_manager import read_record
 from radishwind.sidecar.secret_manager import SECRET_BYTES
 from radishwind.sidecar.secret_manager import SecretManager
 from radishwind.sidecar.secret_manager import SecretRecord
@@ -158,7 +158,7 @@
     await wait_until(lambda: not any(n.keyring.lacks_secret for n in nodes))
 
     secrets = {n.keyring.signing_secret for n in nodes}
-    assert secrets == {read_record(store.value).secret}
+    assert secrets == {decode_record(store.value).secret}
     assert len(next(iter(secrets))) == SECRET_BYTES
 
 
@@ -241,19 +241,19 @@
 
 
 def test_representation_of_record_hides_secret():
-    held = bytes(range(200, 200 + SECRET_BYTES))
-    record = SecretRecord(held)
+    secret = bytes(range(200, 200 + SECRET_BYTES))
+    record = SecretRecord(secret)
     shown = f"{record} {record!r} {[record]}"
 
     assert "SecretRecord" in shown
     for form in (
-        repr(held)[2:-1],
-        held.hex(),
-        base64.b64encode(held).decode(),
-        base64.urlsafe_b64encode(held).decode(),
+        repr(secret)[2:-1],
+        secret.hex(),
+        base64.b64encode(secret).decode(),
+        base64.urlsafe_b64encode(secret).decode(),
     ):
         assert form[:12] not in shown
-    assert read_record(msgspec.json.encode(record)) == record
+    assert decode_record(msgspec.json.encode(record)) == record
 
 
 def test_record_is_not_read_as_contact():
@@ -337,7 +337,7 @@
 
     await wait_until(lambda: not node.keyring.lacks_secret)
 
-    assert read_record(store.value) is not None
+    assert decode_record(store.value) is not None
 
 
 async def test_removed_record_is_recreated_and_read_by_all(
