--- a/src/radishwind/platform/boot.py
+++ b/src/radishwind/platform/boot.py
@@ -44,8 +44,8 @@
     port_range: tuple[int, int]
     zones: dict[str, str] = {}
     heartbeat_ms: int = 1500
-    # Whether the whole fleet starts for the first time, not how this process
-    # starts.
+    # Whether the whole fleet is starting now; says nothing about how this
+    # process starts.
     bootstrap: bool = False
     bounds: tuple[str, ...] = ()
     limits: _Limits = _Limits()
@@ -73,7 +73,7 @@
 def _make_settings(file: _File, metrics_port: int) -> PlacedSettings:
     texts = _split_bounds(file.bounds)
     bounds = _parse_numbers(texts)
-    strict = _parse_flag(texts, "strict-revoke")
+    is_strict = _parse_flag(texts, "strict-revoke")
     return PlacedSettings(
         node=file.node,
         service=file.service,
@@ -100,7 +100,7 @@
         quota_slack=bounds.get("quota-slack", 20.0),
         cold_over=bounds.get("cold-over", 1.0),
         cold_slack=bounds.get("cold-slack", 0.0),
-        revoke_s=bounds.get("revoke-ms", 5000.0) / 1000 if strict else None,
+        revoke_s=bounds.get("revoke-ms", 5000.0) / 1000 if is_strict else None,
         link_mbps=file.limits.link_mbps,
         first_start=file.bootstrap,
     )
--- a/src/radishwind/platform/heartbeats.py
+++ b/src/radishwind/platform/heartbeats.py
@@ -64,7 +64,7 @@
     address: str
     slots: Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
     state: _State
-    # The time for which the server is still slow.
+    # Despite the name, the time for which the server is still slow.
     warmup_left_ms: Annotated[float, msgspec.Meta(ge=0, le=MAX_WARMUP_MS)]
     seq: Annotated[int, msgspec.Meta(ge=0)]
     born: _StartTime | None = None
--- a/src/radishwind/platform/platform_dialect.py
+++ b/src/radishwind/platform/platform_dialect.py
@@ -57,19 +57,19 @@
             fields[name] = item[1]
             if name not in NODE_ONLY_FIELDS:
                 forwarded.append(item)
-        success = 200 <= response.status < 300
-        encoded = "content-encoding" in fields
-        unsigned = success and SIGNATURE.lower() not in fields
+        is_success = 200 <= response.status < 300
+        is_encoded = "content-encoding" in fields
+        is_unsigned = is_success and SIGNATURE.lower() not in fields
         # This field distinguishes a server's refusal from one by a node.
-        not_run = NOT_EXECUTED.lower() in fields or _is_other_incarnation(
+        is_not_run = NOT_EXECUTED.lower() in fields or _is_other_incarnation(
             response
         )
         return ResponseMetadata(
-            matches_request=_matches_request(call, fields, not_run),
+            matches_request=_matches_request(call, fields, is_not_run),
             incarnation=fields.get(SERVER_INCARNATION.lower(), ""),
-            is_not_run=not_run,
+            is_not_run=is_not_run,
             is_other_incarnation=_is_other_incarnation(response),
-            is_authentic=not encoded and not unsigned,
+            is_authentic=not is_encoded and not is_unsigned,
             load=_parse_load(fields.get(LOAD.lower())),
             headers=tuple(forwarded),
         )
@@ -85,14 +85,16 @@
         )
 
 
-def _matches_request(call: Call, fields: dict[str, str], not_run: bool) -> bool:
+def _matches_request(
+    call: Call, fields: dict[str, str], is_not_run: bool
+) -> bool:
     """Returns whether the fields of a response carry the id of `call`.
 
     A refusal may omit the request id; any other response must carry it.
     """
     request_id = fields.get(REQUEST_ID.lower())
     if request_id is None:
-        return not_run
+        return is_not_run
     return request_id == get_header(call.request.headers, REQUEST_ID.lower())
 
 
--- a/src/radishwind/platform/routes.py
+++ b/src/radishwind/platform/routes.py
@@ -16,7 +16,7 @@
 #: The store key that holds the complete newest configuration.
 CONFIG_KEY = "op/config"
 
-#: The store prefix under which the operator, and nobody else, writes.
+#: The store prefix of all keys that the operator writes, and of no others.
 OPERATOR_PREFIX = "op/"
 
 #: The store prefix of the keys that name evacuated failure domains.
--- a/src/radishwind/platform/tests/test_decoding.py
+++ b/src/radishwind/platform/tests/test_decoding.py
@@ -137,11 +137,13 @@
         b'"tenants":[{"name":"t1","api-keys":["k1","k2"],"priority":1,'
         b'"rate-per-s":135,"burst":27.5},{"name":"t2"}],"limits"'
     )
-    kept = ROUTES.replace(b'"limits"', tenants)
-    kept = kept.replace(b'"kind":"unsafe"', b'"kind":"upload"')
-    kept = kept.replace(b'"kind":"safe"', b'"kind":"download","public":true')
+    config = ROUTES.replace(b'"limits"', tenants)
+    config = config.replace(b'"kind":"unsafe"', b'"kind":"upload"')
+    config = config.replace(
+        b'"kind":"safe"', b'"kind":"download","public":true'
+    )
 
-    cfg = decode_routes(kept)
+    cfg = decode_routes(config)
 
     first, second = cfg.accounts
     assert first == Account(
@@ -205,13 +207,13 @@
         )
 
 
-def call():
+def make_call():
     request = Request("GET", "/x", (("Attempt-Id", "9c"),))
     return Call("9c", "s", request, ServiceRules(), True, 1.0, 1, "c")
 
 
 def test_request_carries_timeout_and_expected_incarnation():
-    request = PlatformDialect().build_request(call(), "i-7", 0.25)
+    request = PlatformDialect().build_request(make_call(), "i-7", 0.25)
 
     fields = dict(request.headers)
     assert (fields["Timeout-Ms"], fields["Expect-Instance"]) == ("250", "i-7")
@@ -245,7 +247,7 @@
     headers = tuple((k, v) for k, v in values.items() if v is not None)
 
     metadata = PlatformDialect().parse_response(
-        call(), Response(status, headers)
+        make_call(), Response(status, headers)
     )
 
     assert (metadata.matches_request, metadata.is_authentic) == (
@@ -300,9 +302,11 @@
 
 
 def test_downloads_have_large_responses():
-    kept = ROUTES.replace(b'"kind":"safe"', b'"kind":"download"')
+    config = ROUTES.replace(b'"kind":"safe"', b'"kind":"download"')
 
-    large = [route.has_large_responses for route in decode_routes(kept).routes]
+    large = [
+        route.has_large_responses for route in decode_routes(config).routes
+    ]
 
     assert large == [False, True]
     assert not any(
--- a/src/radishwind/platform/tests/test_platform_store.py
+++ b/src/radishwind/platform/tests/test_platform_store.py
@@ -22,24 +22,24 @@
 
 
 class ScriptedSender(Sender):
-    def __init__(self, *answers):
-        self.answers = list(answers)
+    def __init__(self, *responses):
+        self.responses = list(responses)
         self.requests = []
 
     async def send(self, address, request, connect_timeout_s):
         self.requests.append(request)
-        answer = self.answers.pop(0)
-        if isinstance(answer, Exception):
-            raise answer
-        status, body = answer
+        response = self.responses.pop(0)
+        if isinstance(response, Exception):
+            raise response
+        status, body = response
         return Response(status, (), msgspec.json.encode(body))
 
     async def close(self):
         pass
 
 
-def store(*answers):
-    script = ScriptedSender(*answers)
+def make_store(*responses):
+    script = ScriptedSender(*responses)
     return PlatformStore(script, Address("10.0.0.1", 1)), script
 
 
@@ -49,7 +49,7 @@
 
 
 async def test_reads_one_key():
-    client, _ = store((200, {**item("k"), "current-rev": 7}))
+    client, _ = make_store((200, {**item("k"), "current-rev": 7}))
 
     entry = await client.get("k")
 
@@ -57,13 +57,13 @@
 
 
 async def test_missing_key_is_none():
-    client, _ = store((404, {}))
+    client, _ = make_store((404, {}))
 
     assert await client.get("k") is None
 
 
 async def test_reads_ranges_page_by_page():
-    client, script = store(
+    client, script = make_store(
         (200, {"items": [item("a"), item("b")], "truncated": True}),
         (200, {"items": [item("c")], "truncated": False}),
     )
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "error"),
+    ("response", "error"),
     [
         ((503, {}), StoreUnavailableError),
         ((429, {}), StoreUnavailableError),
@@ -84,15 +84,15 @@
         ((200, {"rev": "x"}), StoreAnswerMalformedError),
     ],
 )
-async def test_failed_calls_raise_by_their_possible_effect(answer, error):
-    client, _ = store(answer)
+async def test_failed_calls_raise_by_their_possible_effect(response, error):
+    client, _ = make_store(response)
 
     with pytest.raises(error):
         await client.transact((Compare("k", 0),), (Put("k", b"v"),))
 
 
 async def test_failed_comparison_is_reported():
-    client, _ = store((412, {"items": [item("k")]}))
+    client, _ = make_store((412, {"items": [item("k")]}))
 
     result = await client.transact((Compare("k", 0),), (Put("k", b"v"),))
 
@@ -100,13 +100,13 @@
 
 
 async def test_expired_lease_has_no_time_left():
-    client, _ = store((404, {}))
+    client, _ = make_store((404, {}))
 
     assert await client.keep_alive(7) == 0
 
 
 async def test_watch_continues_from_the_last_revision():
-    client, script = store(
+    client, script = make_store(
         (200, {"events": [item("k", rev=5)], "current-rev": 6}),
         (200, {"events": [{"key": "k", "rev": 8, "removed": True}],
                "current-rev": 8}),
@@ -150,7 +150,7 @@
 async def test_continues_after_a_page_that_ends_with_a_malformed_item():
     bad = {"key": "b", "value": 7, "rev": 4}
     first = {"items": [item("a"), bad], "truncated": True}
-    client, script = store(
+    client, script = make_store(
         (200, first), (200, {"items": [item("c")], "truncated": False})
     )
 
@@ -165,7 +165,7 @@
         "events": [{"key": "a", "rev": "?"}, item("b", rev=6)],
         "current-rev": 6,
     }
-    client, _ = store((200, page))
+    client, _ = make_store((200, page))
 
     async for event in client.watch("x/", 1):
         assert (event.key, event.revision) == ("b", 6)
@@ -173,7 +173,7 @@
 
 
 async def test_entry_has_the_revision_of_the_store():
-    client, _ = store((200, {**item("k", rev=4), "current-rev": 70}))
+    client, _ = make_store((200, {**item("k", rev=4), "current-rev": 70}))
 
     entry = await client.get("k")
 
@@ -181,7 +181,7 @@
 
 
 async def test_only_reads_that_accept_stale_state_request_it():
-    client, script = store((404, {}), (404, {}), (200, {"items": []}))
+    client, script = make_store((404, {}), (404, {}), (200, {"items": []}))
 
     await client.get("k")
     await client.get("k", allow_stale=True)
@@ -192,7 +192,7 @@
 
 
 async def test_reads_the_revision_without_values():
-    client, script = store(
+    client, script = make_store(
         (200, {"items": [], "truncated": False, "current-rev": 530})
     )
 
@@ -203,7 +203,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "error"),
+    ("response", "error"),
     [
         ((503, {}), StoreUnavailableError),
         ((429, {}), StoreUnavailableError),
@@ -212,8 +212,8 @@
         (ExchangeBrokenError("cut"), StoreAnswerLostError),
     ],
 )
-async def test_missing_revision_is_an_error(answer, error):
-    client, _ = store(answer)
+async def test_missing_revision_is_an_error(response, error):
+    client, _ = make_store(response)
 
     with pytest.raises(error):
         await client.revision()
--- a/src/radishwind/telemetry/tests/test_losses.py
+++ b/src/radishwind/telemetry/tests/test_losses.py
@@ -17,7 +17,7 @@
 CANCELLED_STEP = "b-2 (cost=130ms unheard) 90ms cancelled"
 
 
-def line(
+def make_line(
     steps="", code=200, aim_left_ms=-5.0, elapsed_ms=500.0, at=7.0, **more
 ):
     fields = {
@@ -35,17 +35,17 @@
 @pytest.mark.parametrize(
     ("logged", "loss"),
     [
-        (line(NORMAL_STEP, aim_left_ms=20.0), Loss.NONE),
-        (line(NORMAL_STEP), Loss.LONG_RUN),
-        (line(SLOW_STEP), Loss.SLOW_INSTANCE),
-        (line(FULL_STEP), Loss.QUEUE),
-        (line(f"{BROKEN_STEP}; {NORMAL_STEP}"), Loss.SEVERAL_TRIES),
-        (line(f"{CANCELLED_STEP}; {SLOW_STEP}"), Loss.SLOW_INSTANCE),
-        (line(REFUSED_STEP, code=3002, elapsed_ms=8.0), Loss.REFUSED),
-        (line(REFUSED_STEP, code=3002), Loss.REFUSED_LATE),
-        (line(BROKEN_STEP, code=4001), Loss.BROKEN_OFF),
-        (line(NORMAL_STEP.replace(" 200", " 500"), code=500), Loss.FAILED),
-        (line("", code=3001, elapsed_ms=1.0), Loss.REFUSED),
+        (make_line(NORMAL_STEP, aim_left_ms=20.0), Loss.NONE),
+        (make_line(NORMAL_STEP), Loss.LONG_RUN),
+        (make_line(SLOW_STEP), Loss.SLOW_INSTANCE),
+        (make_line(FULL_STEP), Loss.QUEUE),
+        (make_line(f"{BROKEN_STEP}; {NORMAL_STEP}"), Loss.SEVERAL_TRIES),
+        (make_line(f"{CANCELLED_STEP}; {SLOW_STEP}"), Loss.SLOW_INSTANCE),
+        (make_line(REFUSED_STEP, code=3002, elapsed_ms=8.0), Loss.REFUSED),
+        (make_line(REFUSED_STEP, code=3002), Loss.REFUSED_LATE),
+        (make_line(BROKEN_STEP, code=4001), Loss.BROKEN_OFF),
+        (make_line(NORMAL_STEP.replace(" 200", " 500"), code=500), Loss.FAILED),
+        (make_line("", code=3001, elapsed_ms=1.0), Loss.REFUSED),
     ],
 )
 def test_classifies_the_loss_of_a_request(logged, loss):
@@ -57,10 +57,10 @@
 
     summary = summarize_losses(
         [
-            line(SLOW_STEP, held_back=3),
-            line(FULL_STEP, at=8.0, elapsed_ms=100.0),
-            line(FULL_STEP, at=9.5, elapsed_ms=300.0),
-            line(NORMAL_STEP, aim_left_ms=1.0, held_back=2),
+            make_line(SLOW_STEP, held_back=3),
+            make_line(FULL_STEP, at=8.0, elapsed_ms=100.0),
+            make_line(FULL_STEP, at=9.5, elapsed_ms=300.0),
+            make_line(NORMAL_STEP, aim_left_ms=1.0, held_back=2),
             unrelated,
         ]
     )
--- a/src/radishwind/telemetry/tests/test_node_exposition.py
+++ b/src/radishwind/telemetry/tests/test_node_exposition.py
@@ -11,16 +11,16 @@
 from radishwind.telemetry.node_exposition import NodeExposition
 
 
-def call(service="library"):
+def make_call(service="library"):
     rules = ServiceRules()
     return Call("9c", service, Request("GET", "/"), rules, True, 1.0, 1, "c")
 
 
 def test_counts_and_times_requests():
     metrics = NodeExposition()
-    metrics.finished(call(), Done(Response(200)), 0.04)
-    metrics.finished(call(), Done(Response(200)), 0.2)
-    metrics.finished(call(), NotRun(ResultCode.OVERLOADED, "full"), 9.0)
+    metrics.finished(make_call(), Done(Response(200)), 0.04)
+    metrics.finished(make_call(), Done(Response(200)), 0.2)
+    metrics.finished(make_call(), NotRun(ResultCode.OVERLOADED, "full"), 9.0)
     metrics.add_gauge("radishwind_members", "Nodes.", lambda: {'state="x"': 3})
 
     lines = metrics.render().splitlines()
@@ -39,7 +39,7 @@
 def test_number_of_series_is_limited():
     metrics = NodeExposition()
     for number in range(2 * MAX_SERIES):
-        metrics.finished(call(f"s{number}"), Done(Response(200)), 0.1)
+        metrics.finished(make_call(f"s{number}"), Done(Response(200)), 0.1)
 
     series = [
         line
