--- a/src/radishwind/entry/tests/test_key_authenticator.py
+++ b/src/radishwind/entry/tests/test_key_authenticator.py
@@ -27,7 +27,7 @@
 from radishwind.outcomes import Unknown
 from radishwind.platform import add_account_field
 from radishwind.platform import decode_caller_fields
-from radishwind.platform.responses import respond
+from radishwind.platform.responses import caller_response
 from radishwind.quotas import QuotaGate
 from radishwind.retries import CappedRetryPolicy
 from radishwind.routes import ActiveRoutes
@@ -147,7 +147,7 @@
             retries=CappedRetryPolicy(),
             runner=self.server,
             claims=NoClaims(),
-            respond=respond,
+            respond=caller_response,
             quotas=self.quotas,
             observers=(self.call_recorder, RejectionRecorder(self.rejections)),
         )
--- a/src/radishwind/platform/__init__.py
+++ b/src/radishwind/platform/__init__.py
@@ -6,9 +6,9 @@
 """
 
 from radishwind.platform.boot import decode_settings
-from radishwind.platform.caller_fields import account_fields
 from radishwind.platform.caller_fields import add_account_field
 from radishwind.platform.caller_fields import decode_caller_fields
+from radishwind.platform.caller_fields import get_account_fields
 from radishwind.platform.caller_fields import parse_host
 from radishwind.platform.heartbeats import decode_heartbeat
 from radishwind.platform.heartbeats import Heartbeat
@@ -20,11 +20,11 @@
     "Heartbeat",
     "PlatformDialect",
     "PlatformStore",
-    "account_fields",
     "add_account_field",
     "decode_caller_fields",
     "decode_heartbeat",
     "decode_routes",
     "decode_settings",
+    "get_account_fields",
     "parse_host",
 ]
--- a/src/radishwind/platform/caller_fields.py
+++ b/src/radishwind/platform/caller_fields.py
@@ -73,7 +73,7 @@
     return _strip_port(get_header(headers, "host") or "")
 
 
-def account_fields(headers: Headers) -> tuple[str, ...]:
+def get_account_fields(headers: Headers) -> tuple[str, ...]:
     """Returns all values of the field that names the account of a request."""
     return tuple(value for name, value in headers if name.lower() == _ACCOUNT)
 
--- a/src/radishwind/platform/errors.py
+++ b/src/radishwind/platform/errors.py
@@ -5,6 +5,6 @@
 
 
 class PlatformMalformedError(RadishwindError):
-    """A message or file of the platform is malformed and was ignored whole."""
+    """A message or file of the platform is malformed; none of it is used."""
 
     code = ResultCode.PLATFORM_MALFORMED
--- a/src/radishwind/platform/responses.py
+++ b/src/radishwind/platform/responses.py
@@ -20,7 +20,7 @@
 _CHALLENGE = ("WWW-Authenticate", KEY_SCHEME)
 
 
-def respond(outcome: Outcome) -> Response:
+def caller_response(outcome: Outcome) -> Response:
     """Returns the final response to the caller for `outcome`.
 
     The platform's callers read fractions of a second in `Retry-After`, so that
--- a/src/radishwind/platform/tests/test_decoding.py
+++ b/src/radishwind/platform/tests/test_decoding.py
@@ -19,7 +19,7 @@
 from radishwind.platform import decode_settings
 from radishwind.platform import PlatformDialect
 from radishwind.platform.errors import PlatformMalformedError
-from radishwind.platform.responses import respond
+from radishwind.platform.responses import caller_response
 
 SETTINGS = """
 node = "sidecar-a-1"
@@ -286,11 +286,13 @@
 
 
 def test_refusal_has_retry_after_in_fractions_of_a_second():
-    response = respond(NotRun(ResultCode.OVERLOADED, "full", 0.15))
+    response = caller_response(NotRun(ResultCode.OVERLOADED, "full", 0.15))
 
     assert response.status == 503
     assert dict(response.headers)["Retry-After"] == "0.150"
-    assert respond(Unknown(ResultCode.EXCHANGE_BROKEN, "x")).status == 502
+    assert (
+        caller_response(Unknown(ResultCode.EXCHANGE_BROKEN, "x")).status == 502
+    )
 
 
 def test_decodes_optional_link_rate():
--- a/src/radishwind/platform/tests/test_responses.py
+++ b/src/radishwind/platform/tests/test_responses.py
@@ -5,7 +5,7 @@
 from radishwind.core.codes import ResultCode
 from radishwind.outcomes import NotRun
 from radishwind.outcomes import Unknown
-from radishwind.platform.responses import respond
+from radishwind.platform.responses import caller_response
 
 PEER_CODES = [code for code in ResultCode if code // 1000 == 6]
 
@@ -13,15 +13,15 @@
 @pytest.mark.parametrize("code", PEER_CODES)
 @pytest.mark.parametrize("retry_after_s", [None, 0.2])
 def test_refusal_by_a_peer_is_not_a_client_error(code, retry_after_s):
-    response = respond(NotRun(code, "refused", retry_after_s))
+    response = caller_response(NotRun(code, "refused", retry_after_s))
 
     assert response.status == 503
     assert b'"status":503' in response.body
-    assert respond(Unknown(code, "refused")).status == 502
+    assert caller_response(Unknown(code, "refused")).status == 502
 
 
 def test_refused_key_gets_an_authentication_challenge():
-    response = respond(NotRun(ResultCode.KEY_REFUSED, "no key", 1.0))
+    response = caller_response(NotRun(ResultCode.KEY_REFUSED, "no key", 1.0))
 
     assert response.status == 401
     assert ("WWW-Authenticate", "Token") in response.headers
--- a/src/radishwind/sidecar/account_policy.py
+++ b/src/radishwind/sidecar/account_policy.py
@@ -5,7 +5,7 @@
 from radishwind.peers.attempts import AttemptInfo
 from radishwind.peers.keyring import Keyring
 from radishwind.peers.peer_listener import AttemptPolicy
-from radishwind.platform import account_fields
+from radishwind.platform import get_account_fields
 from radishwind.platform import parse_host
 from radishwind.routes.active_routes import ActiveRoutes
 
@@ -37,7 +37,7 @@
         if not self._keyring.requires_signatures:
             return True
         expected = (info.account,) if info.account else ()
-        return account_fields(request.headers) == expected
+        return get_account_fields(request.headers) == expected
 
     def accepts_unsigned(self, info: AttemptInfo, request: Request) -> bool:
         """Returns whether the attempt is accepted without a signature.
--- a/src/radishwind/sidecar/entry_side.py
+++ b/src/radishwind/sidecar/entry_side.py
@@ -33,7 +33,7 @@
 from radishwind.peers.signing import RequestSigner
 from radishwind.platform import add_account_field
 from radishwind.platform import decode_caller_fields
-from radishwind.platform.responses import respond
+from radishwind.platform.responses import caller_response
 from radishwind.quarantine.isolating_runner import IsolatingRunner
 from radishwind.quotas import QuotaGate
 from radishwind.retries.fleet import FleetRetryBudget
@@ -184,7 +184,7 @@
                 RETRY_AFTER_SPREAD if switches.spread else 0.0,
                 rng,
             ),
-            respond=respond,
+            respond=caller_response,
             shedder=(
                 ShedLateCalls(self.chooser)
                 if switches.foresight
--- a/src/radishwind/sidecar/graceful_shutdown.py
+++ b/src/radishwind/sidecar/graceful_shutdown.py
@@ -23,7 +23,7 @@
 from radishwind.http.types import Response
 from radishwind.node.requests_in_progress import RequestsInProgress
 from radishwind.outcomes import NotRun
-from radishwind.platform.responses import respond
+from radishwind.platform.responses import caller_response
 from radishwind.sidecar.control import Readiness
 from radishwind.sidecar.options import RETRY_AFTER_S
 from radishwind.target.pipeline import TargetPipeline
@@ -165,6 +165,6 @@
 
 def late_request_response() -> Response:
     """Returns the response to a request that arrives late in a shutdown."""
-    return respond(
+    return caller_response(
         NotRun(ResultCode.LEAVING, "The node is shutting down.", RETRY_AFTER_S)
     )
