--- a/src/radishwind/cli/experiment.py
+++ b/src/radishwind/cli/experiment.py
@@ -34,8 +34,8 @@
 ) -> None:
     """Play a scenario in virtual time and tell what callers got."""
     from radishwind.experiment import load_scenario
-    from radishwind.experiment import play
-    from radishwind.experiment.report import as_table
+    from radishwind.experiment import simulate
+    from radishwind.experiment.report import format_report
     from radishwind.experiment.report import Report
     from radishwind.sidecar.switches import parse_switches
 
@@ -47,8 +47,8 @@
             label = f"without {names}" if names else "all on"
             label += f", seed {each}"
             played = msgspec.structs.replace(scenario, seed=each)
-            reports[label] = play(played, switches)
-            typer.echo(f"{label}: {as_table(reports[label])}")
+            reports[label] = simulate(played, switches)
+            typer.echo(f"{label}: {format_report(reports[label])}")
     if plot is None:
         return
     from radishwind.experiment.plot import draw
--- a/src/radishwind/experiment/__init__.py
+++ b/src/radishwind/experiment/__init__.py
@@ -5,10 +5,10 @@
 One seed gives one result, and a minute takes seconds.
 """
 
-from radishwind.experiment.play import play
 from radishwind.experiment.report import Report
 from radishwind.experiment.scenario import load_scenario
 from radishwind.experiment.scenario import Scenario
 from radishwind.experiment.scenario import ScenarioError
+from radishwind.experiment.simulation import simulate
 
-__all__ = ["Report", "Scenario", "ScenarioError", "load_scenario", "play"]
+__all__ = ["Report", "Scenario", "ScenarioError", "load_scenario", "simulate"]
--- a/src/radishwind/experiment/network.py
+++ b/src/radishwind/experiment/network.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Place:
+class _Listener:
     """Who listens at an address, and the exchanges there."""
 
     handler: Handler
@@ -27,45 +27,45 @@
     """Knows who listens where."""
 
     def __init__(self) -> None:
-        self._places: dict[Address, _Place] = {}
+        self._listeners: dict[Address, _Listener] = {}
 
     def listen(self, address: Address, handler: Handler) -> None:
         """Hands what comes to `address` to `handler`."""
-        self._places[address] = _Place(handler)
+        self._listeners[address] = _Listener(handler)
 
-    def cut(self, address: Address) -> None:
+    def close_listener(self, address: Address) -> None:
         """Ends who listens at `address`, with all exchanges there."""
-        place = self._places.pop(address, None)
-        if place is None:
+        listener = self._listeners.pop(address, None)
+        if listener is None:
             return
-        for scope in place.exchanges:
+        for scope in listener.exchanges:
             scope.cancel()
 
     async def exchange(
-        self, address: Address, request: Request, way_s: float
+        self, address: Address, request: Request, delay_s: float
     ) -> Response:
         """Returns the answer from `address`.
 
         Args:
           address: where to.
           request: what.
-          way_s: one way there (s).
+          delay_s: one way there (s).
 
         Raises:
           ConnectFailedError: nobody listens there.
           ExchangeBrokenError: who listened there ended meanwhile.
         """
-        await anyio.sleep(way_s)
-        place = self._places.get(address)
-        if place is None:
+        await anyio.sleep(delay_s)
+        listener = self._listeners.get(address)
+        if listener is None:
             raise ConnectFailedError(f"nobody listens at {address}")
         with anyio.CancelScope() as scope:
-            place.exchanges.add(scope)
+            listener.exchanges.add(scope)
             try:
-                response = await place.handler(request)
-                await anyio.sleep(way_s)
+                response = await listener.handler(request)
+                await anyio.sleep(delay_s)
             finally:
-                place.exchanges.discard(scope)
+                listener.exchanges.discard(scope)
             return response
         raise ExchangeBrokenError(f"{address} ended")
 
@@ -74,24 +74,26 @@
     """Sends from one instance."""
 
     def __init__(
-        self, network: Network, host: str, way_s: Callable[[Address], float]
+        self, network: Network, host: str, delay_s: Callable[[Address], float]
     ) -> None:
         """Makes a sender.
 
         Args:
           network: carries it.
           host: where it sends from.
-          way_s: returns how long one way takes to an address (s).
+          delay_s: returns how long one way takes to an address (s).
         """
         self._network = network
         self._host = host
-        self._way_s = way_s
+        self._delay_s = delay_s
 
     async def send(
         self, address: Address, request: Request, connect_timeout_s: float
     ) -> Response:
         sent = msgspec.structs.replace(request, remote=self._host)
-        return await self._network.exchange(address, sent, self._way_s(address))
+        return await self._network.exchange(
+            address, sent, self._delay_s(address)
+        )
 
     async def close(self) -> None:
         """Has nothing to close."""
--- a/src/radishwind/experiment/scenario.py
+++ b/src/radishwind/experiment/scenario.py
@@ -13,9 +13,10 @@
 _Seconds = Annotated[float, msgspec.Meta(ge=0)]
 _Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
 _Factor = Annotated[float, msgspec.Meta(ge=0.1, le=100)]
-#: What a cold server stands in any second, beside its rate; see `ServiceModel`.
-COLD_OVER = 1.5
-COLD_SLACK = 8.0
+#: Load above its rate that a cold server sustains within any second; see
+#: `ServiceModel.cold_per_s`.
+COLD_RATE_FACTOR = 1.5
+COLD_BURST_REQUESTS = 8.0
 
 _Count = Annotated[int, msgspec.Meta(ge=1, le=1000)]
 
@@ -71,9 +72,10 @@
       slower: so many times longer.
       cold_s: how long a server is slow after its start (s).
       cold_x: how many times as long work takes then.
-      cold_per_s: requests a second that a cold one stands; it falls over with
-        all that it runs where any second brings more than `COLD_OVER` times
-        that and `COLD_SLACK`. 0 for any number.
+      cold_per_s: requests per second that a cold server sustains; it crashes,
+        losing all running requests, when any second brings more than
+        `COLD_RATE_FACTOR` times this rate plus `COLD_BURST_REQUESTS`. 0 for
+        no limit.
       down_s: how long one that fell over is gone (s).
       noise: how the pace changes.
     """
@@ -91,7 +93,7 @@
     noise: Noise = Noise()
 
 
-class Kind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RequestKind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A kind of request.
 
     Attributes:
@@ -141,7 +143,9 @@
     x: _Factor
 
 
-class Slow(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag="slow"):
+class SlowServers(
+    msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag="slow"
+):
     """Part of the servers take `x` times as long, which they don't tell."""
 
     at: _Seconds
@@ -160,7 +164,7 @@
     share: _Share = 1.0
 
 
-class Emptied(
+class DomainEvacuation(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag="emptied"
 ):
     """A failure domain is emptied for `for_s`; its servers end cold."""
@@ -170,7 +174,7 @@
     domain: str
 
 
-Event = Burst | Slow | PowerLoss | Emptied
+Event = Burst | SlowServers | PowerLoss | DomainEvacuation
 
 
 class Scenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -189,7 +193,7 @@
     """
 
     services: Annotated[tuple[ServiceModel, ...], msgspec.Meta(min_length=1)]
-    kinds: Annotated[tuple[Kind, ...], msgspec.Meta(min_length=1)]
+    kinds: Annotated[tuple[RequestKind, ...], msgspec.Meta(min_length=1)]
     events: tuple[Event, ...] = ()
     seed: int = 1
     length_s: _Seconds = 20.0
--- a/src/radishwind/experiment/nodes.py
+++ b/src/radishwind/experiment/simulated_node.py
@@ -8,8 +8,8 @@
 
 from radishwind.config.model import ServiceRules
 from radishwind.core.clock import Clock
-from radishwind.experiment.scenario import COLD_OVER
-from radishwind.experiment.scenario import COLD_SLACK
+from radishwind.experiment.scenario import COLD_BURST_REQUESTS
+from radishwind.experiment.scenario import COLD_RATE_FACTOR
 from radishwind.http.sender import Sender
 from radishwind.http.types import Address
 from radishwind.http.types import Request
@@ -37,22 +37,22 @@
 RETRY_WINDOW_S = 10.0
 
 #: Time between heartbeats of a server (s).
-HEARTBEAT_S = 1.5
+HEARTBEAT_INTERVAL_S = 1.5
 
 
-class Roster(Directory):
+class SharedDirectory(Directory):
     """The nodes of a play that are up; all know them at once."""
 
     def __init__(self) -> None:
         self._members: dict[str, Member] = {}
         self._by_service: dict[str, tuple[Member, ...]] = {}
 
-    def enter(self, member: Member) -> None:
+    def add(self, member: Member) -> None:
         """Adds `member`."""
         self._members[member.name] = member
         self._index()
 
-    def leave(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Removes the member `name`."""
         self._members.pop(name, None)
         self._index()
@@ -73,7 +73,7 @@
         }
 
 
-class ModelNode:
+class SimulatedNode:
     """One life of a node."""
 
     def __init__(
@@ -83,7 +83,7 @@
         clock: Clock,
         rng: random.Random,
         sender: Sender,
-        roster: Roster,
+        directory: SharedDirectory,
         cfg: RouteConfig,
         switches: Switches,
     ) -> None:
@@ -94,7 +94,7 @@
           clock: the clock.
           rng: its random source.
           sender: sends to its server and to other nodes.
-          roster: the nodes there are.
+          directory: the nodes there are.
           cfg: the routes.
           switches: what is in use.
         """
@@ -120,12 +120,12 @@
             clock=clock,
             rng=rng,
             sender=sender,
-            directory=roster,
+            directory=directory,
             routes=routes,
             evacuation=self.evacuation,
             target=self.target,
             switches=switches,
-            node_count=lambda: len(roster.members()),
+            node_count=lambda: len(directory.members()),
             service=lambda: settings.service,
         )
         self.peers = PeerListener(
@@ -136,7 +136,7 @@
         )
         self._scope = anyio.CancelScope()
 
-    def hears_of(self, server: Registration) -> None:
+    def receive_heartbeat(self, server: Registration) -> None:
         """Takes a heartbeat of the server beside."""
         self.target.register(server)
 
@@ -156,13 +156,13 @@
         return await self.entry.pipeline.handle(request)
 
 
-class LoadNews:
+class LoadReportSender:
     """Brings the load that one node tells to the others, by a delay."""
 
     def __init__(
         self,
-        node: ModelNode,
-        others: Iterable[tuple[ModelNode, float]],
+        node: SimulatedNode,
+        others: Iterable[tuple[SimulatedNode, float]],
         clock: Clock,
         tasks: anyio.abc.TaskGroup,
     ) -> None:
@@ -178,45 +178,49 @@
         self._others = tuple(others)
         self._clock = clock
         self._tasks = tasks
-        self._teller = ReportScheduler()
+        self._scheduler = ReportScheduler()
         self._order = 0
         self._start = int(clock.monotonic() * 1000)
-        self._over = False
-        node.target.load_monitor.subscribe(self.tell)
+        self._is_stopped = False
+        node.target.load_monitor.subscribe(self.send_if_due)
 
     async def run(self) -> None:
         """Looks for changes that no figure of the server brought."""
-        while not self._over:
-            self.tell()
+        while not self._is_stopped:
+            self.send_if_due()
             await anyio.sleep(LOAD_CHECK_INTERVAL_S)
 
     def stop(self) -> None:
         """Tells nothing more."""
-        self._over = True
+        self._is_stopped = True
 
-    def tell(self) -> None:
+    def send_if_due(self) -> None:
         """Tells the load if it changed enough."""
         report = self._node.target.pipeline.load_report()
-        near, far = self._teller.due(report, self._clock.monotonic())
-        if self._over or not (near or far):
+        near, far = self._scheduler.due(report, self._clock.monotonic())
+        if self._is_stopped or not (near or far):
             return
         self._order += 1
-        for other, way_s in self._others:
+        for other, delay_s in self._others:
             self._tasks.start_soon(
-                self._bring, other, way_s, report, self._order
+                self._deliver, other, delay_s, report, self._order
             )
 
-    async def _bring(
-        self, other: ModelNode, way_s: float, report: LoadReport, order: int
+    async def _deliver(
+        self,
+        other: SimulatedNode,
+        delay_s: float,
+        report: LoadReport,
+        order: int,
     ) -> None:
-        await anyio.sleep(way_s)
+        await anyio.sleep(delay_s)
         now = self._clock.monotonic()
         other.entry.chooser.receive_report(
             self._node.name, report, self._start, order, now
         )
 
 
-def placed(
+def make_settings(
     name: str, service: str, domain: str, host: str, first_port: int = 8000
 ) -> PlacedSettings:
     """Returns the settings of a node of a play."""
@@ -233,13 +237,13 @@
         server=Address(host, first_port + 4),
         store=Address(host, first_port + 5),
         metrics_port=0,
-        heartbeat_s=HEARTBEAT_S,
+        heartbeat_s=HEARTBEAT_INTERVAL_S,
         drain_s=2.0,
         stop_grace_s=6.0,
         ack_s=4.0,
         retry_share=RETRY_SHARE,
         retry_slack=RETRY_SLACK,
         retry_window_s=RETRY_WINDOW_S,
-        cold_over=COLD_OVER,
-        cold_slack=COLD_SLACK,
+        cold_over=COLD_RATE_FACTOR,
+        cold_slack=COLD_BURST_REQUESTS,
     )
--- a/src/radishwind/experiment/play.py
+++ b/src/radishwind/experiment/simulation.py
@@ -6,28 +6,28 @@
 import anyio
 import anyio.abc
 
-from radishwind.experiment.callers import Callers
-from radishwind.experiment.callers import HOST
-from radishwind.experiment.callers import make_request
-from radishwind.experiment.loop import LoopClock
-from radishwind.experiment.loop import run
 from radishwind.experiment.network import Network
 from radishwind.experiment.network import NetworkSender
-from radishwind.experiment.nodes import HEARTBEAT_S
-from radishwind.experiment.nodes import LoadNews
-from radishwind.experiment.nodes import ModelNode
-from radishwind.experiment.nodes import placed
-from radishwind.experiment.nodes import Roster
 from radishwind.experiment.report import Report
 from radishwind.experiment.scenario import Burst
-from radishwind.experiment.scenario import Emptied
+from radishwind.experiment.scenario import DomainEvacuation
 from radishwind.experiment.scenario import Event
-from radishwind.experiment.scenario import Kind
+from radishwind.experiment.scenario import RequestKind
 from radishwind.experiment.scenario import Scenario
 from radishwind.experiment.scenario import ServiceModel
-from radishwind.experiment.scenario import Slow
-from radishwind.experiment.servers import HEALTH_PATH
-from radishwind.experiment.servers import ModelServer
+from radishwind.experiment.scenario import SlowServers
+from radishwind.experiment.simulated_callers import HOST
+from radishwind.experiment.simulated_callers import make_request
+from radishwind.experiment.simulated_callers import SimulatedCallers
+from radishwind.experiment.simulated_node import HEARTBEAT_INTERVAL_S
+from radishwind.experiment.simulated_node import LoadReportSender
+from radishwind.experiment.simulated_node import make_settings
+from radishwind.experiment.simulated_node import SharedDirectory
+from radishwind.experiment.simulated_node import SimulatedNode
+from radishwind.experiment.simulated_server import HEALTH_PATH
+from radishwind.experiment.simulated_server import SimulatedServer
+from radishwind.experiment.virtual_loop import run_in_virtual_time
+from radishwind.experiment.virtual_loop import VirtualClock
 from radishwind.http.errors import SendError
 from radishwind.http.types import Address
 from radishwind.http.types import Request
@@ -44,14 +44,14 @@
 from radishwind.target.registered_server import Registration
 
 #: One way within an instance (s).
-_OWN_S = 0.0001
+_LOCAL_DELAY_S = 0.0001
 
-_CONNECTIONS = 260
+_MAX_SERVER_CONNECTIONS = 260
 
 
-def play(scenario: Scenario, switches: Switches = ALL_ON) -> Report:
+def simulate(scenario: Scenario, switches: Switches = ALL_ON) -> Report:
     """Returns what the callers of `scenario` got."""
-    return run(_Play(scenario, switches).run())
+    return run_in_virtual_time(_Simulation(scenario, switches).run())
 
 
 class _Instance:
@@ -60,70 +60,76 @@
     def __init__(self, settings: PlacedSettings, model: ServiceModel) -> None:
         self.settings = settings
         self.model = model
-        self.node: ModelNode | None = None
-        self.server: ModelServer | None = None
-        self.news: LoadNews | None = None
+        self.node: SimulatedNode | None = None
+        self.server: SimulatedServer | None = None
+        self.report_sender: LoadReportSender | None = None
 
-    def turn_cold(self) -> None:
+    def restart_warmup(self) -> None:
         """Lets the server there be cold, if one is."""
         if self.server is not None:
-            self.server.turn_cold()
+            self.server.restart_warmup()
 
 
-class _Play:
+class _Simulation:
     """The fleet of one play."""
 
     def __init__(self, scenario: Scenario, switches: Switches) -> None:
         self._scenario = scenario
         self._switches = switches
         self._rng = random.Random(scenario.seed)
-        self._clock = LoopClock()
+        self._clock = VirtualClock()
         self._network = Network()
-        self._roster = Roster()
+        self._directory = SharedDirectory()
         self._kinds = {kind.name: kind for kind in scenario.kinds}
-        self._cfg = _routes(scenario)
-        self._instances = list(self._places())
+        self._cfg = _make_routes(scenario)
+        self._instances = list(self._make_instances())
         self._factor = 1.0
         self._runs = 0
-        self._felled = 0
+        self._cold_crashes = 0
         self._revisions = itertools.count(1)
         self._emptied = EvacuatedDomains()
         self._names = itertools.count(1)
 
     async def run(self) -> Report:
-        callers = Callers(self._ask, self._fork(), self._clock)
+        callers = SimulatedCallers(
+            self._send_to_any_node, self._make_rng(), self._clock
+        )
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             for instance in self._instances:
-                self._start(instance)
+                self._start_instance(instance)
             await anyio.sleep(self._scenario.lead_s)
             since = self._clock.monotonic()
             async with anyio.create_task_group() as traffic:
                 for event in self._scenario.events:
-                    tasks.start_soon(self._happen, event)
+                    tasks.start_soon(self._apply_event, event)
                 for kind in self._scenario.kinds:
-                    traffic.start_soon(self._come, kind, callers, since)
+                    traffic.start_soon(
+                        self._generate_arrivals, kind, callers, since
+                    )
             for instance in self._instances:
-                self._end(instance)
+                self._stop(instance)
             tasks.cancel_scope.cancel()
-        return Report(tuple(callers.answered), self._runs, self._felled)
+        return Report(tuple(callers.records), self._runs, self._cold_crashes)
 
-    async def _come(self, kind: Kind, callers: Callers, since: float) -> None:
+    async def _generate_arrivals(
+        self, kind: RequestKind, callers: SimulatedCallers, since: float
+    ) -> None:
         """Lets callers of `kind` come by chance."""
-        rng = self._fork()
+        rng = self._make_rng()
         async with anyio.create_task_group() as requests:
             while kind.per_s:
                 rate = kind.per_s * self._factor
                 await anyio.sleep(rng.expovariate(rate))
                 if self._clock.monotonic() - since > self._scenario.length_s:
                     break
-                requests.start_soon(callers.one, kind, since)
+                requests.start_soon(callers.send_with_retries, kind, since)
 
-    async def _ask(self, request: Request) -> Response | None:
+    async def _send_to_any_node(self, request: Request) -> Response | None:
         """Sends a caller's request to a node that is up, by chance."""
         up = [x for x in self._instances if x.node is not None]
         if not up:
-            await anyio.sleep(_OWN_S)
+            await anyio.sleep(_LOCAL_DELAY_S)
             return None
         address = self._rng.choice(up).settings.callers
         return await self._send(address, request)
@@ -132,28 +138,30 @@
         self, address: Address, request: Request
     ) -> Response | None:
         try:
-            return await self._network.exchange(address, request, _OWN_S)
+            return await self._network.exchange(
+                address, request, _LOCAL_DELAY_S
+            )
         except SendError:
             return None
 
-    async def _happen(self, event: Event) -> None:
+    async def _apply_event(self, event: Event) -> None:
         await anyio.sleep(event.at)
         if isinstance(event, Burst):
             self._factor *= event.x
             await anyio.sleep(event.for_s)
             self._factor /= event.x
             return
-        if isinstance(event, Emptied):
-            self._empty(event.domain, emptied=True)
+        if isinstance(event, DomainEvacuation):
+            self._set_evacuated(event.domain, emptied=True)
             await anyio.sleep(event.for_s)
             for instance in self._instances:
                 if instance.settings.failure_domain == event.domain:
-                    instance.turn_cold()
-            self._empty(event.domain, emptied=False)
+                    instance.restart_warmup()
+            self._set_evacuated(event.domain, emptied=False)
             return
         count = max(1, round(event.share * len(self._instances)))
         struck = self._rng.sample(self._instances, count)
-        if isinstance(event, Slow):
+        if isinstance(event, SlowServers):
             servers = [x.server for x in struck if x.server is not None]
             for server in servers:
                 server.slow *= event.x
@@ -162,12 +170,12 @@
                 server.slow /= event.x
             return
         for instance in struck:
-            self._end(instance)
+            self._stop(instance)
         await anyio.sleep(event.for_s)
         for instance in struck:
-            self._start(instance)
+            self._start_instance(instance)
 
-    def _empty(self, domain: str, *, emptied: bool) -> None:
+    def _set_evacuated(self, domain: str, *, emptied: bool) -> None:
         """Tells all nodes that `domain` is emptied, or taken back."""
         self._emptied = self._emptied.with_change(
             domain, next(self._revisions), evacuated=emptied
@@ -176,18 +184,18 @@
             if instance.node is not None:
                 instance.node.evacuation.adopt(self._emptied, "play")
 
-    def _start(self, instance: _Instance) -> None:
+    def _start_instance(self, instance: _Instance) -> None:
         settings = instance.settings
-        node = ModelNode(
+        node = SimulatedNode(
             settings=settings,
             clock=self._clock,
-            rng=self._fork(),
+            rng=self._make_rng(),
             sender=NetworkSender(
                 self._network,
                 settings.host,
-                lambda address: self._way_s(settings, address),
+                lambda address: self._delay_s(settings, address),
             ),
-            roster=self._roster,
+            directory=self._directory,
             cfg=self._cfg,
             switches=self._switches,
         )
@@ -197,45 +205,49 @@
         self._network.listen(settings.peers, node.peers.handle)
         self._tasks.start_soon(node.run)
         self._start_server(instance, node)
-        self._join(instance, node)
+        self._announce(instance, node)
 
-    def _start_server(self, instance: _Instance, node: ModelNode) -> None:
+    def _start_server(self, instance: _Instance, node: SimulatedNode) -> None:
         """Begins a life of the server beside `node`."""
         settings = instance.settings
-        server = ModelServer(
+        server = SimulatedServer(
             instance.model,
             self._kinds,
-            self._fork(),
+            self._make_rng(),
             self._clock,
-            lambda kind, left_s: self._nested(settings, kind, left_s),
+            lambda kind, left_s: self._call_from_server(settings, kind, left_s),
             f"i-{next(self._names)}",
         )
-        server.fell = lambda: self._fell(instance, node, server)
+        server.on_cold_crash = lambda: self._handle_crash(
+            instance, node, server
+        )
         instance.server = server
         self._network.listen(settings.server, server.handle)
         self._tasks.start_soon(self._heartbeats, instance, node, server)
 
-    def _fell(
-        self, instance: _Instance, node: ModelNode, server: ModelServer
+    def _handle_crash(
+        self, instance: _Instance, node: SimulatedNode, server: SimulatedServer
     ) -> None:
         """Ends a server that got more than it stands, for a while."""
         if instance.server is not server:
             return
-        self._felled += 1
-        self._runs += server.began
+        self._cold_crashes += 1
+        self._runs += server.started_runs
         instance.server = None
-        self._network.cut(instance.settings.server)
-        self._tasks.start_soon(self._stand_up, instance, node)
+        self._network.close_listener(instance.settings.server)
+        self._tasks.start_soon(self._restart_after_crash, instance, node)
 
-    async def _stand_up(self, instance: _Instance, node: ModelNode) -> None:
+    async def _restart_after_crash(
+        self, instance: _Instance, node: SimulatedNode
+    ) -> None:
         await anyio.sleep(instance.model.down_s)
         if instance.node is node and instance.server is None:
             self._start_server(instance, node)
 
-    def _join(self, instance: _Instance, node: ModelNode) -> None:
+    def _announce(self, instance: _Instance, node: SimulatedNode) -> None:
         """Lets all hear of a new node, and of its load from now on."""
         settings = instance.settings
-        self._roster.enter(
+        self._directory.add(
             Member(
                 settings.node,
                 settings.service,
@@ -244,52 +256,54 @@
             )
         )
         for each in self._instances:
-            if each.news is not None:
-                each.news.stop()
+            if each.report_sender is not None:
+                each.report_sender.stop()
             if each.node is None:
                 continue
             others = [
-                (x.node, self._way_s(each.settings, x.settings.peers))
+                (x.node, self._delay_s(each.settings, x.settings.peers))
                 for x in self._instances
                 if x.node is not None and x is not each
             ]
-            each.news = LoadNews(each.node, others, self._clock, self._tasks)
-            self._tasks.start_soon(each.news.run)
+            each.report_sender = LoadReportSender(
+                each.node, others, self._clock, self._tasks
+            )
+            self._tasks.start_soon(each.report_sender.run)
 
-    def _end(self, instance: _Instance) -> None:
+    def _stop(self, instance: _Instance) -> None:
         if instance.node is None:
             return
         if instance.server is not None:
-            self._runs += instance.server.began
+            self._runs += instance.server.started_runs
         instance.node.stop()
-        if instance.news is not None:
-            instance.news.stop()
-        self._roster.leave(instance.settings.node)
+        if instance.report_sender is not None:
+            instance.report_sender.stop()
+        self._directory.remove(instance.settings.node)
         settings = instance.settings
         for address in (settings.callers, settings.peers, settings.server):
-            self._network.cut(address)
+            self._network.close_listener(address)
         instance.node, instance.server = None, None
 
     async def _heartbeats(
-        self, instance: _Instance, node: ModelNode, server: ModelServer
+        self, instance: _Instance, node: SimulatedNode, server: SimulatedServer
     ) -> None:
         for order in itertools.count(1):
             if instance.server is not server:
                 return
-            node.hears_of(
+            node.receive_heartbeat(
                 Registration(
                     server.name,
                     instance.settings.service,
                     instance.settings.server,
                     instance.model.slots,
                     False,
-                    server.cold_left_s(),
+                    server.warmup_left_s(),
                     order,
                 )
             )
-            await anyio.sleep(HEARTBEAT_S)
+            await anyio.sleep(HEARTBEAT_INTERVAL_S)
 
-    async def _nested(
+    async def _call_from_server(
         self, settings: PlacedSettings, kind: str, left_s: float
     ) -> bool:
         """Makes the call of a run, by the node beside its server."""
@@ -303,35 +317,35 @@
             )
         return response is not None and response.status == 200
 
-    def _way_s(self, settings: PlacedSettings, address: Address) -> float:
+    def _delay_s(self, settings: PlacedSettings, address: Address) -> float:
         if address.host == settings.host:
-            return _OWN_S
+            return _LOCAL_DELAY_S
         domain = self._domains[address.host]
         if domain == settings.failure_domain:
             return self._scenario.near_s
         return self._scenario.far_s
 
-    def _places(self) -> list[_Instance]:
+    def _make_instances(self) -> list[_Instance]:
         """Deals the instances to the failure domains in turn."""
         self._domains: dict[str, str] = {}
-        places: list[_Instance] = []
+        instances: list[_Instance] = []
         for model in self._scenario.services:
             for i in range(model.targets):
-                number = len(places)
+                number = len(instances)
                 domain = f"d{number % self._scenario.domains}"
                 host = f"10.{number // 250}.0.{number % 250 + 1}"
                 self._domains[host] = domain
                 name = f"{model.name}-{i + 1}"
-                settings = placed(name, model.name, domain, host)
-                places.append(_Instance(settings, model))
-        return places
+                settings = make_settings(name, model.name, domain, host)
+                instances.append(_Instance(settings, model))
+        return instances
 
-    def _fork(self) -> random.Random:
+    def _make_rng(self) -> random.Random:
         """Returns a random source of its own, by the seed."""
         return random.Random(self._rng.getrandbits(64))
 
 
-def _routes(scenario: Scenario) -> RouteConfig:
+def _make_routes(scenario: Scenario) -> RouteConfig:
     routes = tuple(
         Route(
             name=kind.name,
@@ -350,7 +364,7 @@
         model.name: ServiceInfo(
             model.name,
             HEALTH_PATH,
-            _CONNECTIONS,
+            _MAX_SERVER_CONNECTIONS,
             model.cold_s,
             model.cold_per_s or None,
         )
--- a/src/radishwind/experiment/tests/test_cold_fleet.py
+++ b/src/radishwind/experiment/tests/test_cold_fleet.py
@@ -7,12 +7,12 @@
 import msgspec
 import pytest
 
-from radishwind.experiment import play
-from radishwind.experiment.scenario import Emptied
-from radishwind.experiment.scenario import Kind
+from radishwind.experiment import simulate
+from radishwind.experiment.scenario import DomainEvacuation
 from radishwind.experiment.scenario import Noise
 from radishwind.experiment.scenario import NoiseLaw
 from radishwind.experiment.scenario import PowerLoss
+from radishwind.experiment.scenario import RequestKind
 from radishwind.experiment.scenario import Scenario
 from radishwind.experiment.scenario import ServiceModel
 
@@ -40,7 +40,7 @@
         service("bookings", 4),
     ),
     kinds=(
-        Kind(
+        RequestKind(
             "read",
             "bulletins",
             per_s=32.0,
@@ -52,7 +52,7 @@
             calls_share=0.7,
             returns=1,
         ),
-        Kind(
+        RequestKind(
             "subscribe",
             "alerts",
             per_s=40.0,
@@ -68,7 +68,7 @@
             calls_times=2,
             returns=1,
         ),
-        Kind(
+        RequestKind(
             "book",
             "bookings",
             per_s=8.0,
@@ -81,7 +81,7 @@
             idempotent=False,
             returns=1,
         ),
-        Kind(
+        RequestKind(
             "tide",
             "alerts",
             per_s=0.0,
@@ -91,7 +91,7 @@
             worth=0.0,
             returns=0,
         ),
-        Kind(
+        RequestKind(
             "buoy",
             "bookings",
             per_s=0.0,
@@ -113,9 +113,9 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_fleet_that_lost_power_stands_up_and_stays(seed):
-    report = play(msgspec.structs.replace(FLEET, seed=seed))
+    report = simulate(msgspec.structs.replace(FLEET, seed=seed))
 
-    assert report.felled == 0
+    assert report.cold_crashes == 0
     assert min(credits(report, since=9.0)[:-1]) >= 0.85
     assert sum(credits(report, since=9.0)[:-1]) >= 0.9 * len(
         credits(report, since=9.0)[:-1]
@@ -124,9 +124,11 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_failure_domain_that_was_emptied_comes_back_cold(seed):
-    emptied = Emptied(at=3.0, for_s=4.0, domain="d1")
+    emptied = DomainEvacuation(at=3.0, for_s=4.0, domain="d1")
 
-    report = play(msgspec.structs.replace(FLEET, seed=seed, events=(emptied,)))
+    report = simulate(
+        msgspec.structs.replace(FLEET, seed=seed, events=(emptied,))
+    )
 
-    assert report.felled == 0
+    assert report.cold_crashes == 0
     assert report.credit >= 0.85
--- a/src/radishwind/experiment/tests/test_play.py
+++ b/src/radishwind/experiment/tests/test_simulation.py
@@ -8,12 +8,12 @@
 
 from radishwind.core.codes import ResultCode
 from radishwind.experiment import load_scenario
-from radishwind.experiment import play
 from radishwind.experiment import ScenarioError
-from radishwind.experiment.report import End
+from radishwind.experiment import simulate
+from radishwind.experiment.report import RequestOutcome
 from radishwind.experiment.scenario import Burst
-from radishwind.experiment.scenario import Kind
 from radishwind.experiment.scenario import PowerLoss
+from radishwind.experiment.scenario import RequestKind
 from radishwind.experiment.scenario import Scenario
 from radishwind.experiment.scenario import ServiceModel
 from radishwind.sidecar.switches import parse_switches
@@ -23,8 +23,10 @@
 CALM = Scenario(
     services=(ServiceModel("a", targets=3, slots=4),),
     kinds=(
-        Kind("read", "a", per_s=20.0, work_s=0.05, aim_s=0.3, timeout_s=1.0),
-        Kind(
+        RequestKind(
+            "read", "a", per_s=20.0, work_s=0.05, aim_s=0.3, timeout_s=1.0
+        ),
+        RequestKind(
             "write",
             "a",
             per_s=10.0,
@@ -39,21 +41,21 @@
 
 
 def test_a_calm_load_is_answered_in_time():
-    report = play(CALM)
+    report = simulate(CALM)
 
-    assert len(report.answered) > 100
+    assert len(report.records) > 100
     assert report.credit > 0.99
 
 
 def test_one_seed_gives_one_result():
-    assert play(CALM) == play(CALM)
-    assert play(CALM) != play(msgspec.structs.replace(CALM, seed=2))
+    assert simulate(CALM) == simulate(CALM)
+    assert simulate(CALM) != simulate(msgspec.structs.replace(CALM, seed=2))
 
 
 def test_calls_of_servers_are_made_and_count_for_nothing_by_themselves():
     kinds = (
         msgspec.structs.replace(CALM.kinds[0], calls="inner"),
-        Kind(
+        RequestKind(
             "inner",
             "a",
             per_s=0.0,
@@ -64,17 +66,19 @@
         ),
     )
 
-    report = play(msgspec.structs.replace(CALM, kinds=kinds))
+    report = simulate(msgspec.structs.replace(CALM, kinds=kinds))
 
     assert [row.kind for row in report.kinds()] == ["read"]
-    assert report.runs >= 2 * len(report.answered)
+    assert report.runs >= 2 * len(report.records)
     assert report.credit > 0.98
 
 
 def test_a_loss_of_all_power_is_over_soon_after_the_start():
     lost = PowerLoss(at=2.0, for_s=0.5)
 
-    report = play(msgspec.structs.replace(CALM, events=(lost,), length_s=8.0))
+    report = simulate(
+        msgspec.structs.replace(CALM, events=(lost,), length_s=8.0)
+    )
 
     windows = dict(report.windows())
     assert windows[2.0] < 0.9
@@ -84,11 +88,11 @@
 def test_what_cannot_be_served_is_refused_or_late_and_never_lost():
     burst = Burst(at=1.0, for_s=4.0, x=16.0)
 
-    report = play(msgspec.structs.replace(CALM, events=(burst,)))
+    report = simulate(msgspec.structs.replace(CALM, events=(burst,)))
 
     assert report.credit < 0.9
-    assert report.part(End.FAILED) < 0.05
-    most_s = max(a.took_s for a in report.answered)
+    assert report.part(RequestOutcome.FAILED) < 0.05
+    most_s = max(a.duration_s for a in report.records)
     assert most_s <= 1.0 + 0.2
 
 
@@ -122,7 +126,7 @@
 
 
 def test_a_mechanism_can_be_switched_off():
-    assert play(CALM, parse_switches("hedges,room")).credit > 0.98
+    assert simulate(CALM, parse_switches("hedges,room")).credit > 0.98
 
 
 def test_room_left_at_servers_that_slow_down_when_nearly_full():
@@ -141,7 +145,7 @@
                 ServiceModel("a", targets=3, slots=9, knee=0.8, slower=1.7),
             ),
             kinds=(
-                Kind(
+                RequestKind(
                     "read",
                     "a",
                     per_s=180.0,
@@ -153,8 +157,8 @@
             length_s=8.0,
             seed=seed,
         )
-        before = play(scenario, parse_switches("room"))
-        after = play(scenario)
+        before = simulate(scenario, parse_switches("room"))
+        after = simulate(scenario)
         gains.append(after.credit - before.credit)
         worst_gains.append(after.worst - before.worst)
 
--- a/src/radishwind/experiment/loop.py
+++ b/src/radishwind/experiment/virtual_loop.py
@@ -14,7 +14,7 @@
 _EPOCH = datetime.datetime(2026, 1, 1, tzinfo=datetime.UTC)
 
 
-class _Jump(selectors.SelectSelector):
+class _TimeSkippingSelector(selectors.SelectSelector):
     """Goes on to the next timer instead of waiting for it."""
 
     def __init__(self) -> None:
@@ -34,14 +34,14 @@
     """Runs tasks as usual and takes no time to wait."""
 
     def __init__(self) -> None:
-        self._jump = _Jump()
-        super().__init__(self._jump)
+        self._skipping_selector = _TimeSkippingSelector()
+        super().__init__(self._skipping_selector)
 
     def time(self) -> float:
-        return self._jump.now
+        return self._skipping_selector.now
 
 
-class LoopClock(Clock):
+class VirtualClock(Clock):
     """The time of the running loop."""
 
     def monotonic(self) -> float:
@@ -51,7 +51,7 @@
         return _EPOCH + datetime.timedelta(seconds=self.monotonic())
 
 
-def run(main: Coroutine[Any, Any, _T]) -> _T:
+def run_in_virtual_time(main: Coroutine[Any, Any, _T]) -> _T:
     """Returns what `main` returns, run in virtual time."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(main)
--- a/src/radishwind/recency/tests/test_proof_renewer.py
+++ b/src/radishwind/recency/tests/test_proof_renewer.py
@@ -6,7 +6,7 @@
 from tests.support.recency_net import BOUND_S
 from tests.support.recency_net import RecencyNetwork
 
-from radishwind.experiment.loop import run
+from radishwind.experiment.virtual_loop import run_in_virtual_time
 from radishwind.recency import ProofSchedule
 from radishwind.telemetry import part_logger
 
@@ -22,7 +22,7 @@
         finally:
             network.stop()
 
-    return run(run_scenario())
+    return run_in_virtual_time(run_scenario())
 
 
 async def min_fresh_count(network, seconds, step_s=0.05):
--- a/tests/support/recency_net.py
+++ b/tests/support/recency_net.py
@@ -9,7 +9,7 @@
 from radishwind.accounts import Account
 from radishwind.accounts import digest_key
 from radishwind.core import ManualClock
-from radishwind.experiment.loop import LoopClock
+from radishwind.experiment.virtual_loop import VirtualClock
 from radishwind.http.types import Address
 from radishwind.membership.directory import Directory
 from radishwind.membership.directory import Member
@@ -182,7 +182,7 @@
     def __init__(
         self, names, seed=1, accounts=ACCOUNTS, delivers_versions=True
     ):
-        self.clock = LoopClock()
+        self.clock = VirtualClock()
         self.accounts, self.delivers_versions = accounts, delivers_versions
         self.rng = random.Random(seed)
         self.store = Store()
