--- a/src/radishwind/sidecar/settings_reloader.py
+++ b/src/radishwind/sidecar/settings_reloader.py
@@ -107,7 +107,7 @@
             changed = self._file.load_if_changed()
         except RadishwindError as exc:
             self._log.error(
-                "The settings file is invalid; the current settings stay.",
+                "The settings file is invalid; the old settings stay.",
                 reason=str(exc),
             )
             return
