--- a/src/radishwind/platform/heartbeats.py
+++ b/src/radishwind/platform/heartbeats.py
@@ -95,8 +95,9 @@
     if request.method != "POST":
         return None
     if path.startswith(DEREGISTER_PATH):
-        incarnation = _parse_incarnation(path, DEREGISTER_PATH)
-        return _decode_deregistration(incarnation, body)
+        return _decode_deregistration(
+            _parse_incarnation(path, DEREGISTER_PATH), body
+        )
     if not path.startswith(HEARTBEAT_PATH):
         return None
     incarnation = _parse_incarnation(path, HEARTBEAT_PATH)
