--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -280,12 +280,12 @@
             fleet.start(tasks, f"n-{number:04d}", f"domain-{number % DOMAINS}")
         await testbed.apply(made_inventory(services, nodes))
         await fleet.wait_in_force(1)
-        await fleet.wait_until(lambda: testbed.standin.watching == watches)
+        await fleet.wait_until(lambda: testbed.standin.open_watches == watches)
         for revision in range(2, 2 + changes):
             if store_fails:
                 testbed.standin.set_faults(StoreFaults())
                 await fleet.wait_until(
-                    lambda: testbed.standin.watching == watches
+                    lambda: testbed.standin.open_watches == watches
                 )
                 fail_once_told(testbed, fleet, revision)
             changed = made_inventory(services, nodes, revision)
--- a/src/radishwind/cli/standins.py
+++ b/src/radishwind/cli/standins.py
@@ -110,7 +110,7 @@
             counts = await load.run_load(sender, plan)
         finally:
             await sender.close()
-        typer.echo(load.counts_table(counts))
+        typer.echo(load.format_counts(counts))
 
     anyio.run(main, backend_options={"use_uvloop": True})
 
--- a/src/radishwind/node/tests/test_config_tasks.py
+++ b/src/radishwind/node/tests/test_config_tasks.py
@@ -54,7 +54,7 @@
         testbed = fleet.testbed
         await testbed.apply(inventory())
         await fleet.wait_in_force(1)
-        await fleet.wait_until(lambda: testbed.standin.watching == 6)
+        await fleet.wait_until(lambda: testbed.standin.open_watches == 6)
 
         async def accept_and_fail(request):
             response = await testbed.standin.handle(request)
@@ -71,7 +71,7 @@
     async with running_fleet(30) as (fleet, _):
         await fleet.testbed.apply(inventory())
         await fleet.wait_in_force(1)
-        await fleet.wait_until(lambda: fleet.testbed.standin.watching == 6)
+        await fleet.wait_until(lambda: fleet.testbed.standin.open_watches == 6)
         before = dict(fleet.testbed.standin.calls)
         await fleet.testbed.apply(inventory(slots=4))
         await fleet.wait_in_force(2)
@@ -153,4 +153,4 @@
                 [n for n in names if fleet.nodes[n].is_watching] == names[:2]
             )
         )
-        await fleet.wait_until(lambda: standin.watching == 2)
+        await fleet.wait_until(lambda: standin.open_watches == 2)
--- a/src/radishwind/standins/load.py
+++ b/src/radishwind/standins/load.py
@@ -107,7 +107,7 @@
     return counts
 
 
-def counts_table(counts: dict[str, LoadCounts]) -> str:
+def format_counts(counts: dict[str, LoadCounts]) -> str:
     """Returns the counts as text, a line a service."""
     form = "{:<12} {:>9} {:>9} {:>9} {:>9}"
     lines = [
--- a/src/radishwind/standins/platform_fleet.py
+++ b/src/radishwind/standins/platform_fleet.py
@@ -28,7 +28,7 @@
 from radishwind.standins.platform_server import PlatformServerStandin
 from radishwind.standins.platform_server import ServerOptions
 from radishwind.standins.platform_store import PlatformStoreStandin
-from radishwind.standins.ports import free_ports
+from radishwind.standins.ports import find_free_port_range
 
 HOST = "calm.example"
 STORE_HOST = "127.0.9.1"
@@ -60,7 +60,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
+class CallerResponse:
     """What a caller got.
 
     Attributes:
@@ -83,24 +83,24 @@
 
     def __init__(self, place: Place, port: int, folder: pathlib.Path) -> None:
         self.place = place
-        self.callers = Address(place.host, port)
-        self.control = Address(place.host, port + 1)
-        self.ready = Address(place.host, port + 2)
-        self.peers = Address(place.host, port + 3)
-        self.address = Address(place.host, port + 4)
-        self.metrics = Address(place.host, port + 6)
+        self.caller_address = Address(place.host, port)
+        self.control_address = Address(place.host, port + 1)
+        self.ready_address = Address(place.host, port + 2)
+        self.peer_address = Address(place.host, port + 3)
+        self.server_address = Address(place.host, port + 4)
+        self.metrics_address = Address(place.host, port + 6)
         # What its node is told of the store, its server and itself; others
         # than the real addresses where something stands in between.
-        self.store_seen: Address | None = None
-        self.server_seen = self.address
-        self.peers_seen: Address | None = None
+        self.configured_store_address: Address | None = None
+        self.configured_server_address = self.server_address
+        self.configured_peer_address: Address | None = None
         self.python: tuple[str, ...] = (sys.executable,)
         self.log_path = folder / f"{place.name}.log"
         self.settings_path = folder / f"{place.name}.toml"
         self._process: asyncio.subprocess.Process | None = None
-        self._logged_before = 0
+        self._log_size_at_start = 0
         self._runner: web.AppRunner | None = None
-        self._beats: asyncio.Task[None] | None = None
+        self._heartbeat_task: asyncio.Task[None] | None = None
         self.server: PlatformServerStandin | None = None
 
     def write_settings(
@@ -113,33 +113,36 @@
             f'ip = "{place.host}"',
             f'zone = "{place.failure_domain}"',
             f'service = "{place.service}"',
-            f'app-addr = "{self.server_seen}"',
-            f"port-range = [{self.peers.port}, {self.peers.port}]",
+            f'app-addr = "{self.configured_server_address}"',
+            f"port-range = [{self.peer_address.port}, "
+            f"{self.peer_address.port}]",
             "heartbeat-ms = 500",
             f"bounds = {json.dumps([*_BOUNDS, *bounds])}",
             "[zones]",
             *(f'{domain} = "here"' for domain in domains),
             "[listen]",
-            f'outbound = "{self.callers}"',
-            f'inbound = "{place.host}:{self.callers.port + 5}"',
-            f'ready = "{self.ready}"',
-            f'control = "{self.control}"',
+            f'outbound = "{self.caller_address}"',
+            f'inbound = "{place.host}:{self.caller_address.port + 5}"',
+            f'ready = "{self.ready_address}"',
+            f'control = "{self.control_address}"',
             "[provider]",
-            f'address = "{self.store_seen or store}"',
+            f'address = "{self.configured_store_address or store}"',
         ]
         self.settings_path.write_text("\n".join(lines) + "\n")
 
     async def start_node(self) -> None:
         """Starts the node as a process."""
         if self.log_path.exists():
-            self._logged_before = self.log_path.stat().st_size
+            self._log_size_at_start = self.log_path.stat().st_size
         environ = {
             **os.environ,
             "RADISHWIND_BOOT": str(self.settings_path),
-            "RADISHWIND_METRICS_PORT": str(self.metrics.port),
+            "RADISHWIND_METRICS_PORT": str(self.metrics_address.port),
         }
-        if self.peers_seen is not None:
-            environ["RADISHWIND_PEER_ADDRESS"] = str(self.peers_seen)
+        if self.configured_peer_address is not None:
+            environ["RADISHWIND_PEER_ADDRESS"] = str(
+                self.configured_peer_address
+            )
         with self.log_path.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
                 *self.python,
@@ -155,8 +158,12 @@
         self.server = PlatformServerStandin(
             options, random.Random(seed), SystemClock()
         )
-        self._runner = await _serve(self.server.application(), self.address)
-        self._beats = asyncio.create_task(self.server.heartbeats())
+        self._runner = await _serve(
+            self.server.make_application(), self.server_address
+        )
+        self._heartbeat_task = asyncio.create_task(
+            self.server.send_heartbeats()
+        )
 
     async def restart_server(self) -> None:
         """Ends the server and starts another life under the same name."""
@@ -170,8 +177,8 @@
 
     def stop_heartbeats(self) -> None:
         """Lets the server say nothing any more."""
-        if self._beats is not None:
-            self._beats.cancel()
+        if self._heartbeat_task is not None:
+            self._heartbeat_task.cancel()
 
     async def crash_server(self) -> None:
         """Ends the server without a word."""
@@ -186,9 +193,9 @@
             self._process.send_signal(number)
 
     @property
-    def has_logged(self) -> bool:
+    def has_logged_since_start(self) -> bool:
         """Whether the node wrote any line since its last start."""
-        return self.log_path.stat().st_size > self._logged_before
+        return self.log_path.stat().st_size > self._log_size_at_start
 
     @property
     def node_pid(self) -> int:
@@ -237,16 +244,16 @@
         self._bounds = bounds
         self.accounts: list[dict[str, Any]] = []
         self._prepare = prepare
-        port = free_ports([p.host for p in places] + [STORE_HOST], 10)
+        port = find_free_port_range([p.host for p in places] + [STORE_HOST], 10)
         self.instances = {p.name: Instance(p, port, folder) for p in places}
         self.store = PlatformStoreStandin(SystemClock())
         self.store_address = Address(STORE_HOST, port)
         self._stack = contextlib.AsyncExitStack()
-        self._version = 0
+        self._config_version = 0
         self._session: aiohttp.ClientSession
 
     async def __aenter__(self) -> "Fleet":
-        runner = await _serve(self.store.application(), self.store_address)
+        runner = await _serve(self.store.make_application(), self.store_address)
         self._stack.push_async_callback(runner.cleanup)
         lapse = asyncio.create_task(self.store.run())
         self._stack.callback(lapse.cancel)
@@ -273,8 +280,8 @@
             told = ServerOptions(
                 place.service,
                 place.failure_domain,
-                instance.address,
-                instance.control,
+                instance.server_address,
+                instance.control_address,
                 **options,
             )
             await instance.start_server(told, seed + number)
@@ -289,10 +296,10 @@
           routes: as `route` returns them.
           **more: further fields of the configuration.
         """
-        self._version += 2
+        self._config_version += 2
         names = {i.place.service for i in self.instances.values()}
         cfg = {
-            "version": self._version,
+            "version": self._config_version,
             "routes": routes,
             "services": [
                 {"name": name, "health-path": HEALTH_PATH, "max-conns": 64}
@@ -304,7 +311,7 @@
         if self.accounts:
             cfg["tenants"] = self.accounts
         self.store.put("op/config", json.dumps(cfg).encode())
-        return self._version
+        return self._config_version
 
     async def until_ready(self, instance: Instance) -> None:
         """Returns once the node says that it takes callers.
@@ -312,7 +319,7 @@
         Raises:
           TimeoutError: it does not within `READY_WITHIN_S`.
         """
-        url = f"http://{instance.ready}/-/ready"
+        url = f"http://{instance.ready_address}/-/ready"
         async with asyncio.timeout(READY_WITHIN_S):
             while not await self._answers(url):  # noqa: ASYNC110
                 await asyncio.sleep(_LOOK_S)
@@ -325,7 +332,7 @@
         timeout_ms: int = 2000,
         request_id: str = "",
         headers: Mapping[str, str] | None = None,
-    ) -> Answer:
+    ) -> CallerResponse:
         """Sends a request as a caller on `instance` does."""
         fields = {
             "Host": HOST,
@@ -333,16 +340,16 @@
             "Timeout-Ms": str(timeout_ms),
             **(headers or {}),
         }
-        url = f"http://{instance.callers}{path}"
+        url = f"http://{instance.caller_address}{path}"
         timeout = aiohttp.ClientTimeout(total=timeout_ms / 1000)
         try:
             async with self._session.request(
                 method, url, headers=fields, timeout=timeout
             ) as answer:
                 body = await answer.read()
-                return Answer(answer.status, dict(answer.headers), body)
+                return CallerResponse(answer.status, dict(answer.headers), body)
         except (aiohttp.ClientError, TimeoutError):
-            return Answer(0, {}, b"")
+            return CallerResponse(0, {}, b"")
 
     async def _answers(self, url: str) -> bool:
         timeout = aiohttp.ClientTimeout(total=1.0)
--- a/src/radishwind/standins/platform_store.py
+++ b/src/radishwind/standins/platform_store.py
@@ -20,14 +20,14 @@
 COUNTERS_PATH = "/standin/counters"
 
 #: Items in one page of a range, and entries of one transaction, at most.
-PAGE_ITEMS = 500
-MOST_ENTRIES = 32
+MAX_PAGE_ITEMS = 500
+MAX_TRANSACTION_ENTRIES = 32
 
 #: Keys that only the operator may write.
-OPERATORS_PREFIX = "op/"
+OPERATOR_PREFIX = "op/"
 
 #: How often leases are looked at (s).
-_LAPSE_STEP_S = 0.1
+_LEASE_CHECK_INTERVAL_S = 0.1
 
 
 class StoreFaults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -70,31 +70,31 @@
         self._clock = clock
         self._items: dict[str, dict[str, Any]] = {}
         self._history: list[dict[str, Any]] = []
-        self._compacted = 0
+        self._compacted_revision = 0
         self._leases: dict[int, _Lease] = {}
         self._next_lease = 1
-        self._changed = asyncio.Event()
+        self._change_event = asyncio.Event()
         self.faults = StoreFaults()
-        self._lose = 0
-        self._waiting: set[asyncio.Task[None]] = set()
+        self._answers_to_lose = 0
+        self._delayed_transactions: set[asyncio.Task[None]] = set()
         self.calls: collections.Counter[str] = collections.Counter()
         self.revision = 1
 
-    def application(self) -> web.Application:
+    def make_application(self) -> web.Application:
         """Returns the store as an application of aiohttp."""
         app = web.Application()
-        app.router.add_post(FAULTS_PATH, self._set_faults)
-        app.router.add_get(COUNTERS_PATH, self._counters)
+        app.router.add_post(FAULTS_PATH, self._handle_faults)
+        app.router.add_get(COUNTERS_PATH, self._handle_counters)
         for method, path, handler in (
-            ("GET", "/-/kv-key", self._key),
-            ("GET", "/-/kv-range", self._range),
-            ("GET", "/-/kv-watch", self._watch),
-            ("POST", "/-/kv-txn", self._txn),
-            ("POST", "/-/kv-lease", self._grant),
-            ("POST", "/-/kv-keep/{id}", self._keep),
-            ("DELETE", "/-/kv-lease-end/{id}", self._end),
+            ("GET", "/-/kv-key", self._handle_key),
+            ("GET", "/-/kv-range", self._handle_range),
+            ("GET", "/-/kv-watch", self._handle_watch),
+            ("POST", "/-/kv-txn", self._handle_transaction),
+            ("POST", "/-/kv-lease", self._handle_lease_grant),
+            ("POST", "/-/kv-keep/{id}", self._handle_lease_keepalive),
+            ("DELETE", "/-/kv-lease-end/{id}", self._handle_lease_end),
         ):
-            app.router.add_route(method, path, self._faulty(handler))
+            app.router.add_route(method, path, self._with_faults(handler))
         return app
 
     async def run(self) -> None:
@@ -103,13 +103,13 @@
             now = self._clock.monotonic()
             for lease in [k for k, v in self._leases.items() if v.until <= now]:
                 self.end_lease(lease)
-            await asyncio.sleep(_LAPSE_STEP_S)
+            await asyncio.sleep(_LEASE_CHECK_INTERVAL_S)
 
     def put(self, key: str, value: bytes, lease: int = 0) -> int:
         """Writes an item as the operator does; returns its revision."""
         self.revision += 1
         self._write(key, base64.b64encode(value).decode(), lease)
-        self._tell()
+        self._notify_watches()
         return self.revision
 
     def value(self, key: str) -> bytes | None:
@@ -121,13 +121,13 @@
         """Removes an item as the operator does."""
         self.revision += 1
         self._remove(key)
-        self._tell()
+        self._notify_watches()
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Drops the history, so that watches have to read anew."""
         self._history.clear()
-        self._compacted = self.revision
-        self._tell()
+        self._compacted_revision = self.revision
+        self._notify_watches()
 
     def end_lease(self, lease: int) -> None:
         """Ends a lease; its keys are removed."""
@@ -138,62 +138,62 @@
             self.revision += 1
         for key in keys:
             self._remove(key)
-        self._tell()
+        self._notify_watches()
 
-    def _faulty(self, handler: Any) -> Any:
+    def _with_faults(self, handler: Any) -> Any:
         """Returns `handler` behind the faults in force."""
 
         async def handle(request: web.Request) -> web.StreamResponse:
             self.calls[request.path.split("/")[2]] += 1
             faults = self.faults
-            meant = not faults.only or request.remote in faults.only
+            is_affected = not faults.only or request.remote in faults.only
             if faults.delay_ms:
                 await asyncio.sleep(faults.delay_ms / 1000)
-            if faults.down and meant:
-                return await _refuse(request, faults.down)
+            if faults.down and is_affected:
+                return await _send_fault(request, faults.down)
             response: web.StreamResponse = await handler(request)
             return response
 
         return handle
 
-    async def _set_faults(self, request: web.Request) -> web.Response:
+    async def _handle_faults(self, request: web.Request) -> web.Response:
         body = await request.read()
         self.faults = msgspec.json.decode(body, type=StoreFaults)
-        self._lose = self.faults.lose_answers
+        self._answers_to_lose = self.faults.lose_answers
         return web.Response(status=204)
 
-    async def _counters(self, request: web.Request) -> web.Response:
+    async def _handle_counters(self, request: web.Request) -> web.Response:
         return web.json_response(
             {"calls": dict(self.calls), "revision": self.revision}
         )
 
-    async def _key(self, request: web.Request) -> web.Response:
+    async def _handle_key(self, request: web.Request) -> web.Response:
         item = self._items.get(request.query["key"])
         if item is None:
             return web.json_response({"current-rev": self.revision}, status=404)
         return web.json_response({**item, "current-rev": self.revision})
 
-    async def _range(self, request: web.Request) -> web.Response:
+    async def _handle_range(self, request: web.Request) -> web.Response:
         prefix = request.query["prefix"]
         after = request.query.get("after", "")
         keys = sorted(
             k for k in self._items if k.startswith(prefix) and k > after
         )
-        page = [self._items[k] for k in keys[:PAGE_ITEMS]]
+        page = [self._items[k] for k in keys[:MAX_PAGE_ITEMS]]
         return web.json_response(
             {
                 "items": page,
-                "truncated": len(keys) > PAGE_ITEMS,
+                "truncated": len(keys) > MAX_PAGE_ITEMS,
                 "current-rev": self.revision,
             }
         )
 
-    async def _watch(self, request: web.Request) -> web.Response:
+    async def _handle_watch(self, request: web.Request) -> web.Response:
         prefix, after = request.query["prefix"], int(request.query["after"])
         loop = asyncio.get_running_loop()
         until = loop.time() + int(request.query["wait-ms"]) / 1000
         while True:
-            if after < self._compacted:
+            if after < self._compacted_revision:
                 return web.json_response({}, status=410)
             events = [
                 e
@@ -204,31 +204,37 @@
             if events or left_s <= 0:
                 answer = {"events": events, "current-rev": self.revision}
                 return web.json_response(answer)
-            await _wait(self._changed, left_s)
+            await _wait_at_most(self._change_event, left_s)
 
-    async def _txn(self, request: web.Request) -> web.StreamResponse:
+    async def _handle_transaction(
+        self, request: web.Request
+    ) -> web.StreamResponse:
         body = await request.json()
-        if self._lose > 0:
-            self._lose -= 1
+        if self._answers_to_lose > 0:
+            self._answers_to_lose -= 1
             late_s = self.faults.late_s
-            task = asyncio.create_task(self._carry_out_later(body, late_s))
-            self._waiting.add(task)
-            task.add_done_callback(self._waiting.discard)
-            return await _refuse(request, "reset")
-        status, answer = self._carry_out(body)
+            task = asyncio.create_task(self._apply_later(body, late_s))
+            self._delayed_transactions.add(task)
+            task.add_done_callback(self._delayed_transactions.discard)
+            return await _send_fault(request, "reset")
+        status, answer = self._apply_transaction(body)
         return web.json_response(answer, status=status)
 
-    async def _carry_out_later(self, body: dict[str, Any], s: float) -> None:
+    async def _apply_later(self, body: dict[str, Any], s: float) -> None:
         await asyncio.sleep(s)
-        self._carry_out(body)
+        self._apply_transaction(body)
 
-    def _carry_out(self, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
+    def _apply_transaction(
+        self, body: dict[str, Any]
+    ) -> tuple[int, dict[str, Any]]:
         conditions, puts = body["expected-rev"], body["puts"]
         entries = len(conditions) + len(puts) + len(body["deletes"])
         keys = [put["key"] for put in puts] + body["deletes"]
-        if entries > MOST_ENTRIES:
-            return 400, {"error": f"expected {MOST_ENTRIES} entries at most"}
-        if any(key.startswith(OPERATORS_PREFIX) for key in keys):
+        if entries > MAX_TRANSACTION_ENTRIES:
+            return 400, {
+                "error": f"expected {MAX_TRANSACTION_ENTRIES} entries at most"
+            }
+        if any(key.startswith(OPERATOR_PREFIX) for key in keys):
             return 403, {"error": "only the operator writes there"}
         for put in puts:
             if put.get("lease") and put["lease"] not in self._leases:
@@ -243,10 +249,10 @@
             self._write(put["key"], put["value"], put.get("lease", 0))
         for key in body["deletes"]:
             self._remove(key)
-        self._tell()
+        self._notify_watches()
         return 200, {"rev": self.revision}
 
-    async def _grant(self, request: web.Request) -> web.Response:
+    async def _handle_lease_grant(self, request: web.Request) -> web.Response:
         ttl_ms = int((await request.json())["ttl-ms"])
         lease = self._next_lease
         self._next_lease += 1
@@ -254,14 +260,16 @@
         self._leases[lease] = _Lease(ttl_ms, until)
         return web.json_response({"lease": lease, "ttl-ms": ttl_ms})
 
-    async def _keep(self, request: web.Request) -> web.Response:
+    async def _handle_lease_keepalive(
+        self, request: web.Request
+    ) -> web.Response:
         lease = self._leases.get(int(request.match_info["id"]))
         if lease is None:
             return web.json_response({}, status=404)
         lease.until = self._clock.monotonic() + lease.ttl_ms / 1000
         return web.json_response({"ttl-ms": lease.ttl_ms})
 
-    async def _end(self, request: web.Request) -> web.Response:
+    async def _handle_lease_end(self, request: web.Request) -> web.Response:
         self.end_lease(int(request.match_info["id"]))
         return web.json_response({})
 
@@ -280,15 +288,15 @@
 
     def _remove(self, key: str) -> None:
         if self._items.pop(key, None) is not None:
-            gone = {"key": key, "rev": self.revision, "removed": True}
-            self._history.append(gone)
+            event = {"key": key, "rev": self.revision, "removed": True}
+            self._history.append(event)
 
-    def _tell(self) -> None:
-        self._changed.set()
-        self._changed = asyncio.Event()
+    def _notify_watches(self) -> None:
+        self._change_event.set()
+        self._change_event = asyncio.Event()
 
 
-async def _refuse(request: web.Request, how: str) -> web.StreamResponse:
+async def _send_fault(request: web.Request, how: str) -> web.StreamResponse:
     if how == "busy":
         return web.json_response({}, status=503)
     if how == "many":
@@ -301,7 +309,7 @@
     return web.Response(status=503)
 
 
-async def _wait(event: asyncio.Event, for_s: float) -> None:
+async def _wait_at_most(event: asyncio.Event, for_s: float) -> None:
     try:
         await asyncio.wait_for(event.wait(), for_s)
     except TimeoutError:
--- a/src/radishwind/standins/ports.py
+++ b/src/radishwind/standins/ports.py
@@ -4,7 +4,7 @@
 import socket
 
 
-def free_ports(hosts: Sequence[str], count: int) -> int:
+def find_free_port_range(hosts: Sequence[str], count: int) -> int:
     """Returns the first of `count` ports that are free on every host."""
     while True:
         with socket.socket() as probe:
--- a/src/radishwind/standins/store.py
+++ b/src/radishwind/standins/store.py
@@ -66,13 +66,13 @@
     Attributes:
       state: keys, revisions and leases.
       calls: calls received, by kind; a waiting watch counts as one.
-      watching: watches that wait now.
+      open_watches: watches that are open now.
     """
 
     def __init__(self, clock: Clock) -> None:
         self.state = StoreState(clock)
         self.calls: dict[str, int] = {}
-        self.watching = 0
+        self.open_watches = 0
         self._faults = StoreFaults()
         self._lose_answers = 0
         self._faults_changed = anyio.Event()
@@ -163,7 +163,7 @@
     def _counters(self) -> dict[str, Any]:
         return {
             "calls": self.calls,
-            "watching": self.watching,
+            "watching": self.open_watches,
             "revision": self.state.revision,
         }
 
@@ -211,14 +211,14 @@
         self._start = start
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
-        self._standin.watching += 1
+        self._standin.open_watches += 1
         try:
             async for line in self._standin.watch_lines(
                 *self._range, self._start
             ):
                 yield line
         finally:
-            self._standin.watching -= 1
+            self._standin.open_watches -= 1
 
     def abort(self) -> None:
         """Does nothing; the reader stops reading."""
--- a/src/radishwind/standins/store_state.py
+++ b/src/radishwind/standins/store_state.py
@@ -144,7 +144,7 @@
         return answer
 
     def _txn(self, body: dict[str, Any]) -> dict[str, Any]:
-        holds = all(self._holds(c) for c in body.get("compare", ()))
+        holds = all(self._condition_holds(c) for c in body.get("compare", ()))
         operations = body.get("success" if holds else "failure", ())
         _check_operations(operations)
         if operations:
@@ -155,7 +155,7 @@
             self._tell()
         return {"header": self.header(), "succeeded": holds}
 
-    def _holds(self, compare: dict[str, Any]) -> bool:
+    def _condition_holds(self, compare: dict[str, Any]) -> bool:
         value = self._values.get(base64.b64decode(compare["key"]))
         if compare["target"] == "CREATE":
             got = value.create_revision if value else 0
--- a/src/radishwind/store/tests/test_etcd_store.py
+++ b/src/radishwind/store/tests/test_etcd_store.py
@@ -97,7 +97,7 @@
     async for event in setup.store.watch("w/", first.revision):
         events.append((event.key, event.entry and event.entry.value))
         if len(events) == 1:
-            assert setup.standin.watching == 1
+            assert setup.standin.open_watches == 1
             await setup.store.transact((), (Put("w/b", b"2"),))
             await setup.store.transact((), (Delete("w/a"),))
         if len(events) == 3:
--- a/tests/proofs/test_configuration.py
+++ b/tests/proofs/test_configuration.py
@@ -189,7 +189,7 @@
 
 @given("a store whose conditions always hold", target_fixture="store_patch")
 def no_conditions(request):
-    patch = mock.patch.object(StoreState, "_holds", return_value=True)
+    patch = mock.patch.object(StoreState, "_condition_holds", return_value=True)
     patch.start()
     request.addfinalizer(patch.stop)
 
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -74,7 +74,7 @@
         headers["Authorization"] = told.accounts.authorize(name, account)
     # The library sends a request again by itself where it is idempotent.
     method = "POST"
-    url = f"http://{instance.callers}/{service}/x"
+    url = f"http://{instance.caller_address}/{service}/x"
     status = 0
     try:
         async with session.request(method, url, headers=headers) as answer:
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -157,7 +157,7 @@
     await asyncio.sleep(0.5 + 3 * rng.random())
     store.faults = StoreFaults()
     if rng.random() < 0.3:
-        store.forget_history()
+        store.compact_history()
     return str(faults)
 
 
--- a/tests/soak/play.py
+++ b/tests/soak/play.py
@@ -79,10 +79,10 @@
     """Returns what the servers saw that they were not to see."""
     broken = []
     for server in stage.servers:
-        left_at = server.left_at
-        if left_at is None or not server.last_began:
+        left_at = server.leave_acknowledged_at
+        if left_at is None or not server.last_run_started_at:
             continue
-        late_s = server.last_began - left_at
+        late_s = server.last_run_started_at - left_at
         if late_s > DRAIN_S + _UNDER_WAY_S:
             broken.append(
                 f"{server.incarnation}: run {late_s:.2f} s after it left"
--- a/tests/soak/stage.py
+++ b/tests/soak/stage.py
@@ -66,9 +66,13 @@
 
     async def _wire(self, instance: Instance) -> None:
         """Puts a proxy into each link before the settings are written."""
-        port = instance.callers.port + 6
+        port = instance.caller_address.port + 6
         host = instance.place.host
-        pairs = (self.fleet.store_address, instance.address, instance.peers)
+        pairs = (
+            self.fleet.store_address,
+            instance.server_address,
+            instance.peer_address,
+        )
         proxies = [
             LoopbackProxy(Address(host, port + 1 + n), upstream, self.rng)
             for n, upstream in enumerate(pairs)
@@ -76,9 +80,9 @@
         for proxy in proxies:
             await proxy.start()
         self.links[instance.place.name] = Links(*proxies)
-        instance.store_seen = Address(host, port + 1)
-        instance.server_seen = Address(host, port + 2)
-        instance.peers_seen = Address(host, port + 3)
+        instance.configured_store_address = Address(host, port + 1)
+        instance.configured_server_address = Address(host, port + 2)
+        instance.configured_peer_address = Address(host, port + 3)
 
     async def start(self, seed: int) -> None:
         """Starts servers and nodes."""
@@ -103,8 +107,8 @@
         options = ServerOptions(
             place.service,
             place.failure_domain,
-            instance.address,
-            instance.control,
+            instance.server_address,
+            instance.control_address,
             work_s=0.02,
             heartbeat_s=0.4,
         )
@@ -119,9 +123,15 @@
         server.draining = says_draining
         async with aiohttp.ClientSession() as session:
             for _ in range(10):
-                call = server.heartbeat if says_draining else server.deregister
+                call = (
+                    server.send_heartbeat
+                    if says_draining
+                    else server.deregister
+                )
                 if await call(session):
-                    server.left_at = asyncio.get_running_loop().time()
+                    server.leave_acknowledged_at = (
+                        asyncio.get_running_loop().time()
+                    )
                     break
                 await asyncio.sleep(0.3)
         instance.stop_heartbeats()
@@ -135,7 +145,7 @@
         instance.signal_node(signal.Signals(number))
         code = await instance.node_ended()
         # Before its interpreter runs a line of ours, a signal is its default.
-        unbegun = code == -number and not instance.has_logged
+        unbegun = code == -number and not instance.has_logged_since_start
         if code not in (0, _KILLED) and not unbegun:
             self.crashes.append(f"{instance.place.name} ended with {code}")
         await asyncio.sleep(self.rng.random())
--- a/tests/test_peers_processes.py
+++ b/tests/test_peers_processes.py
@@ -65,7 +65,7 @@
 
 
 async def metrics(instance):
-    url = f"http://{instance.metrics}/metrics"
+    url = f"http://{instance.metrics_address}/metrics"
     async with aiohttp.ClientSession() as session, session.get(url) as got:
         return (await got.text()).splitlines()
 
@@ -112,7 +112,7 @@
     }
     before, ran = await refused(target), runs(fleet)
 
-    url = f"http://{target.peers}/sessions/x"
+    url = f"http://{target.peer_address}/sessions/x"
     async with (
         aiohttp.ClientSession() as session,
         session.post(url, headers=headers) as answer,
@@ -131,7 +131,7 @@
 
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as forger:
         data = bytes((Channel.GOSSIP,)) + encode_envelope(push)
-        forger.sendto(data, tuple(target.peers))
+        forger.sendto(data, tuple(target.peer_address))
 
         async def is_counted():
             return await refused(target) == before + 1
--- a/tests/test_platform_processes.py
+++ b/tests/test_platform_processes.py
@@ -42,7 +42,7 @@
 
 async def knows_all(instance):
     """Returns whether the node knows that every node takes work."""
-    url = f"http://{instance.metrics}/metrics"
+    url = f"http://{instance.metrics_address}/metrics"
     async with aiohttp.ClientSession() as session, session.get(url) as got:
         text = await got.text()
     alive = 'radishwind_members{state="alive"} '
@@ -81,7 +81,7 @@
 
 async def test_every_metric_is_told_and_documented(fleet):
     instance = fleet.instances["a-1"]
-    url = f"http://{instance.metrics}/metrics"
+    url = f"http://{instance.metrics_address}/metrics"
     async with aiohttp.ClientSession() as session, session.get(url) as got:
         text = await got.text()
 
@@ -144,7 +144,7 @@
     server = leaving.server
     server.draining = True
     async with aiohttp.ClientSession() as session:
-        await until(lambda: server.heartbeat(session))
+        await until(lambda: server.send_heartbeat(session))
         before = server.runs.total()
         assert (await fleet.ask(leaving, "/sessions/x")).status == 503
         leaving.signal_node(signal.SIGKILL)
@@ -163,7 +163,7 @@
     first = instance.server
     first.draining = True
     async with aiohttp.ClientSession() as session:
-        await until(lambda: first.heartbeat(session))
+        await until(lambda: first.send_heartbeat(session))
     assert (await fleet.ask(instance, "/sessions/x")).status == 503
 
     await instance.restart_server()
@@ -175,7 +175,7 @@
 async def test_a_word_of_another_writer_changes_nothing(fleet):
     instance = fleet.instances["a-2"]
     name = instance.server.incarnation
-    url = f"http://{instance.control}/-/Instances.Heartbeat/{name}"
+    url = f"http://{instance.control_address}/-/Instances.Heartbeat/{name}"
     async with aiohttp.ClientSession() as session:
         for body in (b"", b"\xff", b"[]", b'{"state":"draining","seq":9}'):
             async with session.post(url, data=body) as answer:
@@ -194,7 +194,7 @@
         instance.server.faults = ServerFaults(slow=20.0)
     head = "GET /library/x HTTP/1.1\r\nHost: {}\r\nAttempt-Id: p{}\r\n\r\n"
     reader, writer = await asyncio.open_connection(
-        stopped.callers.host, stopped.callers.port
+        stopped.caller_address.host, stopped.caller_address.port
     )
     for number in range(3):
         writer.write(head.format(HOST, number).encode())
@@ -253,7 +253,7 @@
 
 
 async def test_a_watch_that_lost_its_history_reads_anew(fleet):
-    fleet.store.forget_history()
+    fleet.store.compact_history()
     fleet.configure([route("library", "safe", name="n", prefix="/later/")])
 
     for instance in fleet.instances.values():
--- a/tests/test_recency_processes.py
+++ b/tests/test_recency_processes.py
@@ -64,7 +64,7 @@
     headers = {"Host": HOST, "Attempt-Id": "9c41", "Timeout-Ms": "1500"}
     if key:
         headers["Authorization"] = f"Token {key}"
-    url = f"http://{instance.callers}{path}"
+    url = f"http://{instance.caller_address}{path}"
     async with (
         aiohttp.ClientSession() as session,
         session.get(url, headers=headers) as got,
@@ -124,7 +124,7 @@
 
 async def test_the_metrics_of_proof_are_told_and_documented(fleet):
     instance = fleet.instances["a-1"]
-    url = f"http://{instance.metrics}/metrics"
+    url = f"http://{instance.metrics_address}/metrics"
     async with aiohttp.ClientSession() as session, session.get(url) as got:
         text = await got.text()
 
