--- a/src/radishwind/experiment/simulated_node.py
+++ b/src/radishwind/experiment/simulated_node.py
@@ -24,7 +24,7 @@
 from radishwind.routes.evacuation import EvacuationState
 from radishwind.routes.model import RouteConfig
 from radishwind.routing.chooser import LoadReport
-from radishwind.settings.placed import PlacedSettings
+from radishwind.settings.placed_settings import PlacedSettings
 from radishwind.sidecar.entry_side import EntrySide
 from radishwind.sidecar.load_report_exchange import LOAD_CHECK_INTERVAL_S
 from radishwind.sidecar.switches import Switches
--- a/src/radishwind/experiment/simulation.py
+++ b/src/radishwind/experiment/simulation.py
@@ -38,7 +38,7 @@
 from radishwind.routes.model import RouteConfig
 from radishwind.routes.model import ServiceInfo
 from radishwind.routes.model import WeightedService
-from radishwind.settings.placed import PlacedSettings
+from radishwind.settings.placed_settings import PlacedSettings
 from radishwind.sidecar.switches import ALL_ON
 from radishwind.sidecar.switches import Switches
 from radishwind.target.registered_server import Registration
--- a/src/radishwind/node/claims.py
+++ b/src/radishwind/node/claims.py
@@ -17,7 +17,7 @@
 from radishwind.claims.store_circuit_breaker import StoreCircuitBreaker
 from radishwind.core.clock import Clock
 from radishwind.leases.shared_lease import SharedLease
-from radishwind.settings.node import NodeSettings
+from radishwind.settings.node_settings import NodeSettings
 from radishwind.store.base import Store
 
 
--- a/src/radishwind/platform/boot.py
+++ b/src/radishwind/platform/boot.py
@@ -7,7 +7,7 @@
 
 from radishwind.http.types import Address
 from radishwind.platform.errors import PlatformMalformedError
-from radishwind.settings.placed import PlacedSettings
+from radishwind.settings.placed_settings import PlacedSettings
 
 #: The environment variable with the path of the settings file.
 PATH_VARIABLE = "RADISHWIND_BOOT"
--- a/src/radishwind/settings/__init__.py
+++ b/src/radishwind/settings/__init__.py
@@ -3,6 +3,6 @@
 from radishwind.settings.loader import load
 from radishwind.settings.loader import setting
 from radishwind.settings.loader import SettingError
-from radishwind.settings.node import NodeSettings
+from radishwind.settings.node_settings import NodeSettings
 
 __all__ = ["NodeSettings", "SettingError", "load", "setting"]
--- a/src/radishwind/sidecar/app.py
+++ b/src/radishwind/sidecar/app.py
@@ -24,7 +24,7 @@
 from radishwind.routes.active_routes import ActiveRoutes
 from radishwind.routes.evacuation import EvacuationState
 from radishwind.routes.model import RouteConfig
-from radishwind.settings.placed import PlacedSettings
+from radishwind.settings.placed_settings import PlacedSettings
 from radishwind.sidecar.control import Readiness
 from radishwind.sidecar.control_side import ControlSide
 from radishwind.sidecar.entry_side import EntrySide
--- a/src/radishwind/sidecar/control_side.py
+++ b/src/radishwind/sidecar/control_side.py
@@ -20,7 +20,7 @@
 from radishwind.routes.route_feed import RouteFeed
 from radishwind.routes.store_watcher import OperatorKeys
 from radishwind.routes.unsigned_requests import UnsignedRequestHandler
-from radishwind.settings.placed import PlacedSettings
+from radishwind.settings.placed_settings import PlacedSettings
 from radishwind.sidecar.control import HeartbeatListener
 from radishwind.sidecar.leaving_records_loader import LeavingRecordsLoader
 from radishwind.sidecar.options import FIRST_START_SPREAD_S
--- a/src/radishwind/sidecar/entry_side.py
+++ b/src/radishwind/sidecar/entry_side.py
@@ -42,7 +42,7 @@
 from radishwind.routes.evacuation import EvacuationState
 from radishwind.routing.fresh_load_chooser import FreshLoadChooser
 from radishwind.routing.placement import RestrictedPlacement
-from radishwind.settings.placed import PlacedSettings
+from radishwind.settings.placed_settings import PlacedSettings
 from radishwind.sidecar.link_side import LinkSide
 from radishwind.sidecar.options import cost_weights_for
 from radishwind.sidecar.options import MAX_RETRY_AFTER_S
--- a/src/radishwind/sidecar/link_side.py
+++ b/src/radishwind/sidecar/link_side.py
@@ -9,7 +9,7 @@
 from radishwind.routing.path_costs import LinkPathCosts
 from radishwind.routing.round_trip_times import RoundTripTimes
 from radishwind.routing.route_sizes import RouteSizes
-from radishwind.settings.placed import PlacedSettings
+from radishwind.settings.placed_settings import PlacedSettings
 
 
 class LinkSide:
--- a/src/radishwind/sidecar/listeners.py
+++ b/src/radishwind/sidecar/listeners.py
@@ -12,7 +12,7 @@
 from radishwind.http.server_limits import ServerLimits
 from radishwind.http.types import Address
 from radishwind.node.error_logging import with_error_logging
-from radishwind.settings.placed import PlacedSettings
+from radishwind.settings.placed_settings import PlacedSettings
 from radishwind.sidecar.options import CALLER_IDLE_TIMEOUT_S
 from radishwind.sidecar.options import MAX_CALLER_CONNECTIONS
 from radishwind.sidecar.options import MAX_OTHER_CONNECTIONS
--- a/src/radishwind/sidecar/options.py
+++ b/src/radishwind/sidecar/options.py
@@ -3,8 +3,8 @@
 from radishwind.membership.contact_registry import DiscoveryOptions
 from radishwind.membership.gossip_options import GossipOptions
 from radishwind.routing.cost_weights import CostWeights
-from radishwind.settings.node import NodeSettings
-from radishwind.settings.placed import PlacedSettings
+from radishwind.settings.node_settings import NodeSettings
+from radishwind.settings.placed_settings import PlacedSettings
 from radishwind.sidecar.switches import Switches
 from radishwind.store.budgeted_store import StoreBudget
 
--- a/src/radishwind/sidecar/peer_side.py
+++ b/src/radishwind/sidecar/peer_side.py
@@ -31,7 +31,7 @@
 from radishwind.platform.routes import CONFIG_KEY
 from radishwind.routes.active_routes import ActiveRoutes
 from radishwind.routes.model import RouteConfig
-from radishwind.settings.placed import PlacedSettings
+from radishwind.settings.placed_settings import PlacedSettings
 from radishwind.sidecar.account_policy import AccountPolicy
 from radishwind.sidecar.options import start_spread_s
 from radishwind.sidecar.route_verifier import RouteVerifier
--- a/src/radishwind/sidecar/program.py
+++ b/src/radishwind/sidecar/program.py
@@ -15,7 +15,7 @@
 from radishwind.platform.boot import decode_settings
 from radishwind.platform.boot import PATH_VARIABLE
 from radishwind.settings.loader import SettingError
-from radishwind.settings.placed import PlacedSettings
+from radishwind.settings.placed_settings import PlacedSettings
 from radishwind.sidecar.app import SidecarNode
 from radishwind.sidecar.settings_reloader import SettingsFile
 from radishwind.sidecar.switches import read_switches
--- a/src/radishwind/sidecar/quota_sharing.py
+++ b/src/radishwind/sidecar/quota_sharing.py
@@ -19,7 +19,7 @@
 from radishwind.quotas import QuotaBounds
 from radishwind.quotas import QuotaLimit
 from radishwind.routes.active_routes import ActiveRoutes
-from radishwind.settings.placed import PlacedSettings
+from radishwind.settings.placed_settings import PlacedSettings
 from radishwind.sidecar.quota_channel import QuotaChannel
 
 #: Interval of the periodic work of borrower and lender.
--- a/src/radishwind/sidecar/recency_side.py
+++ b/src/radishwind/sidecar/recency_side.py
@@ -13,7 +13,7 @@
 from radishwind.recency import ProofSchedule
 from radishwind.routes.active_routes import ActiveRoutes
 from radishwind.routes.route_feed import RouteFeed
-from radishwind.settings.placed import PlacedSettings
+from radishwind.settings.placed_settings import PlacedSettings
 from radishwind.sidecar.options import start_spread_s
 
 
--- a/src/radishwind/sidecar/settings_reloader.py
+++ b/src/radishwind/sidecar/settings_reloader.py
@@ -9,7 +9,7 @@
 from radishwind.core.clock import Clock
 from radishwind.core.codes import ResultCode
 from radishwind.core.errors import RadishwindError
-from radishwind.settings.placed import PlacedSettings
+from radishwind.settings.placed_settings import PlacedSettings
 from radishwind.telemetry.part_logger import PartLogger
 
 #: Interval of the checks for changes that no signal announces.
--- a/src/radishwind/sidecar/target_side.py
+++ b/src/radishwind/sidecar/target_side.py
@@ -20,7 +20,7 @@
 from radishwind.routes.evacuation import EvacuatedDomains
 from radishwind.routes.model import RouteConfig
 from radishwind.routes.model import ServiceInfo
-from radishwind.settings.placed import PlacedSettings
+from radishwind.settings.placed_settings import PlacedSettings
 from radishwind.sidecar.switches import ALL_ON
 from radishwind.sidecar.switches import Switches
 from radishwind.target.backend_server import ServerView
--- a/src/radishwind/sidecar/tests/test_forged.py
+++ b/src/radishwind/sidecar/tests/test_forged.py
@@ -42,7 +42,7 @@
 from radishwind.routes.evacuation import EvacuatedDomains
 from radishwind.routes.route_feed import CONTROL_NAME as ROUTES
 from radishwind.routing.chooser import LoadReport
-from radishwind.settings.placed import PlacedSettings
+from radishwind.settings.placed_settings import PlacedSettings
 from radishwind.sidecar.app import SidecarNode
 from radishwind.target.leaving_records import CONTROL_NAME as LEAVING
 from radishwind.telemetry.bounded_output import BoundedOutput
--- a/src/radishwind/sidecar/tests/test_target_side.py
+++ b/src/radishwind/sidecar/tests/test_target_side.py
@@ -16,7 +16,7 @@
 from radishwind.routes.evacuation import EvacuatedDomains
 from radishwind.routes.model import RouteConfig
 from radishwind.routes.model import ServiceInfo
-from radishwind.settings.placed import PlacedSettings
+from radishwind.settings.placed_settings import PlacedSettings
 from radishwind.sidecar.target_side import SidecarTarget
 from radishwind.target.dialect import ResponseMetadata
 from radishwind.target.registered_server import Registration
