--- a/src/radishwind/cli/options.py
+++ b/src/radishwind/cli/options.py
@@ -1,4 +1,4 @@
-"""Makes a typer command from a data class of settings."""
+"""Builds typer commands from a data class of settings."""
 
 from collections.abc import Callable
 import dataclasses
@@ -10,10 +10,10 @@
 
 import typer
 
-from radishwind.settings.loader import flag
+from radishwind.settings.loader import flag_name
 from radishwind.settings.loader import load
-from radishwind.settings.loader import variable
-from radishwind.settings.reference import default_text
+from radishwind.settings.loader import variable_name
+from radishwind.settings.reference import format_default
 
 _T = TypeVar("_T")
 
@@ -21,31 +21,31 @@
 def settings_command(
     cls: type[_T], run: Callable[[_T], None]
 ) -> Callable[..., None]:
-    """Returns a function with one option per field of `cls`.
+    """Returns a command with one option per field of `cls`.
 
-    Values arrive as text and are parsed by `load`, so that a wrong one gets
-    the numbered error of settings and not typer's own.
+    Options are passed as text and parsed by `load`, so that a malformed value
+    raises `SettingError`, with its result code, instead of an error of typer.
     """
 
     def command(**flags: str | None) -> None:
         run(load(cls, flags, os.environ))
 
     command.__signature__ = inspect.Signature(  # type: ignore[attr-defined]
-        parameters_of(cls)
+        make_parameters(cls)
     )
     return command
 
 
-def parameters_of(cls: type[Any]) -> list[inspect.Parameter]:
-    """Returns one keyword parameter, an option in text, per field of `cls`."""
-    return [_parameter(field) for field in dataclasses.fields(cls)]
+def make_parameters(cls: type[Any]) -> list[inspect.Parameter]:
+    """Returns a keyword parameter, a text option, for each field of `cls`."""
+    return [_make_parameter(field) for field in dataclasses.fields(cls)]
 
 
-def _parameter(field: dataclasses.Field[Any]) -> inspect.Parameter:
-    text = f"{field.metadata['help']} [{variable(field.name)}]"
+def _make_parameter(field: dataclasses.Field[Any]) -> inspect.Parameter:
+    text = f"{field.metadata['help']} [{variable_name(field.name)}]"
     option = typer.Option(
-        flag(field.name),
-        help=text + _default(field),
+        flag_name(field.name),
+        help=text + _default_suffix(field),
         metavar=field.metadata["unit"] or "TEXT",
         show_default=False,
     )
@@ -57,8 +57,8 @@
     )
 
 
-def _default(field: dataclasses.Field[Any]) -> str:
-    text = default_text(field)
+def _default_suffix(field: dataclasses.Field[Any]) -> str:
+    text = format_default(field)
     if field.default is dataclasses.MISSING:
         return f" ({text})"
     if field.metadata["secret"] or not text:
--- a/src/radishwind/cli/settings.py
+++ b/src/radishwind/cli/settings.py
@@ -1,13 +1,13 @@
-"""`radishwind settings`: what a node would run with."""
+"""`radishwind settings`: shows the settings and their reference."""
 
 import inspect
 import os
 
 import typer
 
-from radishwind.cli.options import parameters_of
+from radishwind.cli.options import make_parameters
 from radishwind.settings import NodeSettings
-from radishwind.settings.reference import reference
+from radishwind.settings.reference import reference_table
 from radishwind.settings.reference import setting_rows
 
 _app = typer.Typer(help="Settings of a node.", no_args_is_help=True)
@@ -25,7 +25,7 @@
 
 
 _show.__signature__ = inspect.Signature(  # type: ignore[attr-defined]
-    parameters_of(NodeSettings)
+    make_parameters(NodeSettings)
 )
 _app.command("show", help="Show what a node would run with, and why.")(_show)
 
@@ -33,4 +33,4 @@
 @_app.command("reference")
 def _reference() -> None:
     """Print every setting as a Markdown table, as in docs/settings.md."""
-    typer.echo(reference(NodeSettings), nl=False)
+    typer.echo(reference_table(NodeSettings), nl=False)
--- a/src/radishwind/settings/__init__.py
+++ b/src/radishwind/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings by flags and environment: typed, with units, checked at start."""
+"""Settings from flags and environment: typed, with units, checked at start."""
 
 from radishwind.settings.loader import load
 from radishwind.settings.loader import setting
--- a/src/radishwind/settings/loader.py
+++ b/src/radishwind/settings/loader.py
@@ -1,8 +1,8 @@
-"""Reads a frozen data class of settings from flags and environment.
+"""Loads a frozen data class of settings from flags and the environment.
 
-Each field is made by `setting`, which holds its help, unit and parser. The
-flag of `peer_listen` is `--peer-listen`, its environment variable
-`RADISHWIND_PEER_LISTEN`; a flag goes before the variable.
+Each field is declared by `setting`, with its help text, unit and parser. The
+field `peer_listen` has the flag `--peer-listen` and the environment variable
+`RADISHWIND_PEER_LISTEN`; the flag takes precedence.
 """
 
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 
 class SettingError(RadishwindError):
-    """A setting is missing or cannot be read."""
+    """A setting is missing or malformed."""
 
     code = ResultCode.SETTING_INVALID
 
@@ -33,26 +33,26 @@
     unit: str = "",
     secret: bool = False,
 ) -> Any:
-    """Returns a data class field that `load` can read.
+    """Declares a data class field that `load` can set.
 
     Args:
-      parse: makes the value from text; raises `ValueError` saying what it
-        expected.
-      text: the help.
-      default: the value where none is given; required if left out.
-      unit: the unit of the value, shown in the help.
+      parse: parses the value; raises `ValueError` with a message that says what
+        was expected.
+      text: help text.
+      default: default value; the setting is required without one.
+      unit: unit of the value, shown in the help.
       secret: whether the value must never be shown.
     """
     metadata = {"parse": parse, "help": text, "unit": unit, "secret": secret}
     return dataclasses.field(default=default, metadata=metadata)
 
 
-def variable(name: str) -> str:
-    """Returns the environment variable of the setting `name`."""
+def variable_name(name: str) -> str:
+    """Returns the name of the environment variable of the setting `name`."""
     return ENVIRONMENT_PREFIX + name.upper()
 
 
-def flag(name: str) -> str:
+def flag_name(name: str) -> str:
     """Returns the flag of the setting `name`."""
     return "--" + name.replace("_", "-")
 
@@ -60,27 +60,28 @@
 def load(
     cls: type[_T], flags: Mapping[str, str | None], environ: Mapping[str, str]
 ) -> _T:
-    """Returns the settings of `cls`.
+    """Loads settings from flags and the environment.
 
     Args:
-      cls: a data class whose fields are made by `setting`.
-      flags: text by field name; `None` where the flag was not given.
-      environ: the environment.
+      cls: data class whose fields are declared by `setting`.
+      flags: flag values by field name; `None` for a flag that was not given.
+      environ: environment variables.
 
     Raises:
-      SettingError: a setting is missing or malformed; it names the setting,
-        what was expected and what was given.
+      SettingError: a setting is missing or malformed; the message names the
+        setting, what was expected and what was given.
     """
     values: dict[str, Any] = {}
     for field in dataclasses.fields(cls):  # type: ignore[arg-type]
         text = flags.get(field.name)
         if text is None:
-            text = environ.get(variable(field.name))
+            text = environ.get(variable_name(field.name))
         if text is not None:
             values[field.name] = _parse(field, text)
         elif field.default is dataclasses.MISSING:
             raise SettingError(
-                f"expected {flag(field.name)} or {variable(field.name)}, "
+                f"expected {flag_name(field.name)} or "
+                f"{variable_name(field.name)}, "
                 "got neither"
             )
     return cls(**values)
@@ -91,4 +92,6 @@
         return field.metadata["parse"](text)
     except ValueError as exc:
         given = "a secret" if field.metadata["secret"] else repr(text[:80])
-        raise SettingError(f"{flag(field.name)}: {exc}; given {given}") from exc
+        raise SettingError(
+            f"{flag_name(field.name)}: {exc}; given {given}"
+        ) from exc
--- a/src/radishwind/settings/node_settings.py
+++ b/src/radishwind/settings/node_settings.py
@@ -9,7 +9,7 @@
 from radishwind.settings.loader import setting
 
 
-def _library(text: str) -> HttpLibrary:
+def _parse_http_library(text: str) -> HttpLibrary:
     try:
         return HttpLibrary(text)
     except ValueError:
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class NodeSettings:
-    """What a node learns from outside; the rest comes from the store."""
+    """Settings of a node; the routing configuration comes from the store."""
 
     target: str = setting(
         parsers.name, "Name of the target beside, as in the inventory."
@@ -108,7 +108,7 @@
         unit="1/s",
     )
     store_burst: int = setting(
-        parsers.whole_number(1, 100_000),
+        parsers.integer(1, 100_000),
         "Calls of the store this node may make at once.",
         default=100,
         unit="calls",
@@ -120,7 +120,7 @@
         unit="s",
     )
     http_library: HttpLibrary = setting(
-        _library, "HTTP library.", default=HttpLibrary.HTTPTOOLS
+        _parse_http_library, "HTTP library.", default=HttpLibrary.HTTPTOOLS
     )
     routing: RoutingPolicy = setting(
         RoutingPolicy.parse,
@@ -131,7 +131,7 @@
         parsers.yes_or_no, "Keep metrics by OpenTelemetry.", default=True
     )
     seed: int = setting(
-        parsers.whole_number(0, 2**63 - 1),
+        parsers.integer(0, 2**63 - 1),
         "Seed of the random source; 0 takes one from the system.",
         default=0,
     )
@@ -161,19 +161,19 @@
         unit="calls/s",
     )
     claim_answer_bytes: int = setting(
-        parsers.whole_number(0, 256 * 1024),
+        parsers.integer(0, 256 * 1024),
         "The largest answer that is recorded for repeats.",
         default=32 * 1024,
         unit="bytes",
     )
     claim_body_bytes: int = setting(
-        parsers.whole_number(1024, 2**30),
+        parsers.integer(1024, 2**30),
         "The largest body of a request with an idempotency key.",
         default=1024 * 1024,
         unit="bytes",
     )
     claim_memory_bytes: int = setting(
-        parsers.whole_number(64 * 1024, 2**32),
+        parsers.integer(64 * 1024, 2**32),
         "What a node remembers of claims, and again what waits to be written.",
         default=4 * 1024 * 1024,
         unit="bytes",
--- a/src/radishwind/settings/parsers.py
+++ b/src/radishwind/settings/parsers.py
@@ -1,11 +1,11 @@
-"""Parsers of settings; each says what it expected in its `ValueError`."""
+"""Parsers of settings; a `ValueError` says what was expected."""
 
 from collections.abc import Callable
 import re
 
 from radishwind.http.types import Address
 
-#: A key between nodes is at least and at most this long (bytes).
+#: Bounds of the length of a peer key.
 MIN_KEY_BYTES = 16
 MAX_KEY_BYTES = 64
 
@@ -18,17 +18,17 @@
 
 
 def optional_address(text: str) -> Address | None:
-    """Parses `HOST:PORT`; empty for none."""
+    """Parses `HOST:PORT`, or `None` if empty."""
     return Address.parse(text) if text else None
 
 
 def addresses(text: str) -> tuple[Address, ...]:
-    """Parses a list of `HOST:PORT`, separated by commas."""
+    """Parses a comma-separated list of `HOST:PORT`."""
     return tuple(Address.parse(part) for part in text.split(",") if part)
 
 
 def peer_keys(text: str) -> tuple[bytes, ...]:
-    """Parses keys separated by commas or line ends; the first one signs."""
+    """Parses keys separated by commas or newlines; the first one signs."""
     parts = text.replace("\n", ",").split(",")
     keys = tuple(part.strip().encode() for part in parts if part.strip())
     for key in keys:
@@ -41,7 +41,7 @@
 
 
 def name(text: str) -> str:
-    """Parses a name as used in the inventory."""
+    """Parses a name in the syntax of the inventory."""
     if not _NAME.fullmatch(text):
         raise ValueError(
             "expected 1 to 63 letters, digits, dots, dashes or underscores, "
@@ -51,7 +51,7 @@
 
 
 def number(low: float, high: float) -> Callable[[str], float]:
-    """Returns a parser of numbers from `low` to `high`, both included."""
+    """Returns a parser of numbers from `low` to `high`, inclusive."""
 
     def parse(text: str) -> float:
         try:
@@ -67,8 +67,8 @@
     return parse
 
 
-def whole_number(low: int, high: int) -> Callable[[str], int]:
-    """Returns a parser of whole numbers from `low` to `high`."""
+def integer(low: int, high: int) -> Callable[[str], int]:
+    """Returns a parser of integers from `low` to `high`, inclusive."""
 
     def parse(text: str) -> int:
         if not re.fullmatch(r"-?[0-9]{1,18}", text):
--- a/src/radishwind/settings/placed_settings.py
+++ b/src/radishwind/settings/placed_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a node that a platform places beside a backend server."""
+"""Settings of a node that a platform places beside a backend server."""
 
 from collections.abc import Mapping
 
@@ -8,48 +8,48 @@
 
 
 class PlacedSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """What the platform tells a node at its start and at a reload.
+    """Settings that the platform provides at the start and at each reload.
 
     Attributes:
-      node: the name of the instance, unique.
-      service: the service of the backend server beside.
-      failure_domain: where the instance stands.
-      failure_domains: all there are.
-      region_of: the region of each.
-      host: the IP address of the instance.
-      peer_port: where other nodes are received, over TCP and UDP.
-      callers: where requests of this instance are received.
-      ready: where the platform asks whether the node takes callers.
-      control: where the backend server beside sends its heartbeats.
-      server: the backend server beside.
-      store: the platform's key-value store.
-      metrics_port: where metrics are served; 0 for nowhere.
-      heartbeat_s: time between heartbeats of the backend server (s).
-      drain_s: after a drain is acknowledged nothing new may reach the server
-        later than this (s).
-      stop_grace_s: from the signal to stop to the forced end (s).
-      ack_s: the latest that a heartbeat of one that leaves is to be
+      node: unique name of the instance.
+      service: service of the local backend server.
+      failure_domain: failure domain of the instance.
+      failure_domains: all failure domains.
+      region_of: region of each failure domain.
+      host: IP address of the instance.
+      peer_port: port of the peer listener, for TCP and UDP.
+      callers: address of the caller listener of this instance.
+      ready: address at which the platform checks the readiness of the node.
+      control: address that receives the heartbeats of the local backend server.
+      server: address of the local backend server.
+      store: address of the platform's key-value store.
+      metrics_port: port of the metrics; 0 if they are not served.
+      heartbeat_s: interval of the heartbeats of the backend server (s).
+      drain_s: time after the acknowledgement of a drain from which on no new
+        request may reach the server (s).
+      stop_grace_s: time from the stop signal to the forced end (s).
+      ack_s: time within which the heartbeat of a leaving server must be
         acknowledged (s).
-      retry_share: repeats as a share of requests that all nodes may make.
-      retry_slack: repeats that all nodes may make beyond that share, in one
-        window.
-      retry_window_s: the window in which repeats are counted (s).
-      quota_window_s: the window in which requests of client accounts are
-        counted (s).
-      quota_over: what all nodes may let in beyond a quota in one window, as a
-        part of it.
-      quota_slack: requests beyond that which they may let in.
-      cold_over: times of its rate that a cold server may get in a second.
-      cold_slack: requests beyond that which it may get in a second.
-      revoke_s: a key that was taken away may run no later than this at any
-        node, in touch with others or not (s); `None` where a node may go on
-        with the newest configuration that it knows.
-      link_mbps: what the link of the instance carries each way (Mbit/s); 0
-        where that isn't told.
+      retry_share: fleet-wide limit of retries, as a fraction of the requests.
+      retry_slack: retries per window that the fleet may send beyond that
+        fraction.
+      retry_window_s: window of the retry budget (s).
+      quota_window_s: window of the quotas of client accounts (s).
+      quota_over: excess over a quota that the fleet may accept per window, as a
+        fraction of the quota.
+      quota_slack: requests that the fleet may accept beyond that excess.
+      cold_over: limit of the requests to a cold server in any second, as a
+        multiple of its warm-up rate.
+      cold_slack: requests that it may receive in a second beyond that limit.
+      revoke_s: time after which no node accepts a revoked key, even if it is
+        partitioned from the others (s); `None` if a partitioned node may keep
+        using the newest configuration that it has.
+      link_mbps: bandwidth of the instance's link in each direction (Mbit/s); 0
+        if unknown.
       first_start: whether the whole system starts for the first time, so that
-        nothing was kept before.
-      peer_address: where other nodes reach this one, if it is not where they
-        are received; `None` if it is.
+        no state was stored before.
+      peer_address: address at which other nodes reach the peer listener, if it
+        differs from the address it listens at; `None` if not.
     """
 
     node: str
@@ -84,5 +84,5 @@
 
     @property
     def peers(self) -> Address:
-        """Where other nodes are received."""
+        """Address of the peer listener."""
         return Address(self.host, self.peer_port)
--- a/src/radishwind/settings/reference.py
+++ b/src/radishwind/settings/reference.py
@@ -1,30 +1,30 @@
-"""What the settings are, as a table for the docs and for `settings show`."""
+"""Settings as rows for `settings show` and as a table for the documentation."""
 
 from collections.abc import Iterator
 from collections.abc import Mapping
 import dataclasses
 from typing import Any
 
-from radishwind.settings.loader import flag
+from radishwind.settings.loader import flag_name
 from radishwind.settings.loader import load
-from radishwind.settings.loader import variable
+from radishwind.settings.loader import variable_name
 
-#: What stands in place of a secret.
-HIDDEN = "(hidden)"
+#: Shown instead of a secret.
+HIDDEN_VALUE = "(hidden)"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SettingRow:
-    """One setting.
+    """Description and value of one setting.
 
     Attributes:
-      flag: its flag.
-      variable: its environment variable.
-      unit: its unit or form.
-      default: its default as text, `required` if there is none.
-      value: its value as text, hidden if secret.
-      source: `flag`, `environment` or `default`.
-      text: the help.
+      flag: name of the flag.
+      variable: name of the environment variable.
+      unit: unit or format.
+      default: default value as text; `required` if there is none.
+      value: current value as text; hidden if it is secret.
+      source: origin of the value: `flag`, `environment` or `default`.
+      text: help text.
     """
 
     flag: str
@@ -39,51 +39,52 @@
 def setting_rows(
     cls: type[Any], flags: Mapping[str, str | None], environ: Mapping[str, str]
 ) -> Iterator[SettingRow]:
-    """Yields the settings of `cls` with the values they would have.
+    """Yields the settings of `cls` with the values that `load` would give them.
 
     Raises:
       SettingError: a setting is missing or malformed.
     """
     values = load(cls, flags, environ)
     for field in dataclasses.fields(cls):
-        value = as_text(getattr(values, field.name))
+        value = format_value(getattr(values, field.name))
         if field.metadata["secret"] and value:
-            value = HIDDEN
+            value = HIDDEN_VALUE
         yield SettingRow(
-            flag(field.name),
-            variable(field.name),
+            flag_name(field.name),
+            variable_name(field.name),
             field.metadata["unit"],
-            default_text(field),
+            format_default(field),
             value,
             _source(field.name, flags, environ),
             field.metadata["help"],
         )
 
 
-def reference(cls: type[Any]) -> str:
-    """Returns the settings of `cls` as a Markdown table."""
+def reference_table(cls: type[Any]) -> str:
+    """Formats the settings of `cls` as a Markdown table."""
     lines = [
         "| flag | variable | unit | default | meaning |",
         "|---|---|---|---|---|",
     ]
     for field in dataclasses.fields(cls):
         lines.append(
-            f"| `{flag(field.name)}` | `{variable(field.name)}` | "
-            f"{field.metadata['unit']} | {default_text(field)} | "
+            f"| `{flag_name(field.name)}` | "
+            f"`{variable_name(field.name)}` | "
+            f"{field.metadata['unit']} | {format_default(field)} | "
             f"{field.metadata['help']} |"
         )
     return "\n".join(lines) + "\n"
 
 
-def default_text(field: dataclasses.Field[Any]) -> str:
-    """Returns the default of a setting as an operator would write it."""
+def format_default(field: dataclasses.Field[Any]) -> str:
+    """Formats the default of a setting in the syntax of its flag."""
     if field.default is dataclasses.MISSING:
         return "required"
-    return as_text(field.default)
+    return format_value(field.default)
 
 
-def as_text(value: object) -> str:
-    """Returns a value as an operator would write it."""
+def format_value(value: object) -> str:
+    """Formats a value in the syntax of its flag."""
     if value is None:
         return ""
     if isinstance(value, bool):
@@ -100,6 +101,6 @@
 ) -> str:
     if flags.get(name) is not None:
         return "flag"
-    if variable(name) in environ:
+    if variable_name(name) in environ:
         return "environment"
     return "default"
--- a/src/radishwind/settings/tests/test_settings.py
+++ b/src/radishwind/settings/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings from flags and environment, and their page."""
+"""Settings from flags and environment, and their reference page."""
 
 import pathlib
 
@@ -8,11 +8,11 @@
 from radishwind.settings import load
 from radishwind.settings import NodeSettings
 from radishwind.settings import SettingError
-from radishwind.settings.reference import HIDDEN
-from radishwind.settings.reference import reference
+from radishwind.settings.reference import HIDDEN_VALUE
+from radishwind.settings.reference import reference_table
 from radishwind.settings.reference import setting_rows
 
-NEEDED = {
+REQUIRED = {
     "RADISHWIND_TARGET": "prenota-1",
     "RADISHWIND_SERVICE": "prenota",
     "RADISHWIND_FAILURE_DOMAIN": "savona",
@@ -22,8 +22,8 @@
 DOCS = pathlib.Path(__file__).parents[4] / "docs"
 
 
-def test_a_flag_goes_before_the_environment():
-    environ = {**NEEDED, "RADISHWIND_PEER_LISTEN": "10.0.0.1:1"}
+def test_flag_takes_precedence_over_environment():
+    environ = {**REQUIRED, "RADISHWIND_PEER_LISTEN": "10.0.0.1:1"}
 
     cfg = load(NodeSettings, {"peer_listen": "10.0.0.2:2"}, environ)
 
@@ -44,9 +44,9 @@
         ("target", "a b", "expected 1 to 63"),
     ],
 )
-def test_a_wrong_setting_says_what_was_expected_and_given(name, text, expected):
+def test_malformed_setting_error_names_expected_and_given(name, text, expected):
     with pytest.raises(SettingError) as info:
-        load(NodeSettings, {name: text}, NEEDED)
+        load(NodeSettings, {name: text}, REQUIRED)
 
     message = str(info.value)
     assert message.startswith("RW-1001: --" + name.replace("_", "-"))
@@ -54,17 +54,17 @@
     assert repr(text) in message
 
 
-def test_a_missing_setting_is_named():
+def test_missing_setting_is_named():
     with pytest.raises(SettingError, match="RADISHWIND_TARGET, got neither"):
         load(NodeSettings, {}, {})
 
 
-def test_no_secret_is_shown():
-    rows = setting_rows(NodeSettings, {}, {**NEEDED, **_secrets(SECRET)})
+def test_secrets_are_hidden():
+    rows = setting_rows(NodeSettings, {}, {**REQUIRED, **_secrets(SECRET)})
 
     values = [row.value for row in rows]
     assert SECRET not in values
-    assert values.count(HIDDEN) == len(_secrets(SECRET))
+    assert values.count(HIDDEN_VALUE) == len(_secrets(SECRET))
 
 
 def _secrets(value):
@@ -76,10 +76,10 @@
     }
 
 
-def test_the_page_of_settings_is_the_reference():
+def test_settings_page_contains_reference_table():
     page = (DOCS / "settings.md").read_text()
 
-    assert reference(NodeSettings) in page, (
-        "docs/settings.md is old: paste what `radishwind settings reference` "
-        "prints into it"
+    assert reference_table(NodeSettings) in page, (
+        "docs/settings.md is outdated: replace its table by the output of "
+        "`radishwind settings reference`"
     )
