--- a/src/radishwind/cli/__init__.py
+++ b/src/radishwind/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line `radishwind`."""
+"""The `radishwind` command line."""
 
 from radishwind.cli.app import main
 
--- a/src/radishwind/cli/admin.py
+++ b/src/radishwind/cli/admin.py
@@ -1,4 +1,4 @@
-"""Reads the admin listener of a node for the command line."""
+"""Client of the admin listener of a node."""
 
 from radishwind.core.codes import ResultCode
 from radishwind.core.errors import RadishwindError
@@ -10,31 +10,30 @@
 from radishwind.http.types import read_body
 from radishwind.settings import SettingError
 
-#: How long a connection may take (s).
 _CONNECT_TIMEOUT_S = 2.0
 
 
 class AdminError(RadishwindError):
-    """A node's admin listener gave no good answer."""
+    """The admin listener of a node did not answer as expected."""
 
     code = ResultCode.ADMIN_UNAVAILABLE
 
 
 async def fetch_admin(address: str, path: str) -> bytes:
-    """Returns the body of `path` at the admin listener `address`.
+    """Fetches `path` from the admin listener `address`; returns the body.
 
     Raises:
       SettingError: `address` is not HOST:PORT.
-      AdminError: no answer, or not one of success.
+      AdminError: there was no response, or its status was not 200.
     """
     try:
-        where = Address.parse(address)
+        destination = Address.parse(address)
     except ValueError as exc:
         raise SettingError(f"--admin: {exc}") from exc
     sender = make_sender(HttpLibrary.HYPERCORN_HTTPX, 1)
     try:
         response = await sender.send(
-            where, Request("GET", path), _CONNECT_TIMEOUT_S
+            destination, Request("GET", path), _CONNECT_TIMEOUT_S
         )
         body = await read_body(response.body)
     except SendError as exc:
--- a/src/radishwind/cli/app.py
+++ b/src/radishwind/cli/app.py
@@ -1,4 +1,4 @@
-"""Assembles the commands and turns errors into exit codes."""
+"""Assembles the commands and maps errors to exit codes."""
 
 import sys
 import traceback
@@ -26,8 +26,8 @@
     pretty_exceptions_enable=False,
 )
 
-#: Exit codes by result code (sysexits.h where one fits).
-_EXIT_BY_CODE = {
+#: Exit codes by result code, from sysexits.h where one fits.
+_EXIT_CODES = {
     ResultCode.SETTING_INVALID: 78,
     ResultCode.FILE_INVALID: 65,
     ResultCode.CHANGE_CONFLICT: 75,
@@ -36,8 +36,8 @@
     ResultCode.STORE_ANSWER_LOST: 74,
     ResultCode.ADMIN_UNAVAILABLE: 69,
 }
-_EXIT_DEFAULT = 70
-_EXIT_INTERRUPTED = 130
+_DEFAULT_EXIT_CODE = 70
+_INTERRUPTED_EXIT_CODE = 130
 
 inventory.add_to(app)
 rules.add_to(app)
@@ -53,49 +53,49 @@
 
 
 def main() -> None:
-    """Runs the command line; an error ends it with a line and a code."""
+    """Runs the command line; an error prints a line and sets the exit code."""
     try:
         status_code = app(standalone_mode=False)
     except typer.Abort:
-        sys.exit(_EXIT_INTERRUPTED)
+        sys.exit(_INTERRUPTED_EXIT_CODE)
     except typer.TyperException as exc:
-        _end_for_usage(exc)
+        _exit_for_usage_error(exc)
     except Exception as exc:
-        _end_for(_first_of(exc))
+        _exit_for_error(_first_error(exc))
     else:
         sys.exit(status_code if isinstance(status_code, int) else 0)
 
 
-def _end_for_usage(exc: typer.TyperException) -> None:
-    # Typer names no public class for a command given without arguments; its
-    # message is the help.
+def _exit_for_usage_error(exc: typer.TyperException) -> None:
+    # Typer has no public class for the error of a command without arguments,
+    # whose message is the help text.
     if type(exc).__name__ == "NoArgsIsHelpError":
         print(exc.format_message())
         sys.exit(exc.exit_code)
-    _end(ResultCode.SETTING_INVALID, exc.format_message())
+    _exit_with(ResultCode.SETTING_INVALID, exc.format_message())
 
 
-def _end_for(exc: BaseException) -> None:
+def _exit_for_error(exc: BaseException) -> None:
     if isinstance(exc, RadishwindError):
         print(f"radishwind: {exc}", file=sys.stderr)
-        sys.exit(_EXIT_BY_CODE.get(exc.code, _EXIT_DEFAULT))
+        sys.exit(_EXIT_CODES.get(exc.code, _DEFAULT_EXIT_CODE))
     if isinstance(exc, OSError):
-        _end(ResultCode.SETTING_INVALID, f"the system refused: {exc}")
+        _exit_with(ResultCode.SETTING_INVALID, f"the system refused: {exc}")
     frame = traceback.extract_tb(exc.__traceback__)[-1]
-    _end(
+    _exit_with(
         ResultCode.INTERNAL_ERROR,
         f"{type(exc).__name__} at {frame.name}, line {frame.lineno}; "
         "please report it",
     )
 
 
-def _end(code: ResultCode, text: str) -> None:
+def _exit_with(code: ResultCode, text: str) -> None:
     print(f"radishwind: RW-{int(code)}: {text}", file=sys.stderr)
-    sys.exit(_EXIT_BY_CODE.get(code, _EXIT_DEFAULT))
+    sys.exit(_EXIT_CODES.get(code, _DEFAULT_EXIT_CODE))
 
 
-def _first_of(exc: BaseException) -> BaseException:
-    """Returns the first error in groups of them, as tasks raise."""
+def _first_error(exc: BaseException) -> BaseException:
+    """Returns the first error within the exception groups of task groups."""
     while isinstance(exc, BaseExceptionGroup):
         exc = exc.exceptions[0]
     return exc
--- a/src/radishwind/cli/changes.py
+++ b/src/radishwind/cli/changes.py
@@ -1,15 +1,15 @@
-"""`radishwind changes`: accepted changes, and what became of one."""
+"""`radishwind changes`: lists accepted changes and determines their status."""
 
 from typing import Annotated
 
 import typer
 
 from radishwind.cli import fleet
-from radishwind.cli.documents import acceptor
-from radishwind.cli.documents import operator_name
+from radishwind.cli.documents import get_operator_name
+from radishwind.cli.documents import make_acceptor
 from radishwind.cli.documents import OperatorOption
+from radishwind.cli.documents import print_accepted
 from radishwind.cli.documents import StoreOption
-from radishwind.cli.documents import tell_accepted
 from radishwind.cli.documents import with_store
 from radishwind.config.change_acceptor import Change
 from radishwind.config.change_acceptor import ChangeStatus
@@ -42,9 +42,9 @@
 ) -> None:
     """Print the last changes, or settle one by its id."""
     if change_id is not None:
-        _settle(store, change_id)
+        _print_status(store, change_id)
         return
-    for record in with_store(store, lambda s: _last(s, last)):
+    for record in with_store(store, lambda s: _read_last(s, last)):
         typer.echo(describe_change(record))
 
 
@@ -66,13 +66,13 @@
     The configuration in force at the node, inventory and rules at once, is
     accepted with a revision above it.
     """
-    cfg = fleet.config_of(admin)
-    change = Change(cfg, operator_name(operator), above=cfg.revision)
-    record = with_store(store, lambda s: acceptor(s).accept(change))
-    tell_accepted(record)
+    cfg = fleet.fetch_config(admin)
+    change = Change(cfg, get_operator_name(operator), above=cfg.revision)
+    record = with_store(store, lambda s: make_acceptor(s).accept(change))
+    print_accepted(record)
 
 
-async def _last(store: Store, count: int) -> tuple[ChangeRecord, ...]:
+async def _read_last(store: Store, count: int) -> tuple[ChangeRecord, ...]:
     repository = ConfigRepository(store)
     root, _ = await repository.read_newest()
     if root is None:
@@ -83,16 +83,18 @@
     )
 
 
-def _settle(store: str, change_id: str) -> None:
+def _print_status(store: str, change_id: str) -> None:
     try:
         revision = parse_revision(change_id)
     except ValueError as exc:
         raise SettingError(f"change id: {exc}") from exc
-    settlement = with_store(store, lambda s: acceptor(s).read_status(change_id))
-    if settlement is ChangeStatus.UNDECIDED:
-        raise ChangeUnsettledError(f"change {change_id}: {settlement.value}")
-    typer.echo(f"change {change_id}: {settlement.value}")
-    if settlement is ChangeStatus.ACCEPTED:
+    status = with_store(
+        store, lambda s: make_acceptor(s).read_status(change_id)
+    )
+    if status is ChangeStatus.UNDECIDED:
+        raise ChangeUnsettledError(f"change {change_id}: {status.value}")
+    typer.echo(f"change {change_id}: {status.value}")
+    if status is ChangeStatus.ACCEPTED:
         record = with_store(
             store, lambda s: ConfigRepository(s).read_change(revision)
         )
--- a/src/radishwind/cli/documents.py
+++ b/src/radishwind/cli/documents.py
@@ -1,4 +1,4 @@
-"""`check`, `apply` and `show` for the operators' two documents."""
+"""`check`, `apply` and `show` for the inventory and the rules."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -32,10 +32,10 @@
 from radishwind.store import EtcdStore
 from radishwind.store import Store
 
-#: How long one call of the store may take (s).
+#: Timeout of a call of the store.
 _STORE_TIMEOUT_S = 5.0
 
-_STORE_CONNECTIONS = 2
+_MAX_STORE_CONNECTIONS = 2
 
 Document: TypeAlias = Inventory | Rules
 
@@ -99,12 +99,12 @@
 def add_document(
     app: typer.Typer, name: str, read: Callable[[bytes], Document]
 ) -> None:
-    """Adds the commands of one document to `app`.
+    """Adds the commands for one document to `app`.
 
     Args:
-      app: the program.
+      app: application.
       name: `inventory` or `rules`.
-      read: reads the document from a file's content.
+      read: parses the document from the content of a file.
     """
     commands = typer.Typer(help=f"The operators' {name}.", no_args_is_help=True)
     _add_check(commands, read)
@@ -119,7 +119,7 @@
     @commands.command("check")
     def check(file: FileArgument) -> None:
         """Check a file; every fault is listed with its place."""
-        read(_content(file))
+        read(_read_content(file))
         typer.echo(f"{file}: no faults")
 
 
@@ -140,10 +140,10 @@
         if wait_s and admin is None:
             raise SettingError("expected --admin with --wait, got none")
         change = Change(
-            read(_content(file)), operator_name(operator), base, above
+            read(_read_content(file)), get_operator_name(operator), base, above
         )
-        record = with_store(store, lambda s: acceptor(s).accept(change))
-        tell_accepted(record)
+        record = with_store(store, lambda s: make_acceptor(s).accept(change))
+        print_accepted(record)
         if record is not None and wait_s and admin is not None:
             fleet.wait_in_force(admin, record.revision, wait_s)
 
@@ -154,23 +154,25 @@
         store: OptionalStoreOption = None, admin: AdminOption = None
     ) -> None:
         """Print the one in force, from the store or as a node has it."""
-        cfg = _in_force(store, admin)
+        cfg = _load_config(store, admin)
         typer.echo(f"revision {cfg.revision}", err=True)
         document = cfg.inventory if name == "inventory" else cfg.rules
         typer.echo(write_file(document).decode(), nl=False)
 
 
-def acceptor(store: Store) -> ChangeAcceptor:
-    """Returns what accepts changes by `store`."""
+def make_acceptor(store: Store) -> ChangeAcceptor:
+    """Returns a `ChangeAcceptor` for `store`."""
     return ChangeAcceptor(store, SystemClock(), random.Random(os.urandom(16)))
 
 
 def with_store(text: str, use: Callable[[Store], Awaitable[_T]]) -> _T:
-    """Runs `use` with the store at the address `text`; returns its result."""
+    """Calls `use` with the store at the address `text`; returns its result."""
 
     async def run() -> _T:
-        sender = make_sender(HttpLibrary.AIOHTTP, _STORE_CONNECTIONS)
-        store = EtcdStore(sender, address(text), timeout_s=_STORE_TIMEOUT_S)
+        sender = make_sender(HttpLibrary.AIOHTTP, _MAX_STORE_CONNECTIONS)
+        store = EtcdStore(
+            sender, parse_address(text), timeout_s=_STORE_TIMEOUT_S
+        )
         try:
             return await use(store)
         finally:
@@ -179,11 +181,11 @@
     return anyio.run(run)
 
 
-def address(text: str) -> Address:
-    """Returns the address in `text`.
+def parse_address(text: str) -> Address:
+    """Parses `HOST:PORT`.
 
     Raises:
-      SettingError: it is none.
+      SettingError: `text` is malformed.
     """
     try:
         return Address.parse(text)
@@ -191,35 +193,35 @@
         raise SettingError(str(exc)) from exc
 
 
-def _content(file: pathlib.Path) -> bytes:
+def _read_content(file: pathlib.Path) -> bytes:
     try:
         return file.read_bytes()
     except OSError as exc:
         raise SettingError(f"expected a readable file: {exc}") from exc
 
 
-def operator_name(given: str | None) -> str:
-    """Returns who makes a change."""
+def get_operator_name(given: str | None) -> str:
+    """Returns the given operator name, or else the login name."""
     return given or getpass.getuser()
 
 
-def tell_accepted(record: ChangeRecord | None) -> None:
-    """Prints an accepted change."""
+def print_accepted(record: ChangeRecord | None) -> None:
+    """Prints the accepted change, or that nothing changed if it is `None`."""
     if record is None:
         typer.echo("nothing differs from the one in force")
         return
     typer.echo(f"accepted as {describe_change(record)}")
 
 
-def _in_force(store: str | None, admin: str | None) -> Configuration:
+def _load_config(store: str | None, admin: str | None) -> Configuration:
     if admin is not None:
-        return fleet.config_of(admin)
+        return fleet.fetch_config(admin)
     if store is None:
         raise SettingError("expected --store or --admin, got neither")
-    return with_store(store, _newest)
+    return with_store(store, _load_newest)
 
 
-async def _newest(store: Store) -> Configuration:
+async def _load_newest(store: Store) -> Configuration:
     repository = ConfigRepository(store)
     root, _ = await repository.read_newest()
     if root is None:
--- a/src/radishwind/cli/explain.py
+++ b/src/radishwind/cli/explain.py
@@ -1,4 +1,4 @@
-"""`radishwind explain`: what the logs of all nodes tell of one request."""
+"""`radishwind explain`: collects the log lines of one request."""
 
 import pathlib
 from typing import Annotated
@@ -11,8 +11,8 @@
 from radishwind.telemetry.explain import explain_request
 
 
-class RequestUnloggedError(RadishwindError):
-    """No line of the logs names the request."""
+class RequestNotLoggedError(RadishwindError):
+    """The logs cannot be read or have no line of the request."""
 
     code = ResultCode.FILE_INVALID
 
@@ -35,9 +35,9 @@
     try:
         lines = explain_request(request_id, logs)
     except OSError as exc:
-        raise RequestUnloggedError(f"expected readable logs: {exc}") from exc
+        raise RequestNotLoggedError(f"expected readable logs: {exc}") from exc
     if not lines:
-        raise RequestUnloggedError(
+        raise RequestNotLoggedError(
             f"expected a line of request {request_id!r} in {len(logs)} logs, "
             "got none: it was usual, or its line was held back (the next line "
             "of its node says how many were)"
--- a/src/radishwind/cli/fleet.py
+++ b/src/radishwind/cli/fleet.py
@@ -1,4 +1,4 @@
-"""Asks a node's admin listener where a configuration is in force."""
+"""Queries a node for its configuration and where that is in force."""
 
 import time
 from typing import TypeVar
@@ -17,11 +17,11 @@
 from radishwind.config.reports import FleetReport
 from radishwind.core import ResultCode
 
-#: How long an answer may take (s); a node gathers from all its peers for some.
+#: Timeout of a response; for some, a node queries all its peers.
 _TIMEOUT_S = 30.0
 
-#: Time between two questions while waiting (s).
-_STEP_S = 0.2
+#: Polling interval while waiting for a revision.
+_POLL_INTERVAL_S = 0.2
 
 _T = TypeVar("_T")
 
@@ -33,10 +33,10 @@
 
 
 def fetch(admin: str, path: str) -> bytes:
-    """Returns what a node's admin listener answers to GET `path`.
+    """Fetches `path` from the admin listener of a node; returns the body.
 
     Raises:
-      AdminError: it gave no good answer.
+      AdminError: the node did not answer as expected.
       SettingError: `admin` is not HOST:PORT.
     """
 
@@ -50,11 +50,11 @@
     return anyio.run(run)
 
 
-def fetched(admin: str, path: str, model: type[_T]) -> _T:
-    """Returns what a node answers to GET `path`, read as `model`.
+def fetch_as(admin: str, path: str, model: type[_T]) -> _T:
+    """Fetches `path` from the admin listener of a node, decoded as `model`.
 
     Raises:
-      AdminError: it gave no good answer.
+      AdminError: the node did not answer as expected.
       SettingError: `admin` is not HOST:PORT.
     """
     try:
@@ -65,44 +65,45 @@
         ) from exc
 
 
-def config_of(admin: str) -> Configuration:
-    """Returns the configuration in force at the node; see `fetched`."""
-    found = fetched(admin, CONFIG_PATH, ConfigInForce)
+def fetch_config(admin: str) -> Configuration:
+    """Fetches the configuration in force at a node; see `fetch_as`."""
+    found = fetch_as(admin, CONFIG_PATH, ConfigInForce)
     return Configuration(
         found.revision, found.change_id, found.inventory, found.rules
     )
 
 
-def report_of(admin: str) -> FleetReport:
-    """Returns where the configuration is in force, as a node sees it."""
-    return fetched(admin, FLEET_PATH, FleetReport)
+def fetch_report(admin: str) -> FleetReport:
+    """Fetches the report of a node on where its configuration is in force."""
+    return fetch_as(admin, FLEET_PATH, FleetReport)
 
 
-def wait_in_force(admin: str, revision: int, limit_s: float) -> None:
+def wait_in_force(admin: str, revision: int, timeout_s: float) -> None:
     """Waits until every member known to the node at `admin` has `revision`.
 
     Raises:
-      NotInForceError: that took longer than `limit_s` (s).
+      NotInForceError: not within `timeout_s` (s).
     """
     start = time.monotonic()
     while True:
-        report = report_of(admin)
-        took_s = time.monotonic() - start
+        report = fetch_report(admin)
+        elapsed_s = time.monotonic() - start
         if report.revision >= revision and report.in_force == report.members:
             typer.echo(
                 f"in force on {report.in_force} of {report.members} nodes "
-                f"after {took_s:.1f} s"
+                f"after {elapsed_s:.1f} s"
             )
             return
-        if took_s > limit_s:
+        if elapsed_s > timeout_s:
             raise NotInForceError(
-                f"accepted, but after {took_s:.1f} s {describe(report)}"
+                f"accepted, but after {elapsed_s:.1f} s "
+                f"{describe_report(report)}"
             )
-        time.sleep(_STEP_S)
+        time.sleep(_POLL_INTERVAL_S)
 
 
-def describe(report: FleetReport) -> str:
-    """Returns a report as text for operators."""
+def describe_report(report: FleetReport) -> str:
+    """Formats a report for operators."""
     text = (
         f"revision {report.revision} is in force on {report.in_force} of "
         f"{report.members} nodes"
--- a/src/radishwind/cli/inventory.py
+++ b/src/radishwind/cli/inventory.py
@@ -1,4 +1,4 @@
-"""`radishwind inventory`: the operators' inventory."""
+"""`radishwind inventory`: checks, applies and shows the inventory."""
 
 import typer
 
--- a/src/radishwind/cli/node.py
+++ b/src/radishwind/cli/node.py
@@ -1,4 +1,4 @@
-"""`radishwind node`: the node beside one backend server."""
+"""`radishwind node`: runs the node of one backend server."""
 
 import sys
 
--- a/src/radishwind/cli/report.py
+++ b/src/radishwind/cli/report.py
@@ -1,4 +1,4 @@
-"""`radishwind report`: what the fleet did."""
+"""`radishwind report`: reports over the fleet."""
 
 import datetime
 import enum
@@ -19,7 +19,7 @@
 
 
 class Format(enum.StrEnum):
-    """How a report is written."""
+    """Output format of a report."""
 
     TABLE = "table"
     JSON = "json"
@@ -54,10 +54,12 @@
     ] = None,
 ) -> None:
     """Report how fast each service burns what its objectives allow."""
-    nodes = fleet.fetched(admin, "/v1/burn", list[list[ServiceMinutes]])
+    nodes = fleet.fetch_as(admin, "/v1/burn", list[list[ServiceMinutes]])
     now = datetime.datetime.now(datetime.UTC)
     rows = burn_rows(merge(nodes), int(now.timestamp()) // 60)
-    text = _written(rows, form, f"{now:%Y-%m-%d %H:%M} UTC, {len(nodes)} nodes")
+    text = _format_rows(
+        rows, form, f"{now:%Y-%m-%d %H:%M} UTC, {len(nodes)} nodes"
+    )
     if out is None:
         typer.echo(text, nl=False)
         return
@@ -67,7 +69,7 @@
         raise SettingError(f"--out: expected a writable file: {exc}") from exc
 
 
-def _written(rows: list[BurnRow], form: Format, made_at: str) -> str:
+def _format_rows(rows: list[BurnRow], form: Format, made_at: str) -> str:
     if form is Format.JSON:
         return msgspec.json.encode(rows).decode() + "\n"
     if form is Format.PAGE:
@@ -75,9 +77,16 @@
 
         return burn_page(rows, made_at)
     lines = [made_at]
-    head = ("service", "objective", "target", "window", "requests", "missed")
+    headings = (
+        "service",
+        "objective",
+        "target",
+        "window",
+        "requests",
+        "missed",
+    )
     lines.append(
-        "{:<20} {:<9} {:>7} {:>7} {:>9} {:>8} {:>8}".format(*head, "burn")
+        "{:<20} {:<9} {:>7} {:>7} {:>9} {:>8} {:>8}".format(*headings, "burn")
     )
     lines += [
         f"{r.service:<20} {r.objective:<9} {r.target:>7.4g} "
--- a/src/radishwind/cli/rules.py
+++ b/src/radishwind/cli/rules.py
@@ -1,4 +1,4 @@
-"""`radishwind rules`: the rules that operators add to the inventory."""
+"""`radishwind rules`: checks, applies and shows the rules of the inventory."""
 
 import typer
 
--- a/src/radishwind/cli/standins.py
+++ b/src/radishwind/cli/standins.py
@@ -1,4 +1,4 @@
-"""`radishwind standin`: the store and backend servers for trying things out."""
+"""`radishwind standin`: stand-ins of the store and of backend servers."""
 
 from typing import Annotated
 
@@ -13,8 +13,8 @@
 from radishwind.http import make_sender
 from radishwind.http import make_server
 
-#: Connections of the sample load to one entry node.
-_LOAD_CONNECTIONS = 64
+#: Connections of the generated load to one entry node.
+_MAX_LOAD_CONNECTIONS = 64
 
 _app = typer.Typer(
     help="Stand-ins for the store and for backend servers.",
@@ -34,7 +34,7 @@
     """Run the stand-in of the platform's key-value store."""
     from radishwind.standins.store import StoreStandin
 
-    address = documents.address(listen)
+    address = documents.parse_address(listen)
 
     async def main() -> None:
         standin = StoreStandin(SystemClock())
@@ -77,8 +77,10 @@
         cold_s=cold_s,
         cold_factor=cold_factor,
     )
-    beside = documents.address(node) if node else None
-    daemon = BackendDaemon(options, documents.address(listen), beside, seed)
+    node_address = documents.parse_address(node) if node else None
+    daemon = BackendDaemon(
+        options, documents.parse_address(listen), node_address, seed
+    )
     anyio.run(daemon.run, backend_options={"use_uvloop": True})
 
 
@@ -101,11 +103,11 @@
     """Read forecasts and book sessions, and tell what became of it."""
     from radishwind.standins import load
 
-    entries = [documents.address(text) for text in entry]
+    entries = [documents.parse_address(text) for text in entry]
     plan = load.plan_load(entries, per_s, length_s, seed)
 
     async def main() -> None:
-        sender = make_sender(HttpLibrary.AIOHTTP, _LOAD_CONNECTIONS)
+        sender = make_sender(HttpLibrary.AIOHTTP, _MAX_LOAD_CONNECTIONS)
         try:
             counts = await load.run_load(sender, plan)
         finally:
--- a/src/radishwind/cli/status.py
+++ b/src/radishwind/cli/status.py
@@ -1,4 +1,4 @@
-"""`radishwind status`: a node's state and which nodes lag."""
+"""`radishwind status`: shows the state of a node and the lagging nodes."""
 
 import json
 from typing import Annotated
@@ -30,10 +30,10 @@
     ] = False,
 ) -> None:
     """Print a node's state, and name the nodes that lag."""
-    status = fleet.fetched(admin, _STATUS_PATH, dict[str, Any])
+    status = fleet.fetch_as(admin, _STATUS_PATH, dict[str, Any])
     if as_json:
         typer.echo(json.dumps(status, indent=2, sort_keys=True))
         return
     for name, value in sorted(status.items()):
         typer.echo(f"{name}: {value}")
-    typer.echo(fleet.describe(fleet.report_of(admin)))
+    typer.echo(fleet.describe_report(fleet.fetch_report(admin)))
--- a/src/radishwind/cli/tests/test_errors.py
+++ b/src/radishwind/cli/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Each command ends a fault with one line: the code, expected and got."""
+"""Errors of each command: one line with the code, what was expected and got."""
 
 import pathlib
 
@@ -6,30 +6,30 @@
 
 from radishwind.cli import main
 
-QUIET = "127.0.0.1:1"  # nothing listens on port 1
+CLOSED = "127.0.0.1:1"  # nothing listens at port 1
 FILE = "examples/quickstart/inventory.json"
 NODE = ("node", "--target", "a", "--service", "b", "--failure-domain", "c")
-FOREIGN = "203.0.113.1:1"  # no address of this machine (RFC 5737)
+FOREIGN = "203.0.113.1:1"  # not an address of this machine (RFC 5737)
 
 CASES = [
     (("inventory", "check", "/nonexistent"), 78, 1001, "readable file"),
     (("inventory", "check", "/"), 78, 1001, "readable file"),
     (("rules", "check", "/nonexistent"), 78, 1001, "readable file"),
-    (("inventory", "apply", "--store", QUIET, FILE), 69, 5001, QUIET),
+    (("inventory", "apply", "--store", CLOSED, FILE), 69, 5001, CLOSED),
     (("inventory", "apply", "--store", "x", FILE), 78, 1001, "got 'x'"),
     (("inventory", "apply", FILE), 78, 1001, "--store"),
     (("inventory", "show"), 78, 1001, "got neither"),
-    (("rules", "show", "--admin", QUIET), 69, 6006, QUIET),
+    (("rules", "show", "--admin", CLOSED), 69, 6006, CLOSED),
     (("rules", "show", "--admin", "x"), 78, 1001, "got 'x'"),
-    (("changes", "show", "--store", QUIET), 69, 5001, QUIET),
-    (("changes", "show", "--store", QUIET, "zzz"), 78, 1001, "got 'zzz'"),
+    (("changes", "show", "--store", CLOSED), 69, 5001, CLOSED),
+    (("changes", "show", "--store", CLOSED, "zzz"), 78, 1001, "got 'zzz'"),
     (
-        ("changes", "restore", "--store", QUIET, "--admin", QUIET),
-        *(69, 6006, QUIET),
+        ("changes", "restore", "--store", CLOSED, "--admin", CLOSED),
+        *(69, 6006, CLOSED),
     ),
-    (("status", "--admin", QUIET), 69, 6006, QUIET),
+    (("status", "--admin", CLOSED), 69, 6006, CLOSED),
     (("status", "--admin", "1.2.3.4:99999"), 78, 1001, "HOST:PORT"),
-    (("report", "burn", "--admin", QUIET), 69, 6006, QUIET),
+    (("report", "burn", "--admin", CLOSED), 69, 6006, CLOSED),
     (("report", "burn", "--admin", "x"), 78, 1001, "got 'x'"),
     (("report", "burn", "--format", "x"), 78, 1001, "'x'"),
     (("settings", "show"), 78, 1001, "--target"),
@@ -40,60 +40,56 @@
         *(78, 1001, "got 'x'"),
     ),
     (("standin", "load", "--entry", "x"), 78, 1001, "got 'x'"),
-    ((*NODE, "--store", QUIET, "--seed", "x"), 78, 1001, "given 'x'"),
-    ((*NODE, "--store", QUIET, "--no-such", "x"), 78, 1001, "--no-such"),
+    ((*NODE, "--store", CLOSED, "--seed", "x"), 78, 1001, "given 'x'"),
+    ((*NODE, "--store", CLOSED, "--no-such", "x"), 78, 1001, "--no-such"),
     (("no-such",), 78, 1001, "no-such"),
 ]
 
 
 @pytest.mark.parametrize(("arguments", "exit_code", "code", "text"), CASES)
-def test_a_fault_is_told_in_one_line(
+def test_error_prints_one_line_and_sets_exit_code(
     arguments, exit_code, code, text, monkeypatch, capsys
 ):
     monkeypatch.chdir(pathlib.Path(__file__).parents[4])
     monkeypatch.setattr("sys.argv", ["radishwind", *arguments])
 
-    with pytest.raises(SystemExit) as ended:
+    with pytest.raises(SystemExit) as exit_info:
         main()
 
     errors = capsys.readouterr().err.splitlines()
-    assert ended.value.code == exit_code
+    assert exit_info.value.code == exit_code
     assert len(errors) == 1
     assert errors[0].startswith(f"radishwind: RW-{code}: ")
     assert text in errors[0]
 
 
-def test_a_secret_is_shown_neither_in_an_error_nor_by_settings(
-    monkeypatch, capsys
-):
-    words = ("--target", "a", "--service", "b", "--failure-domain", "c")
-    words += ("--store", QUIET, "--peer-key")
+def test_secret_appears_neither_in_errors_nor_in_settings(monkeypatch, capsys):
+    arguments = ("--target", "a", "--service", "b", "--failure-domain", "c")
+    arguments += ("--store", CLOSED, "--peer-key")
     for name, key in (("node", "short-key"), ("settings", "long-key-" * 3)):
-        argv = ["radishwind", name, *words, key]
+        argv = ["radishwind", name, *arguments, key]
         argv[2:2] = ["show"] * (name == "settings")
         monkeypatch.setattr("sys.argv", argv)
         with pytest.raises(SystemExit):
             main()
 
-    told = "".join(capsys.readouterr())
-    assert "RW-1001: --peer-key: " in told
-    assert "--peer-key = " in told
-    assert "t-key" not in told
-    assert "long-key" not in told
+    output = "".join(capsys.readouterr())
+    assert "RW-1001: --peer-key: " in output
+    assert "--peer-key = " in output
+    assert "t-key" not in output
+    assert "long-key" not in output
 
 
-def test_an_error_of_the_program_is_told_without_a_traceback(
-    monkeypatch, capsys
-):
+def test_internal_error_prints_no_traceback(monkeypatch, capsys):
     def broken(**_):
         raise ZeroDivisionError("a secret")
 
     monkeypatch.setattr("radishwind.cli.app.app", broken)
 
-    with pytest.raises(SystemExit) as ended:
+    with pytest.raises(SystemExit) as exit_info:
         main()
 
     (line,) = capsys.readouterr().err.splitlines()
-    assert ended.value.code == 70
+    assert exit_info.value.code == 70
     assert line.startswith("radishwind: RW-4007: ZeroDivisionError at broken")
     assert "secret" not in line
--- a/src/radishwind/cli/tests/test_help.py
+++ b/src/radishwind/cli/tests/test_help.py
@@ -1,4 +1,4 @@
-"""Each command tells what it does."""
+"""Each command has a help text."""
 
 import pytest
 
