--- a/src/radishwind/http/aiohttp_server.py
+++ b/src/radishwind/http/aiohttp_server.py
@@ -15,7 +15,7 @@
 from radishwind.http.pipelined_protocol import PipelinedProtocol
 from radishwind.http.problems import make_problem_response
 from radishwind.http.rejections import body_too_large_error
-from radishwind.http.rejections import rejected
+from radishwind.http.rejections import rejection_response
 from radishwind.http.rejections import sender_too_slow_error
 from radishwind.http.server import Handler
 from radishwind.http.server import Server
@@ -280,7 +280,7 @@
 
 
 def _rejected(exc: RequestRejectedError) -> web.Response:
-    response = rejected(exc)
+    response = rejection_response(exc)
     out = _whole(response)
     out.force_close()
     return out
--- a/src/radishwind/http/byte_meter.py
+++ b/src/radishwind/http/byte_meter.py
@@ -1,28 +1,28 @@
-"""Counts the bytes that connections carry."""
+"""Counts the bytes that connections transfer."""
 
 import abc
 
 
 class ByteMeter(abc.ABC):
-    """Takes what was sent and received."""
+    """Interface: records the bytes sent and received on connections."""
 
     @abc.abstractmethod
     def record_sent(self, size: int) -> None:
-        """Takes that `size` bytes were handed to a connection."""
+        """Records that `size` bytes were written to a connection."""
 
     @abc.abstractmethod
     def record_received(self, size: int) -> None:
-        """Takes that `size` bytes came from a connection."""
+        """Records that `size` bytes were received on a connection."""
 
 
 class NoMeter(ByteMeter):
     """Counts nothing."""
 
     def record_sent(self, size: int) -> None:
-        """Forgets it."""
+        """Does nothing."""
 
     def record_received(self, size: int) -> None:
-        """Forgets it."""
+        """Does nothing."""
 
 
 NO_METER = NoMeter()
--- a/src/radishwind/http/client_connection.py
+++ b/src/radishwind/http/client_connection.py
@@ -177,7 +177,7 @@
         self._head_bytes = 0
         headers = decode_fields(self._fields)
         framing = parse_framing(headers)
-        if not framing.clean:
+        if not framing.is_unambiguous:
             self._broke("expected a body in chunks or of a told length")
             return
         if self._to_head or not has_body(self._status):
@@ -188,8 +188,8 @@
                 self._transport.close()
             return
         self._body = IncomingBody(self._transport)
-        self._until_close = not framing.chunked and framing.length is None
-        length = None if framing.chunked else framing.length
+        self._until_close = not framing.is_chunked and framing.length is None
+        length = None if framing.is_chunked else framing.length
         if length is not None and length <= SMALL_BODY_BYTES:
             self._whole_length = length
             self._whole_headers = headers
@@ -221,7 +221,7 @@
         if body is not None:
             body.end()
         if self._whole_length is not None and body is not None:
-            whole = body.taken()
+            whole = body.get_buffered()
             self._resolve(
                 Response(self._status, self._whole_headers, whole, len(whole))
             )
--- a/src/radishwind/http/errors.py
+++ b/src/radishwind/http/errors.py
@@ -1,4 +1,7 @@
-"""Errors of sending, told apart by whether a byte can have been sent."""
+"""Errors of exchanges and of received requests.
+
+Errors of sending distinguish whether a byte of the request may have been sent.
+"""
 
 from radishwind.core.codes import ResultCode
 from radishwind.core.errors import RadishwindError
@@ -9,30 +12,30 @@
 
 
 class ConnectFailedError(SendError):
-    """No connection was made, so no byte of the request was sent."""
+    """No connection could be opened, so no byte of the request was sent."""
 
     code = ResultCode.CONNECT_FAILED
 
 
 class ExchangeBrokenError(SendError):
-    """The exchange broke after the connection was there; bytes may be sent."""
+    """The exchange broke on an open connection; bytes may have been sent."""
 
     code = ResultCode.EXCHANGE_BROKEN
 
 
 class RequestRejectedError(RadishwindError):
-    """A received request breaks the rules or limits of HTTP."""
+    """A received request violates the rules or limits of HTTP."""
 
     code = ResultCode.REQUEST_MALFORMED
 
 
 class RequestTooLargeError(RequestRejectedError):
-    """The body is larger than the limit."""
+    """The body exceeds the size limit."""
 
     code = ResultCode.REQUEST_TOO_LARGE
 
 
 class SenderTooSlowError(RequestRejectedError):
-    """The sender paused too long within the body."""
+    """The sender paused too long while sending the body."""
 
     code = ResultCode.SENDER_TOO_SLOW
--- a/src/radishwind/http/httptools_server.py
+++ b/src/radishwind/http/httptools_server.py
@@ -1,4 +1,4 @@
-"""`Server` over httptools."""
+"""`Server` based on httptools."""
 
 import asyncio
 
@@ -14,12 +14,12 @@
 
 _BACKLOG = 1024
 
-#: How often a listener that closes looks whether all has ended (s).
-_LOOK_AGAIN_S = 0.02
+#: How often `close` checks for requests in progress (s).
+_CLOSE_CHECK_INTERVAL_S = 0.02
 
 
 class HttptoolsServer(Server):
-    """Receives by httptools; see `Server` for what it promises."""
+    """Receives requests with httptools; see `Server`."""
 
     def __init__(
         self,
@@ -27,12 +27,12 @@
         may_run_in_parallel: MayRunInParallel | None = None,
         meter: ByteMeter = NO_METER,
     ) -> None:
-        """Makes a listener.
+        """Creates a listener.
 
         Args:
-          limits: what it takes.
-          may_run_in_parallel: decides which pipelined requests run before their
-            turn; by default none do.
+          limits: limits of connections and requests.
+          may_run_in_parallel: whether a pipelined request may run before the
+            ones ahead of it are answered; by default none may.
           meter: counts the bytes of all connections.
         """
         self._meter = meter
@@ -42,20 +42,20 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, handler: Handler, listen: Address) -> Address:
-        def connection() -> ServerConnection:
+        def make_connection() -> ServerConnection:
             return ServerConnection(
                 handler=handler,
                 limits=self._limits,
                 may_run_in_parallel=self._may_run_in_parallel,
-                opened=self._opened,
-                closed=self._connections.discard,
+                on_open=self._on_open,
+                on_closed=self._connections.discard,
                 is_crowded=self._is_crowded,
                 meter=self._meter,
             )
 
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            connection, listen.host, listen.port, backlog=_BACKLOG
+            make_connection, listen.host, listen.port, backlog=_BACKLOG
         )
         host, port = self._server.sockets[0].getsockname()[:2]
         return Address(host, port)
@@ -68,29 +68,29 @@
     async def close(self, grace_s: float) -> None:
         await self.stop_listening()
         loop = asyncio.get_running_loop()
-        until = loop.time() + grace_s
+        deadline = loop.time() + grace_s
         for conn in [c for c in self._connections if not c.is_busy]:
             conn.abort()
-        while self._is_busy() and loop.time() < until:  # noqa: ASYNC110
-            await asyncio.sleep(_LOOK_AGAIN_S)
+        while self._is_busy() and loop.time() < deadline:  # noqa: ASYNC110
+            await asyncio.sleep(_CLOSE_CHECK_INTERVAL_S)
         for conn in list(self._connections):
             conn.abort()
-        # Lets the loop tell the connections that they are closed.
+        # Lets the loop call `connection_lost` of the connections.
         await asyncio.sleep(0)
 
     def _is_busy(self) -> bool:
         return any(conn.is_busy for conn in self._connections)
 
-    def _opened(self, conn: ServerConnection) -> bool:
-        """Takes a connection; returns whether it is not one too many."""
+    def _on_open(self, conn: ServerConnection) -> bool:
+        """Accepts a connection unless the limit is reached."""
         if len(self._connections) >= self._limits.max_connections:
             return False
         self._connections.add(conn)
         return True
 
     def _is_crowded(self) -> bool:
-        most = self._limits.max_connections * self._limits.crowded_fraction
-        return len(self._connections) > most
+        threshold = self._limits.max_connections * self._limits.crowded_fraction
+        return len(self._connections) > threshold
 
 
 def _never(request: Request) -> bool:
--- a/src/radishwind/http/incoming_body.py
+++ b/src/radishwind/http/incoming_body.py
@@ -1,4 +1,4 @@
-"""The body of a message that is still arriving."""
+"""The body of a message that is being received."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -6,121 +6,124 @@
 
 from radishwind.http.types import BodyStream
 
-#: Bytes held for a slow reader; beyond them nothing more is read (bytes).
+#: Bytes buffered for a slow reader; above this, reading from the connection
+#: pauses.
 HIGH_WATER_BYTES = 128 * 1024
 
 
 class IncomingBody(BodyStream):
-    """Pieces as they come; its reader's pace is the sender's.
+    """Yields a body as it arrives; a slow reader slows the sender down.
 
     Attributes:
-      complete: whether its end has come.
+      is_complete: whether the end of the body was received.
     """
 
     def __init__(
         self,
         transport: asyncio.Transport,
-        asked: Callable[[], None] | None = None,
+        on_read: Callable[[], None] | None = None,
     ) -> None:
-        """Makes a body of which nothing has come.
+        """Creates a body of which nothing was received yet.
 
         Args:
-          transport: of the connection that it comes from.
-          asked: called once somebody begins to read it.
+          transport: of the connection that the body is received on.
+          on_read: called when somebody starts to read a body of which nothing
+            was received yet.
         """
         self._transport = transport
-        self._asked = asked
-        self._begun = False
+        self._on_read = on_read
+        self._is_reading = False
         self._pieces: list[bytes] = []
-        self._held = 0
-        self._paused = False
-        self._discards = False
+        self._buffered_bytes = 0
+        self._is_paused = False
+        self._is_discarding = False
         self._error: BaseException | None = None
-        self._news: asyncio.Future[None] | None = None
-        self.complete = False
+        self._changed: asyncio.Future[None] | None = None
+        self.is_complete = False
 
     def feed(self, piece: bytes) -> None:
-        """Takes a piece."""
-        if self._discards:
+        """Adds a received piece."""
+        if self._is_discarding:
             return
         self._pieces.append(piece)
-        self._held += len(piece)
-        if self._held > HIGH_WATER_BYTES and not self._paused:
-            self._paused = True
+        self._buffered_bytes += len(piece)
+        if self._buffered_bytes > HIGH_WATER_BYTES and not self._is_paused:
+            self._is_paused = True
             self._transport.pause_reading()
-        self._tell()
+        self._wake()
 
     def end(self) -> None:
-        """Takes that the end has come."""
-        self.complete = True
+        """Marks the body as received completely."""
+        self.is_complete = True
         self._resume()
-        self._tell()
+        self._wake()
 
     def fail(self, error: BaseException) -> None:
-        """Takes that no more will come; the reader gets `error`."""
-        if not self.complete and self._error is None:
+        """Ends an incomplete body; the reader gets `error`."""
+        if not self.is_complete and self._error is None:
             self._error = error
-            self._tell()
+            self._wake()
 
     def discard(self) -> None:
-        """Throws away what is there and what comes."""
-        self._discards = True
+        """Discards what is buffered and what is received from now on."""
+        self._is_discarding = True
         self._pieces.clear()
         self._resume()
 
-    def taken(self) -> bytes:
-        """Returns the whole of a body whose end has come."""
-        return self._pieces[0] if len(self._pieces) == 1 else self._joined()
+    def get_buffered(self) -> bytes:
+        """Returns the buffered pieces as one; all of a complete unread body."""
+        return self._pieces[0] if len(self._pieces) == 1 else self._join()
 
     @property
     def is_unread(self) -> bool:
-        return not self._begun and not self._discards
+        return not self._is_reading and not self._is_discarding
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
-        whole = False
-        self._begun = True
-        if self._asked is not None and not self._held:
-            self._asked()
+        is_finished = False
+        self._is_reading = True
+        if self._on_read is not None and not self._buffered_bytes:
+            self._on_read()
         try:
             while True:
                 while self._pieces:
-                    yield self._next()
+                    yield self._take_buffered()
                 if self._error is not None:
                     raise self._error
-                if self.complete:
+                if self.is_complete:
                     break
-                self._news = asyncio.get_running_loop().create_future()
-                await self._news
-            whole = True
+                self._changed = asyncio.get_running_loop().create_future()
+                await self._changed
+            is_finished = True
         finally:
-            if not whole:
+            if not is_finished:
                 self.abort()
 
     def abort(self) -> None:
         self._pieces.clear()
-        # After its end the connection may carry another exchange already.
-        if not self.complete:
+        # Once the body is complete, the connection may already serve another
+        # exchange.
+        if not self.is_complete:
             self._transport.abort()
 
-    def _joined(self) -> bytes:
+    def _join(self) -> bytes:
         return b"".join(self._pieces)
 
-    def _next(self) -> bytes:
-        """Returns what is there, as one piece."""
-        pieces = self.taken()
+    def _take_buffered(self) -> bytes:
+        """Removes and returns the buffered pieces as one."""
+        pieces = self.get_buffered()
         self._pieces.clear()
-        self._held = 0
+        self._buffered_bytes = 0
         self._resume()
         return pieces
 
     def _resume(self) -> None:
-        if not self._paused:
+        if not self._is_paused:
             return
-        self._paused = False
+        self._is_paused = False
         if not self._transport.is_closing():
             self._transport.resume_reading()
 
-    def _tell(self) -> None:
-        news, self._news = self._news, None
-        if news is not None and not news.done():
-            news.set_result(None)
+    def _wake(self) -> None:
+        changed, self._changed = self._changed, None
+        if changed is not None and not changed.done():
+            changed.set_result(None)
--- a/src/radishwind/http/notifying_stream.py
+++ b/src/radishwind/http/notifying_stream.py
@@ -1,4 +1,4 @@
-"""A stream around another that tells when it ends."""
+"""A body stream that reports its end."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Callable
@@ -7,11 +7,11 @@
 
 
 class NotifyingStream(BodyStream):
-    """A stream that calls `ended` once, when it ends or is aborted."""
+    """Wraps a stream and calls `on_ended` once, at its end or abort."""
 
-    def __init__(self, body: BodyStream, ended: Callable[[], None]) -> None:
+    def __init__(self, body: BodyStream, on_ended: Callable[[], None]) -> None:
         self._body = body
-        self._ended: Callable[[], None] | None = ended
+        self._on_ended: Callable[[], None] | None = on_ended
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
         try:
@@ -25,6 +25,6 @@
         self._finish()
 
     def _finish(self) -> None:
-        ended, self._ended = self._ended, None
-        if ended is not None:
-            ended()
+        on_ended, self._on_ended = self._on_ended, None
+        if on_ended is not None:
+            on_ended()
--- a/src/radishwind/http/rejections.py
+++ b/src/radishwind/http/rejections.py
@@ -1,4 +1,4 @@
-"""How a listener refuses what breaks its rules or limits."""
+"""Errors and responses for requests that violate rules or limits."""
 
 from radishwind.core.codes import ResultCode
 from radishwind.http.errors import RequestRejectedError
@@ -14,35 +14,35 @@
 }
 
 
-def rejected(exc: RequestRejectedError) -> Response:
-    """Returns the answer that tells why a request was not taken."""
+def rejection_response(exc: RequestRejectedError) -> Response:
+    """Returns the response to a request that was rejected by `exc`."""
     status = _STATUS.get(exc.code, 400)
     return make_problem_response(exc.code, status, str(exc.args[0]), "not-run")
 
 
-def failed() -> Response:
-    """Returns the answer where a handler failed."""
+def internal_error_response() -> Response:
+    """Returns the response to a request whose handler failed."""
     return make_problem_response(
         ResultCode.INTERNAL_ERROR, 500, "The node failed.", "unknown"
     )
 
 
 def sender_too_slow_error(limits: ServerLimits) -> SenderTooSlowError:
-    """Returns the error of a body that pauses too long."""
+    """Returns the error for a body that paused too long."""
     return SenderTooSlowError(
         f"expected more of the body within {limits.body_timeout_s:g} s"
     )
 
 
 def body_too_large_error(limits: ServerLimits) -> RequestTooLargeError:
-    """Returns the error of a body that is too large."""
+    """Returns the error for a body that exceeds the limit."""
     return RequestTooLargeError(
         f"expected a body of at most {limits.max_body_bytes} bytes, got more"
     )
 
 
 def head_too_long_error(limits: ServerLimits) -> RequestRejectedError:
-    """Returns the error of a line, or of a head, that is too long."""
+    """Returns the error for a line, or a head, that exceeds the limit."""
     return RequestRejectedError(
         f"expected lines of at most {limits.max_field_bytes} bytes, got more"
     )
--- a/src/radishwind/http/request_reader.py
+++ b/src/radishwind/http/request_reader.py
@@ -1,7 +1,7 @@
-"""Reads requests from the bytes of a connection.
+"""Parses requests from the bytes of a connection.
 
-The parser refuses most of what two receivers could read differently; the rest
-is refused here.
+The parser rejects most messages that two receivers could interpret
+differently; the remaining ones are rejected here.
 """
 
 import asyncio
@@ -22,32 +22,35 @@
 from radishwind.http.types import Request
 from radishwind.http.types import SMALL_BODY_BYTES
 
-#: Takes a request, whether its sender asks for no more on this connection, and
-#: the body that is still arriving, if one is.
-Deliver: TypeAlias = Callable[[Request, bool, IncomingBody | None], None]
+#: Called with a request, whether it is the last one of its sender on the
+#: connection, and its body if that is still being received.
+RequestCallback: TypeAlias = Callable[
+    [Request, bool, IncomingBody | None], None
+]
 
 _VERSIONS = frozenset({"1.0", "1.1"})
 
-#: One is of a protocol that is none of ours; behind the other the parser reads
-#: no body, whatever the head says of one.
-_FOREIGN_METHODS = frozenset({"SOURCE", "CONNECT"})
+#: Methods that the parser accepts but that cannot be served: SOURCE belongs to
+#: another protocol (Icecast), and after CONNECT the parser reads no body even
+#: if the head announces one.
+_UNSUPPORTED_METHODS = frozenset({"SOURCE", "CONNECT"})
 
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
-#: The longest head, in longest lines.
-_MOST_LINES = 8
+#: Limit of the size of a head, in lines of the maximum length.
+_MAX_HEAD_LINES = 8
 
 
 class UpgradeRequestedError(Exception):
-    """The sender asks to speak another protocol from here on."""
+    """The sender wants to switch to another protocol after this request."""
 
 
 class RequestReader:
-    """Reads one request after the other, small bodies whole.
+    """Parses requests one by one; small bodies are buffered completely.
 
     Attributes:
-      takes_chunks: whether the sender of the last one reads chunks; one that
-        does not is answered once, and its connection closed.
+      accepts_chunks: whether the sender of the latest request supports chunked
+        encoding; if not, its connection is closed after the response.
     """
 
     def __init__(
@@ -55,54 +58,55 @@
         transport: asyncio.Transport,
         remote: str,
         limits: ServerLimits,
-        deliver: Deliver,
+        on_request: RequestCallback,
     ) -> None:
-        """Makes a reader of a new connection.
+        """Creates the reader of a new connection.
 
         Args:
           transport: of the connection.
-          remote: the IP address of its other end.
+          remote: IP address of the peer.
           limits: of the listener.
-          deliver: takes the requests.
+          on_request: called with each request.
         """
         self._transport = transport
         self._remote = remote
         self._limits = limits
-        self._deliver = deliver
+        self._on_request = on_request
         self._parser = httptools.HttpRequestParser(self)
         self._url = b""
         self._fields: list[tuple[bytes, bytes]] = []
         self._in_head = True
         self._head_bytes = 0
-        # The request whose body is arriving, without it.
-        self._arriving: Request | None = None
-        self._closes = False
+        # The request whose body is being received, without the body.
+        self._pending: Request | None = None
+        self._closes_connection = False
         self._body: IncomingBody | None = None
         self._body_bytes = 0
-        self._delivered = False
-        self._stopped = False
-        self.takes_chunks = True
+        self._is_delivered = False
+        self._is_stopped = False
+        self.accepts_chunks = True
 
     @property
     def is_in_body(self) -> bool:
-        """Whether a body is arriving."""
+        """Whether a body is being received."""
         return self._body is not None
 
     @property
     def is_buffering_body(self) -> bool:
         """Whether a request waits for the rest of its small body."""
-        return self._body is not None and not self._delivered
+        return self._body is not None and not self._is_delivered
 
     def stop(self) -> None:
-        """Takes no request any more; a body that arrives is read to its end."""
-        self._stopped = True
+        """Ignores further requests; a partly received body is still read."""
+        self._is_stopped = True
 
     def feed(self, data: bytes) -> None:
-        """Takes bytes as they came.
+        """Parses received bytes.
 
         Raises:
-          RequestRejectedError: they are no request to be taken.
-          UpgradeRequestedError: what stands behind the last request is none.
+          RequestRejectedError: they violate the rules or limits.
+          UpgradeRequestedError: the bytes after the last request belong to
+            another protocol.
         """
         if self._in_head:
             self._head_bytes += len(data)
@@ -111,39 +115,39 @@
         except httptools.HttpParserUpgrade as exc:
             raise UpgradeRequestedError from exc
         except httptools.HttpParserError as exc:
-            self._refuse_unparsed(exc)
-        most = _MOST_LINES * self._limits.max_field_bytes
-        if self._in_head and self._head_bytes > most:
+            self._raise_parser_error(exc)
+        max_bytes = _MAX_HEAD_LINES * self._limits.max_field_bytes
+        if self._in_head and self._head_bytes > max_bytes:
             raise head_too_long_error(self._limits)
 
     def end_body(self, exc: Exception) -> bool:
-        """Ends the body that arrives; returns whether its reader hears of it.
+        """Ends the body in progress; returns whether its reader gets `exc`.
 
         Args:
-          exc: what its reader gets.
+          exc: error for the reader of the body.
         """
         body, self._body = self._body, None
-        self._arriving = None
+        self._pending = None
         if body is None:
             return False
         body.fail(exc)
         body.discard()
-        return self._delivered
+        return self._is_delivered
 
     def discard_body(self) -> None:
-        """Throws away what still comes of the body."""
+        """Discards the rest of the body in progress."""
         if self._body is not None:
             self._body.discard()
 
-    def _refuse_unparsed(self, exc: httptools.HttpParserError) -> None:
-        """Refuses what the parser, or a callback within it, did not take."""
+    def _raise_parser_error(self, exc: httptools.HttpParserError) -> None:
+        """Raises the error of the parser or of a callback that it called."""
         cause = exc.__context__
         if isinstance(cause, RequestRejectedError):
             raise cause
-        if not self._stopped:
+        if not self._is_stopped:
             raise RequestRejectedError(str(exc)) from exc
 
-    # What the parser calls.
+    # Called by the parser.
 
     def on_message_begin(self) -> None:
         self._url = b""
@@ -163,27 +167,27 @@
             raise head_too_long_error(self._limits)
         if len(self._fields) > self._limits.max_fields:
             raise RequestRejectedError(
-                f"expected {self._limits.max_fields} fields at most, got more"
+                f"expected at most {self._limits.max_fields} fields, got more"
             )
 
     def on_headers_complete(self) -> None:
         self._in_head = False
         self._head_bytes = 0
-        if self._stopped:
+        if self._is_stopped:
             return
         headers = decode_fields(self._fields)
         framing = parse_framing(headers)
         method = self._parser.get_method().decode("ascii")
         self._check(method, framing)
-        self.takes_chunks = self._parser.get_http_version() != "1.0"
-        closes = framing.closes or not self.takes_chunks
+        self.accepts_chunks = self._parser.get_http_version() != "1.0"
+        closes = framing.closes_connection or not self.accepts_chunks
         closes = closes or not self._parser.should_keep_alive()
-        request = self._request(method, headers)
-        if framing.length is None and not framing.chunked:
-            self._deliver(request, closes, None)
+        request = self._make_request(method, headers)
+        if framing.length is None and not framing.is_chunked:
+            self._on_request(request, closes, None)
             return
-        self._arriving, self._closes = request, closes
-        self._begin_body(framing)
+        self._pending, self._closes_connection = request, closes
+        self._start_body(framing)
 
     def on_body(self, piece: bytes) -> None:
         body = self._body
@@ -193,72 +197,81 @@
         if self._body_bytes > self._limits.max_body_bytes:
             raise body_too_large_error(self._limits)
         body.feed(piece)
-        if not self._delivered and self._body_bytes > SMALL_BODY_BYTES:
+        if not self._is_delivered and self._body_bytes > SMALL_BODY_BYTES:
             self._deliver_stream(body, None)
 
     def on_message_complete(self) -> None:
-        request, body = self._arriving, self._body
-        self._arriving = self._body = None
+        request, body = self._pending, self._body
+        self._pending = self._body = None
         if request is None or body is None:
             return
         body.end()
-        if self._delivered:
+        if self._is_delivered:
             return
-        whole = body.taken()
-        self._deliver(
-            _with_body(request, whole, len(whole)), self._closes, None
+        content = body.get_buffered()
+        self._on_request(
+            _with_body(request, content, len(content)),
+            self._closes_connection,
+            None,
         )
 
     def _check(self, method: str, framing: Framing) -> None:
-        """Refuses what two receivers could read differently.
+        """Rejects requests that two receivers could interpret differently.
 
         Raises:
-          RequestRejectedError: it may be.
+          RequestRejectedError: the request is ambiguous or not supported.
         """
         version = self._parser.get_http_version()
-        if version not in _VERSIONS or method in _FOREIGN_METHODS:
+        if version not in _VERSIONS or method in _UNSUPPORTED_METHODS:
             raise RequestRejectedError(
                 f"expected a method of HTTP/1.0 or HTTP/1.1, got {method} "
                 f"{version}"
             )
-        if framing.hosts != 1 and (framing.hosts or version == "1.1"):
+        if framing.host_count != 1 and (framing.host_count or version == "1.1"):
             raise RequestRejectedError(
-                f"expected one field host, got {framing.hosts}"
+                f"expected one Host field, got {framing.host_count}"
             )
-        if not framing.clean or (framing.chunked and version == "1.0"):
+        if not framing.is_unambiguous or (
+            framing.is_chunked and version == "1.0"
+        ):
             raise RequestRejectedError(
-                "expected a body in chunks or of a told length, got another"
+                "expected a chunked body or one with Content-Length, got "
+                "another encoding"
             )
         if (framing.length or 0) > self._limits.max_body_bytes:
             raise body_too_large_error(self._limits)
 
-    def _request(self, method: str, headers: Headers) -> Request:
+    def _make_request(self, method: str, headers: Headers) -> Request:
         path = self._url.decode("ascii")
         return Request(method, path, headers, b"", 0, self._remote)
 
-    def _begin_body(self, framing: Framing) -> None:
-        """Waits for a small body; a larger one streams at once."""
+    def _start_body(self, framing: Framing) -> None:
+        """Buffers a small body; delivers a larger one as a stream at once."""
         is_large = (framing.length or 0) > SMALL_BODY_BYTES
-        asked = self._continue if framing.continues and is_large else None
-        body = self._body = IncomingBody(self._transport, asked)
+        on_read = (
+            self._send_continue
+            if framing.expects_continue and is_large
+            else None
+        )
+        body = self._body = IncomingBody(self._transport, on_read)
         self._body_bytes = 0
-        self._delivered = False
+        self._is_delivered = False
         if is_large:
             self._deliver_stream(body, framing.length)
-        elif framing.continues:
-            self._continue()
+        elif framing.expects_continue:
+            self._send_continue()
 
-    def _continue(self) -> None:
-        """Tells a sender that waits to go on with its body."""
+    def _send_continue(self) -> None:
+        """Sends 100 (Continue) to a sender that waits with its body."""
         if not self._transport.is_closing():
             self._transport.write(_CONTINUE)
 
     def _deliver_stream(self, body: IncomingBody, length: int | None) -> None:
-        """Hands on the request whose body is still arriving."""
-        assert self._arriving is not None, "a request arrives"
-        self._delivered = True
-        request = _with_body(self._arriving, body, length)
-        self._deliver(request, self._closes, body)
+        """Delivers the request whose body is still being received."""
+        assert self._pending is not None, "a request must be in progress"
+        self._is_delivered = True
+        request = _with_body(self._pending, body, length)
+        self._on_request(request, self._closes_connection, body)
 
 
 def _with_body(
--- a/src/radishwind/http/response_writer.py
+++ b/src/radishwind/http/response_writer.py
@@ -1,4 +1,4 @@
-"""Writes answers to a connection, as fast as its reader takes them."""
+"""Writes responses to a connection with flow control."""
 
 import asyncio
 
@@ -16,9 +16,10 @@
 
 
 class ResponseWriter:
-    """Writes one answer after the other.
+    """Writes responses to one connection, one at a time.
 
-    What can't be written whole cuts the connection: it must not end neatly.
+    A response that cannot be written completely aborts the connection, so that
+    its receiver cannot mistake it for a complete one.
     """
 
     def __init__(
@@ -26,37 +27,37 @@
     ) -> None:
         self._transport = transport
         self._meter = meter
-        self._writes = True
-        self._lost = False
+        self._is_writable = True
+        self._is_lost = False
         self._writable: asyncio.Future[None] | None = None
 
     def pause(self) -> None:
-        """Takes that the reader is slow."""
-        self._writes = False
+        """Pauses writing; the write buffer of the transport is full."""
+        self._is_writable = False
 
     def resume(self) -> None:
-        """Takes that the reader has read enough."""
-        self._writes = True
+        """Resumes writing; the write buffer has drained."""
+        self._is_writable = True
         self._wake()
 
-    def lose(self) -> None:
-        """Takes that the connection is lost."""
-        self._lost = True
+    def set_lost(self) -> None:
+        """Records that the connection is lost."""
+        self._is_lost = True
         self._wake()
 
     async def write(
-        self, response: Response, *, to_head: bool, chunks: bool
+        self, response: Response, *, to_head: bool, accepts_chunks: bool
     ) -> bool:
-        """Returns whether the answer was written to its end.
+        """Writes a response and returns whether it was written completely.
 
         Args:
-          response: the answer.
-          to_head: whether it answers a HEAD.
-          chunks: whether the reader reads chunks.
+          response: what to write.
+          to_head: whether the request was a HEAD request.
+          accepts_chunks: whether the receiver supports chunked encoding.
         """
         try:
-            head, in_chunks = encode_response_head(
-                response, to_head=to_head, chunks=chunks
+            head, is_chunked = encode_response_head(
+                response, to_head=to_head, accepts_chunks=accepts_chunks
             )
         except MalformedHeadError:
             abort_body(response.body)
@@ -66,26 +67,26 @@
         if isinstance(body, bytes):
             bodiless = to_head or not has_body(response.status)
             self._send(head if bodiless else head + body)
-        elif not await self._stream(head, body, in_chunks):
+        elif not await self._stream(head, body, is_chunked):
             return False
-        if not self._writes:
-            await self._until_writable()
-        return not self._lost
+        if not self._is_writable:
+            await self._wait_writable()
+        return not self._is_lost
 
     async def _stream(
-        self, head: bytes, body: BodyStream, in_chunks: bool
+        self, head: bytes, body: BodyStream, is_chunked: bool
     ) -> bool:
-        """Returns whether the body came and was sent to its end."""
+        """Returns whether the body was received and sent to its end."""
         try:
             self._send(head)
             async for piece in body:
-                if self._lost:
-                    raise ExchangeBrokenError("the caller has left")
+                if self._is_lost:
+                    raise ExchangeBrokenError("the caller has disconnected")
                 if piece:
-                    self._send(encode_chunk(piece) if in_chunks else piece)
-                if not self._writes:
-                    await self._until_writable()
-            if in_chunks:
+                    self._send(encode_chunk(piece) if is_chunked else piece)
+                if not self._is_writable:
+                    await self._wait_writable()
+            if is_chunked:
                 self._send(LAST_CHUNK)
         except BaseException as exc:
             body.abort()
@@ -103,9 +104,9 @@
         if self._writable is not None and not self._writable.done():
             self._writable.set_result(None)
 
-    async def _until_writable(self) -> None:
-        """Waits until a slow reader has read enough."""
-        if self._lost:
+    async def _wait_writable(self) -> None:
+        """Waits until the write buffer drains or the connection is lost."""
+        if self._is_lost:
             return
         self._writable = asyncio.get_running_loop().create_future()
         await self._writable
--- a/src/radishwind/http/sender.py
+++ b/src/radishwind/http/sender.py
@@ -8,28 +8,28 @@
 
 
 class Sender(abc.ABC):
-    """Sends requests over connections kept warm, one exchange on each.
+    """Sends requests over pooled connections, one exchange at a time on each.
 
-    A sender never sends a request twice. A connection whose exchange was
-    cancelled, cut or aborted is closed and never reused.
+    A sender never retries a request by itself. A connection whose exchange was
+    cancelled, broken or aborted is closed and never reused.
     """
 
     @abc.abstractmethod
     async def send(
         self, address: Address, request: Request, connect_timeout_s: float
     ) -> Response:
-        """Sends `request` and returns once the header of the answer is there.
+        """Sends `request` and returns once the response head was received.
 
         Args:
-          address: where to.
-          request: what; its header fields are sent as they are.
-          connect_timeout_s: how long a new connection may take (s).
+          address: where to send it.
+          request: what to send; its header fields are sent unchanged.
+          connect_timeout_s: timeout for opening a new connection (s).
 
         Raises:
-          ConnectFailedError: no byte was sent.
-          ExchangeBrokenError: anything later.
+          ConnectFailedError: no byte of the request was sent.
+          ExchangeBrokenError: the exchange failed after that.
         """
 
     @abc.abstractmethod
     async def close(self) -> None:
-        """Closes every connection."""
+        """Closes all connections."""
--- a/src/radishwind/http/server.py
+++ b/src/radishwind/http/server.py
@@ -1,4 +1,4 @@
-"""The interface of a listener for HTTP."""
+"""The interface of an HTTP listener."""
 
 import abc
 from collections.abc import Awaitable
@@ -13,7 +13,7 @@
 
 
 class Server(abc.ABC):
-    """Receives requests on one address and answers each by its handler."""
+    """Receives requests on one address and passes each to a handler."""
 
     @abc.abstractmethod
     async def start(self, handler: Handler, listen: Address) -> Address:
@@ -21,7 +21,7 @@
 
     @abc.abstractmethod
     async def stop_listening(self) -> None:
-        """Accepts no further connection; those in progress go on."""
+        """Stops accepting connections; open ones are still served."""
 
     @abc.abstractmethod
     async def close(self, grace_s: float) -> None:
--- a/src/radishwind/http/server_connection.py
+++ b/src/radishwind/http/server_connection.py
@@ -1,9 +1,10 @@
-"""One connection of a listener: requests in, answers out, in order.
+"""One connection of a listener: receives requests and responds in order.
 
-A caller may send further requests before the first one is answered. Those that
-may run more than once begin at once; each answer waits for its turn. An answer
-that closes the connection is the last one: what stands behind it is not read,
-and its sender sends it again.
+A caller may pipeline requests, that is, send further ones before the first is
+answered. Requests that may safely run more than once start at once; the
+responses are written in the order of the requests. A response with
+`Connection: close` is the last one: requests behind it are not processed, and
+their sender has to send them again.
 """
 
 import asyncio
@@ -18,8 +19,8 @@
 from radishwind.http.errors import ExchangeBrokenError
 from radishwind.http.errors import RequestRejectedError
 from radishwind.http.incoming_body import IncomingBody
-from radishwind.http.rejections import failed
-from radishwind.http.rejections import rejected
+from radishwind.http.rejections import internal_error_response
+from radishwind.http.rejections import rejection_response
 from radishwind.http.rejections import sender_too_slow_error
 from radishwind.http.request_reader import RequestReader
 from radishwind.http.request_reader import UpgradeRequestedError
@@ -35,44 +36,49 @@
 
 _BODILESS_METHODS = frozenset({"GET", "HEAD"})
 
-#: Requests read of one connection that wait; more are read later.
-_MOST_WAITING = 16
+#: Unanswered requests of one connection above which reading pauses.
+_MAX_PENDING = 16
 
 
-class _Turn:
-    """A request and the answer that it will get, in the order of arrival."""
+class _Exchange:
+    """A received request and its response."""
 
     __slots__ = (
+        "accepts_chunks",
         "body",
-        "chunks",
-        "closes",
-        "is_read",
+        "closes_connection",
+        "may_overlap",
         "request",
         "response",
         "task",
     )
 
     def __init__(
-        self, request: Request, closes: bool, body: IncomingBody | None
+        self,
+        request: Request,
+        closes_connection: bool,
+        body: IncomingBody | None,
     ) -> None:
         self.request = request
-        # Whether its sender asks for no more on this connection.
-        self.closes = closes
-        # Its body, where that is still arriving.
+        # Whether this is the last request of its sender on the connection.
+        self.closes_connection = closes_connection
+        # The body of the request, if it is still being received.
         self.body = body
-        # Whether its sender reads an answer in chunks.
-        self.chunks = True
-        # Whether others may run beside it; asked for when that matters.
-        self.is_read: bool | None = None
+        # Whether the sender supports chunked encoding.
+        self.accepts_chunks = True
+        # Whether other requests may run at the same time; `None` until it is
+        # needed.
+        self.may_overlap: bool | None = None
         self.response: Response | None = None
         self.task: asyncio.Task[None] | None = None
 
 
 class ServerConnection(asyncio.Protocol):
-    """Reads requests of one connection and answers them in order.
+    """Reads the requests of one connection and responds in order.
 
     Attributes:
-      has_announced_close: whether its last answer said that it closes.
+      has_announced_close: whether no further request is processed; the last
+        response says `Connection: close`.
     """
 
     def __init__(
@@ -81,38 +87,40 @@
         handler: Handler,
         limits: ServerLimits,
         may_run_in_parallel: MayRunInParallel,
-        opened: Callable[["ServerConnection"], bool],
-        closed: Callable[["ServerConnection"], None],
+        on_open: Callable[["ServerConnection"], bool],
+        on_closed: Callable[["ServerConnection"], None],
         is_crowded: Callable[[], bool],
         meter: ByteMeter = NO_METER,
     ) -> None:
-        """Makes a connection that is not made yet.
+        """Creates the protocol of a connection that is not open yet.
 
         Args:
           handler: answers requests.
           limits: of the listener.
-          may_run_in_parallel: decides which requests need not wait.
-          opened: takes the connection; returns whether it may stay.
-          closed: called once it is lost.
-          is_crowded: returns whether the listener has connections enough, so
-            that each answer is the last one on its connection.
-          meter: counts its bytes.
+          may_run_in_parallel: whether a pipelined request may run before the
+            ones ahead of it are answered.
+          on_open: called when the connection opens; returns whether it is
+            accepted.
+          on_closed: called once the connection is lost.
+          is_crowded: returns whether the listener has so many connections that
+            each response closes its connection.
+          meter: counts the bytes of the connection.
         """
         self._meter = meter
         self._handler = handler
         self._limits = limits
         self._may_run_in_parallel = may_run_in_parallel
-        self._opened = opened
-        self._closed = closed
+        self._on_open = on_open
+        self._on_closed = on_closed
         self._is_crowded = is_crowded
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport
         self._reader: RequestReader
         self._writer: ResponseWriter
-        self._turns: collections.deque[_Turn] = collections.deque()
-        self._reads = True
-        self._reading = True
-        self._lost = False
+        self._exchanges: collections.deque[_Exchange] = collections.deque()
+        self._accepts_requests = True
+        self._is_reading = True
+        self._is_lost = False
         self._deadline = math.inf
         self._timer: asyncio.TimerHandle | None = None
         self.has_announced_close = False
@@ -120,34 +128,35 @@
     @property
     def is_busy(self) -> bool:
         """Whether a request is in progress."""
-        return bool(self._turns)
+        return bool(self._exchanges)
 
     def abort(self) -> None:
         """Closes the connection at once."""
-        if not self._lost:
+        if not self._is_lost:
             self._transport.abort()
 
-    # What the event loop calls.
+    # Called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # A stream's; uvloop's own type is not derived from it.
+        # A stream transport; uvloop's class does not derive from
+        # `asyncio.Transport`.
         self._transport = cast("asyncio.Transport", transport)
         peer = transport.get_extra_info("peername")
         remote = peer[0] if peer else ""
         self._reader = RequestReader(
-            self._transport, remote, self._limits, self._deliver
+            self._transport, remote, self._limits, self._on_request
         )
         self._writer = ResponseWriter(self._transport, self._meter)
-        if not self._opened(self):
+        if not self._on_open(self):
             self._transport.abort()
             return
-        self._expire_in(self._limits.idle_timeout_s)
+        self._set_timeout(self._limits.idle_timeout_s)
 
     def data_received(self, data: bytes) -> None:
         self._meter.record_received(len(data))
         reader = self._reader
-        # The body of the last request is read, and nothing behind it.
-        if not self._reads and not reader.is_in_body:
+        # After the last request, only the rest of its body is read.
+        if not self._accepts_requests and not reader.is_in_body:
             return
         was_in_body = reader.is_in_body
         try:
@@ -155,28 +164,31 @@
         except RequestRejectedError as exc:
             self._reject(exc)
         except UpgradeRequestedError:
-            # Nothing else is spoken here: the request is answered as it is.
-            self._stop_reading()
+            # No other protocol is supported: the request is answered as HTTP.
+            self._announce_close()
         if reader.is_in_body:
-            self._expire_in(self._limits.body_timeout_s)
-        elif was_in_body and not self._turns:
-            # It was answered before its end; the next one may come.
-            self._expire_in(self._limits.idle_timeout_s)
+            self._set_timeout(self._limits.body_timeout_s)
+        elif was_in_body and not self._exchanges:
+            # The request was answered before its body ended; the next request
+            # may follow.
+            self._set_timeout(self._limits.idle_timeout_s)
 
     def eof_received(self) -> None:
-        """Takes that the caller has left; the transport closes by itself."""
+        """Lets the transport close itself once the caller has disconnected."""
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._lost = True
-        self._reads = False
+        self._is_lost = True
+        self._accepts_requests = False
         if self._timer is not None:
             self._timer.cancel()
-        self._reader.end_body(ExchangeBrokenError(f"request cut: {exc!r}"))
-        self._writer.lose()
-        for turn in self._turns:
-            _give_up(turn)
-        self._turns.clear()
-        self._closed(self)
+        self._reader.end_body(
+            ExchangeBrokenError(f"connection lost within the request: {exc!r}")
+        )
+        self._writer.set_lost()
+        for exchange in self._exchanges:
+            _cancel(exchange)
+        self._exchanges.clear()
+        self._on_closed(self)
 
     def pause_writing(self) -> None:
         self._writer.pause()
@@ -186,198 +198,221 @@
 
     # Requests.
 
-    def _deliver(
-        self, request: Request, closes: bool, body: IncomingBody | None
+    def _on_request(
+        self,
+        request: Request,
+        closes_connection: bool,
+        body: IncomingBody | None,
     ) -> None:
-        """Gives a request its turn; begins it where it need not wait."""
-        turn = _Turn(request, closes, body)
-        turn.chunks = self._reader.takes_chunks
-        self._turns.append(turn)
+        """Queues a request, and starts it if it need not wait."""
+        exchange = _Exchange(request, closes_connection, body)
+        exchange.accepts_chunks = self._reader.accepts_chunks
+        self._exchanges.append(exchange)
         if body is None:
             self._deadline = math.inf
-        if closes:
-            self._read_no_more()
-        if len(self._turns) > _MOST_WAITING and self._reading:
-            self._reading = False
+        if closes_connection:
+            self._stop_reading()
+        if len(self._exchanges) > _MAX_PENDING and self._is_reading:
+            self._is_reading = False
             self._transport.pause_reading()
-        self._advance()
+        self._start_eligible()
 
-    def _advance(self) -> None:
-        """Begins those that may begin: the first, and reads behind reads."""
-        for place, turn in enumerate(self._turns):
-            if turn.task is None and turn.response is None:
-                if place and not self._may_begin(place, turn):
+    def _start_eligible(self) -> None:
+        """Starts the first request, and those that may run in parallel."""
+        for position, exchange in enumerate(self._exchanges):
+            if exchange.task is None and exchange.response is None:
+                if position and not self._may_start(position, exchange):
                     return
-                turn.task = self._loop.create_task(self._run(turn))
-            if place >= self._limits.max_pipelined:
+                exchange.task = self._loop.create_task(self._run(exchange))
+            if position >= self._limits.max_pipelined:
                 return
-            if len(self._turns) > 1 and not self._is_read(turn):
+            if len(self._exchanges) > 1 and not self._may_overlap(exchange):
                 return
 
-    def _may_begin(self, place: int, turn: _Turn) -> bool:
+    def _may_start(self, position: int, exchange: _Exchange) -> bool:
         if (
-            place > self._limits.max_pipelined
+            position > self._limits.max_pipelined
             or self.has_announced_close
-            or turn.closes
+            or exchange.closes_connection
         ):
             return False
-        return self._is_read(turn)
-
-    def _is_read(self, turn: _Turn) -> bool:
-        """Returns whether others may run beside the request of `turn`."""
-        if turn.is_read is None:
-            turn.is_read = (
-                turn.request.method in _BODILESS_METHODS
-                and turn.response is None
-                and self._may_run_in_parallel(turn.request)
+        return self._may_overlap(exchange)
+
+    def _may_overlap(self, exchange: _Exchange) -> bool:
+        """Returns whether other requests may run at the same time."""
+        if exchange.may_overlap is None:
+            exchange.may_overlap = (
+                exchange.request.method in _BODILESS_METHODS
+                and exchange.response is None
+                and self._may_run_in_parallel(exchange.request)
             )
-        return turn.is_read
+        return exchange.may_overlap
 
-    async def _run(self, turn: _Turn) -> None:
+    async def _run(self, exchange: _Exchange) -> None:
         try:
-            turn.response = await self._handler(turn.request)
+            exchange.response = await self._handler(exchange.request)
         except RequestRejectedError as exc:
-            turn.response, turn.closes = rejected(exc), True
-        except Exception:  # The handler has logged it.
-            turn.response = failed()
-            turn.closes = turn.closes or len(self._turns) == 1
-        if self._turns and self._turns[0] is turn:
-            await self._write_due()
-
-    # Answers.
-
-    async def _write_due(self) -> None:
-        """Writes the answers whose turn it is."""
-        while self._turns and self._turns[0].response is not None:
-            turn = self._turns[0]
-            if not await self._write(turn, turn.response):
+            exchange.response, exchange.closes_connection = (
+                rejection_response(exc),
+                True,
+            )
+        except Exception:  # Logged by the handler.
+            exchange.response = internal_error_response()
+            exchange.closes_connection = (
+                exchange.closes_connection or len(self._exchanges) == 1
+            )
+        if self._exchanges and self._exchanges[0] is exchange:
+            await self._write_ready()
+
+    # Responses.
+
+    async def _write_ready(self) -> None:
+        """Writes the responses that are next in order."""
+        while self._exchanges and self._exchanges[0].response is not None:
+            exchange = self._exchanges[0]
+            if not await self._write(exchange, exchange.response):
                 return
-            self._turns.popleft()
-            self._after(turn)
-            if self._reads and not self._reading:
-                self._reading = True
+            self._exchanges.popleft()
+            self._after_response(exchange)
+            if self._accepts_requests and not self._is_reading:
+                self._is_reading = True
                 self._transport.resume_reading()
-            self._advance()
+            self._start_eligible()
 
-    async def _write(self, turn: _Turn, response: Response | None) -> bool:
-        """Returns whether the answer was written to its end."""
-        assert response is not None, "an answer that is due"
+    async def _write(
+        self, exchange: _Exchange, response: Response | None
+    ) -> bool:
+        """Returns whether the response was written completely."""
+        assert response is not None, "the response must be ready"
         return await self._writer.write(
-            self._in_order(turn, response),
-            to_head=turn.request.method == "HEAD",
-            chunks=turn.chunks,
+            self._with_connection_field(exchange, response),
+            to_head=exchange.request.method == "HEAD",
+            accepts_chunks=exchange.accepts_chunks,
         )
 
-    def _in_order(self, turn: _Turn, response: Response) -> Response:
-        """Returns the answer whose turn it is; only the last one closes."""
-        closes = any(_closes(*item) for item in response.headers)
-        closes = closes or turn.closes or self.has_announced_close
+    def _with_connection_field(
+        self, exchange: _Exchange, response: Response
+    ) -> Response:
+        """Returns the response; only the last one says `Connection: close`."""
+        closes = any(_is_close(*item) for item in response.headers)
+        closes = (
+            closes or exchange.closes_connection or self.has_announced_close
+        )
         if not closes and not self._is_crowded():
             return response
-        kept = tuple(x for x in response.headers if not _closes(*x))
-        self._stop_reading()
-        begun = [t for t in self._turns if t is not turn and t.task is not None]
-        if not begun:
+        kept = tuple(x for x in response.headers if not _is_close(*x))
+        self._announce_close()
+        started = [
+            other
+            for other in self._exchanges
+            if other is not exchange and other.task is not None
+        ]
+        if not started:
             kept += (("Connection", "close"),)
         return Response(
             response.status, kept, response.body, response.body_bytes
         )
 
-    def _stop_reading(self) -> None:
-        """Reads no further request; what waits and has not begun is dropped."""
+    def _announce_close(self) -> None:
+        """Stops reading requests; drops queued ones that have not started."""
         self.has_announced_close = True
-        self._read_no_more()
-        while len(self._turns) > 1 and self._turns[-1].task is None:
-            if self._turns[-1].response is not None:
+        self._stop_reading()
+        while len(self._exchanges) > 1 and self._exchanges[-1].task is None:
+            if self._exchanges[-1].response is not None:
                 break
-            self._turns.pop()
+            self._exchanges.pop()
 
-    def _after(self, turn: _Turn) -> None:
-        """Looks what comes after an answer: the next request, or the end."""
-        if self._turns:
+    def _after_response(self, exchange: _Exchange) -> None:
+        """Waits for the next request or closes the connection."""
+        if self._exchanges:
             return
-        if self._lost:
+        if self._is_lost:
             return
-        if self.has_announced_close or turn.closes:
-            self._finish(turn)
+        if self.has_announced_close or exchange.closes_connection:
+            self._close_gracefully(exchange)
             return
-        if turn.body is not None and not turn.body.complete:
-            # What is still sent of it is read and thrown away for a while.
-            turn.body.discard()
-            self._expire_in(self._limits.linger_s)
+        if exchange.body is not None and not exchange.body.is_complete:
+            # The rest of the body is read and discarded for a limited time.
+            exchange.body.discard()
+            self._set_timeout(self._limits.linger_s)
             return
-        self._expire_in(self._limits.idle_timeout_s)
+        self._set_timeout(self._limits.idle_timeout_s)
 
-    def _finish(self, turn: _Turn) -> None:
-        """Ends a connection whose last answer is written.
+    def _close_gracefully(self, exchange: _Exchange) -> None:
+        """Ends a connection whose last response was written.
 
-        The caller closes; closing first could reset what it still reads.
+        The caller closes first: closing here could reset the connection while
+        the caller still reads the response.
         """
-        self._read_no_more()
+        self._stop_reading()
         self.has_announced_close = True
         self._reader.discard_body()
-        if not turn.chunks:
-            # Nothing but the end of the connection ends such an answer.
+        if not exchange.accepts_chunks:
+            # The end of the connection delimits the body of this response.
             self._transport.close()
             return
-        self._expire_in(self._limits.linger_s)
+        self._set_timeout(self._limits.linger_s)
 
     def _reject(self, exc: RequestRejectedError) -> None:
-        """Tells what cannot be taken in its place, and reads no more."""
-        self._read_no_more()
+        """Queues an error response and stops reading."""
+        self._stop_reading()
         if self._reader.end_body(exc):
-            # Its handler gets the error and answers.
+            # The handler gets the error from the body and responds.
             return
-        turn = _Turn(Request("GET", "/"), True, None)
-        turn.response = rejected(exc)
-        self._turns.append(turn)
-        if self._turns[0] is turn:
-            turn.task = self._loop.create_task(self._write_due())
-
-    def _read_no_more(self) -> None:
-        self._reads = False
+        exchange = _Exchange(Request("GET", "/"), True, None)
+        exchange.response = rejection_response(exc)
+        self._exchanges.append(exchange)
+        if self._exchanges[0] is exchange:
+            exchange.task = self._loop.create_task(self._write_ready())
+
+    def _stop_reading(self) -> None:
+        self._accepts_requests = False
         self._reader.stop()
 
-    # Time.
+    # Timeouts.
 
-    def _expire_in(self, for_s: float) -> None:
-        """Ends what is waited for in `for_s` (s).
+    def _set_timeout(self, timeout_s: float) -> None:
+        """Sets the time (s) after which the current wait ends.
 
-        One timer a connection that is set anew when it fires: to cancel and
-        make one each request costs more than all else that times do here.
+        Each connection has one timer, which is re-armed when it fires:
+        cancelling and creating a timer for each request would cost more than
+        all other timeout handling here.
         """
-        self._deadline = self._loop.time() + for_s
+        self._deadline = self._loop.time() + timeout_s
         if self._timer is None:
-            self._timer = self._loop.call_later(for_s, self._expire)
+            self._timer = self._loop.call_later(timeout_s, self._on_timer)
         elif self._timer.when() > self._deadline + _TIMER_SLACK_S:
             self._timer.cancel()
-            self._timer = self._loop.call_later(for_s, self._expire)
+            self._timer = self._loop.call_later(timeout_s, self._on_timer)
 
-    def _expire(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
-        left_s = self._deadline - self._loop.time()
-        if left_s > 0:
-            later_s = min(left_s, self._limits.idle_timeout_s)
-            self._timer = self._loop.call_later(later_s, self._expire)
+        remaining_s = self._deadline - self._loop.time()
+        if remaining_s > 0:
+            delay_s = min(remaining_s, self._limits.idle_timeout_s)
+            self._timer = self._loop.call_later(delay_s, self._on_timer)
             return
         reader = self._reader
-        if reader.is_buffering_body or (reader.is_in_body and self._turns):
+        if reader.is_buffering_body or (reader.is_in_body and self._exchanges):
             self._reject(sender_too_slow_error(self._limits))
-        elif not self._turns:
+        elif not self._exchanges:
             self._transport.abort()
 
 
-#: A timer that fires this much later than wanted is left as it is (s).
+#: A timer that fires at most this much after its deadline is not re-armed (s).
 _TIMER_SLACK_S = 0.01
 
 
-def _give_up(turn: _Turn) -> None:
-    """Cancels a request; an answer nobody will read gives its slot back."""
-    if turn.task is not None:
-        turn.task.cancel()
-    if turn.response is not None:
-        abort_body(turn.response.body)
+def _cancel(exchange: _Exchange) -> None:
+    """Cancels a request; aborts a response that will not be read.
+
+    Aborting its body releases the slot that the response holds.
+    """
+    if exchange.task is not None:
+        exchange.task.cancel()
+    if exchange.response is not None:
+        abort_body(exchange.response.body)
 
 
-def _closes(name: str, value: str) -> bool:
+def _is_close(name: str, value: str) -> bool:
     return name.lower() == "connection" and value.lower() == "close"
--- a/src/radishwind/http/tcp_keepalive.py
+++ b/src/radishwind/http/tcp_keepalive.py
@@ -1,29 +1,29 @@
-"""Lets a connection notice by itself when its other end is silent.
+"""Lets the kernel detect that the peer of a connection is dead.
 
-It may go silent for good without a reset; nothing but unanswered keep-alive
-segments would show that before the deadline.
+A peer may disappear without a reset. Without keep-alive probes, only the
+deadline of the request would reveal it.
 """
 
 import socket
 
-#: Idle connections are closed by us before a usual server closes them (5 s),
-#: so that a request is rarely written to a connection that is going away.
+#: Idle connections are closed here before common servers close them (5 s), so
+#: that a request is rarely written to a connection that is being closed.
 KEEPALIVE_S = 4.0
 
-#: An idle connection is asked after this silence, and again after it (s): the
-#: least that the system takes.
+#: Idle time before the first keep-alive probe, and interval between probes:
+#: the smallest value that the kernel accepts.
 KEEPALIVE_PROBE_INTERVAL_S = 1
 
-#: Unanswered segments after which a connection counts as dead.
+#: Unanswered probes after which a connection is dead.
 MAX_UNANSWERED_PROBES = 2
 
-#: Bytes not acknowledged for so long mean the same (ms); a lost packet is
-#: sent again within 0.2 to 1 s.
+#: Time that sent data may stay unacknowledged before a connection is dead; a
+#: lost packet is retransmitted within 0.2 to 1 s.
 USER_TIMEOUT_MS = 2_500
 
 
 def enable_dead_peer_detection(sock: socket.socket) -> None:
-    """Sets what lets `sock` notice that its other end is silent."""
+    """Sets the keep-alive options and the user timeout of `sock`."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(
         socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_PROBE_INTERVAL_S
--- a/src/radishwind/http/tests/test_differential.py
+++ b/src/radishwind/http/tests/test_differential.py
@@ -71,8 +71,8 @@
         handler=handle,
         limits=LIMITS,
         may_run_in_parallel=lambda request: False,
-        opened=lambda conn: True,
-        closed=lambda conn: None,
+        on_open=lambda conn: True,
+        on_closed=lambda conn: None,
         is_crowded=lambda: False,
     )
     transport = Transport()
