--- a/src/radishwind/cli/experiment.py
+++ b/src/radishwind/cli/experiment.py
@@ -43,11 +43,13 @@
     reports: dict[str, Report] = {}
     for names in ["", *(without or ())]:
         switches = parse_switches(names)
-        for each in seed or [scenario.seed]:
+        for scenario_seed in seed or [scenario.seed]:
             label = f"without {names}" if names else "all on"
-            label += f", seed {each}"
-            played = msgspec.structs.replace(scenario, seed=each)
-            reports[label] = simulate(played, switches)
+            label += f", seed {scenario_seed}"
+            seeded_scenario = msgspec.structs.replace(
+                scenario, seed=scenario_seed
+            )
+            reports[label] = simulate(seeded_scenario, switches)
             typer.echo(f"{label}: {format_report(reports[label])}")
     if plot is None:
         return
--- a/src/radishwind/cli/fleet.py
+++ b/src/radishwind/cli/fleet.py
@@ -67,9 +67,12 @@
 
 def fetch_config(admin: str) -> Configuration:
     """Fetches the configuration in force at a node; see `fetch_as`."""
-    found = fetch_as(admin, CONFIG_PATH, ConfigInForce)
+    config_in_force = fetch_as(admin, CONFIG_PATH, ConfigInForce)
     return Configuration(
-        found.revision, found.change_id, found.inventory, found.rules
+        config_in_force.revision,
+        config_in_force.change_id,
+        config_in_force.inventory,
+        config_in_force.rules,
     )
 
 
--- a/src/radishwind/experiment/simulated_callers.py
+++ b/src/radishwind/experiment/simulated_callers.py
@@ -50,12 +50,14 @@
         self._sent = 0
         self.records: list[RequestRecord] = []
 
-    async def send_with_retries(self, kind: RequestKind, since: float) -> None:
+    async def send_with_retries(
+        self, kind: RequestKind, load_start: float
+    ) -> None:
         """Sends one request and retries it as its kind allows.
 
         Args:
           kind: kind of the request.
-          since: start of the load (s, monotonic).
+          load_start: start of the load (s, monotonic).
         """
         began = self._clock.monotonic()
         outcome, attempts = RequestOutcome.FAILED, 0
@@ -80,7 +82,9 @@
             await anyio.sleep(self._backoff_s(response, left_s))
         duration_s = self._clock.monotonic() - began
         self.records.append(
-            RequestRecord(kind, began - since, duration_s, outcome, attempts)
+            RequestRecord(
+                kind, began - load_start, duration_s, outcome, attempts
+            )
         )
 
     async def _send(self, kind: RequestKind, left_s: float) -> Response | None:
--- a/src/radishwind/experiment/simulation.py
+++ b/src/radishwind/experiment/simulation.py
@@ -99,13 +99,13 @@
             for instance in self._instances:
                 self._start_instance(instance)
             await anyio.sleep(self._scenario.lead_s)
-            since = self._clock.monotonic()
+            load_start = self._clock.monotonic()
             async with anyio.create_task_group() as traffic:
                 for event in self._scenario.events:
                     tasks.start_soon(self._apply_event, event)
                 for kind in self._scenario.kinds:
                     traffic.start_soon(
-                        self._generate_arrivals, kind, callers, since
+                        self._generate_arrivals, kind, callers, load_start
                     )
             for instance in self._instances:
                 self._stop(instance)
@@ -113,7 +113,7 @@
         return Report(tuple(callers.records), self._runs, self._cold_crashes)
 
     async def _generate_arrivals(
-        self, kind: RequestKind, callers: SimulatedCallers, since: float
+        self, kind: RequestKind, callers: SimulatedCallers, load_start: float
     ) -> None:
         """Sends requests of `kind` at the times of a Poisson process."""
         rng = self._make_rng()
@@ -121,9 +121,12 @@
             while kind.per_s:
                 rate = kind.per_s * self._rate_factor
                 await anyio.sleep(rng.expovariate(rate))
-                if self._clock.monotonic() - since > self._scenario.length_s:
+                if (
+                    self._clock.monotonic() - load_start
+                    > self._scenario.length_s
+                ):
                     break
-                requests.start_soon(callers.send_with_retries, kind, since)
+                requests.start_soon(callers.send_with_retries, kind, load_start)
 
     async def _send_to_any_node(self, request: Request) -> Response | None:
         """Sends a caller's request to a running node chosen at random."""
