--- a/src/radishwind/http/__init__.py
+++ b/src/radishwind/http/__init__.py
@@ -1,7 +1,7 @@
-"""HTTP behind two small interfaces, `Server` and `Sender`.
+"""HTTP through two small interfaces, `Server` and `Sender`.
 
-The libraries stay behind them: aiohttp on the hot path, hypercorn and httpx as
-the house style asks; `docs/design/01-http-libraries.md` has the figures.
+They hide the libraries: httptools by default, aiohttp, and hypercorn with
+httpx; `docs/design/01-http-libraries.md` compares them.
 """
 
 from radishwind.http.errors import ConnectFailedError
--- a/src/radishwind/http/client_connection.py
+++ b/src/radishwind/http/client_connection.py
@@ -1,8 +1,9 @@
-"""One connection of a sender, and the exchange on it.
+"""One connection of a sender and the exchange on it.
 
-What comes while no request waits is no answer: the connection is closed, so
-that it is never taken for the answer to the next one. An answer without a
-length is whole only if its connection was ended in order.
+Bytes received while no exchange is in progress are not a response: the
+connection is closed, so that they are not taken for the response to the next
+request. A response without a length is complete only if its connection was
+closed in order.
 """
 
 import asyncio
@@ -25,7 +26,7 @@
 from radishwind.http.types import Response
 from radishwind.http.types import SMALL_BODY_BYTES
 
-#: The longest head of an answer (bytes).
+#: Limit of the size of a response head.
 MAX_RESPONSE_HEAD_BYTES = 256 * 1024
 
 _SWITCHING = 101
@@ -35,133 +36,135 @@
     """A connection that carries one exchange at a time.
 
     Attributes:
-      usable: whether a further exchange may begin on it.
-      idle_since: when the last exchange ended (s, of the loop).
-      answered: whether anything came for the exchange that runs.
+      is_usable: whether another exchange may start.
+      idle_since: when the last exchange ended (s, time of the loop).
+      has_received: whether anything was received in the current exchange.
     """
 
     def __init__(
         self,
-        released: Callable[["ClientConnection"], None],
+        on_released: Callable[["ClientConnection"], None],
         meter: ByteMeter = NO_METER,
     ) -> None:
-        """Makes a connection that is not made yet.
+        """Creates the protocol of a connection that is not open yet.
 
         Args:
-          released: called once an exchange has ended, or the connection is
-            lost; see `usable`.
-          meter: counts its bytes.
+          on_released: called when an exchange has ended or the connection is
+            lost; see `is_usable`.
+          meter: counts the bytes of the connection.
         """
-        self._released = released
+        self._on_released = on_released
         self._meter = meter
         self._transport: asyncio.Transport
         self._parser = httptools.HttpResponseParser(self)
-        self._answer: asyncio.Future[Response] | None = None
+        self._response: asyncio.Future[Response] | None = None
         self._body: IncomingBody | None = None
-        self._pump: asyncio.Task[None] | None = None
+        self._body_sender: asyncio.Task[None] | None = None
         self._writable: asyncio.Future[None] | None = None
-        self._writes = True
+        self._is_writable = True
         self._fields: list[tuple[bytes, bytes]] = []
         self._status = 0
         self._head_bytes = 0
         self._in_head = True
         self._until_close = False
-        self._whole_length: int | None = None
+        self._buffered_length: int | None = None
         self._to_head = False
-        self._lost = False
-        self.usable = True
+        self._is_lost = False
+        self.is_usable = True
         self.idle_since = 0.0
-        self.answered = False
+        self.has_received = False
 
-    # What the sender calls.
+    # Called by the sender.
 
     async def exchange(self, head: bytes, request: Request) -> Response:
-        """Sends `request` and returns its answer once the head is there.
+        """Sends `request` and returns once the response head was received.
 
         Args:
-          head: of `request`, as it is written.
-          request: what is sent.
+          head: encoded head of `request`.
+          request: what to send.
 
         Raises:
-          ExchangeBrokenError: the connection broke, or what came is no answer.
+          ExchangeBrokenError: the connection broke or the response is invalid.
         """
         loop = asyncio.get_running_loop()
-        self._answer = loop.create_future()
+        self._response = loop.create_future()
         self._to_head = request.method == "HEAD"
-        self.answered = False
-        self.usable = False
+        self.has_received = False
+        self.is_usable = False
         if isinstance(request.body, BodyStream):
             self._send(head)
-            self._pump = loop.create_task(self._send_body(request))
+            self._body_sender = loop.create_task(self._send_body(request))
         else:
             self._send(head + request.body)
-        answer = self._answer
+        response = self._response
         try:
-            return await answer
+            return await response
         except BaseException:
-            # Given up after its end the connection may carry another already.
-            if self._answer is answer:
+            # Once the exchange has ended, the connection may already serve
+            # another one.
+            if self._response is response:
                 self.abort()
             raise
 
     def abort(self) -> None:
         """Closes the connection at once."""
-        self.usable = False
-        if not self._lost:
+        self.is_usable = False
+        if not self._is_lost:
             self._transport.abort()
 
-    # What the event loop calls.
+    # Called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # A stream's; uvloop's own type is not derived from it.
+        # A stream transport; uvloop's class does not derive from
+        # `asyncio.Transport`.
         self._transport = cast("asyncio.Transport", transport)
 
     def data_received(self, data: bytes) -> None:
-        if self._answer is None:
-            # Nobody asked; what is said now is no answer.
+        if self._response is None:
+            # No exchange is in progress, so this is not a response.
             self.abort()
             return
-        self.answered = True
+        self.has_received = True
         self._meter.record_received(len(data))
         if self._in_head:
             self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as exc:
-            self._broke(f"expected an answer of HTTP/1.1: {exc}")
+            self._fail(f"expected a response of HTTP/1.1: {exc}")
             return
         if self._in_head and self._head_bytes > MAX_RESPONSE_HEAD_BYTES:
-            self._broke(
+            self._fail(
                 f"expected a head of {MAX_RESPONSE_HEAD_BYTES} bytes at most"
             )
 
     def eof_received(self) -> None:
         if self._until_close:
-            self._end()
+            self._complete()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._lost = True
+        self._is_lost = True
         if self._until_close and exc is None:
-            self._end()
-        self._broke(f"connection lost: {exc!r}")
+            self._complete()
+        self._fail(f"connection lost: {exc!r}")
         if self._writable is not None and not self._writable.done():
             self._writable.set_result(None)
-        self.usable = False
-        self._released(self)
+        self.is_usable = False
+        self._on_released(self)
 
     def pause_writing(self) -> None:
-        self._writes = False
+        self._is_writable = False
 
     def resume_writing(self) -> None:
-        self._writes = True
+        self._is_writable = True
         if self._writable is not None and not self._writable.done():
             self._writable.set_result(None)
 
-    # What the parser calls.
+    # Called by the parser.
 
     def on_message_begin(self) -> None:
-        if self._answer is None:
-            # A second answer behind the first.
+        if self._response is None:
+            # A second response after the first.
             self.abort()
         self._fields = []
 
@@ -171,19 +174,19 @@
 
     def on_headers_complete(self) -> None:
         self._status = self._parser.get_status_code()
-        if self._status < 200 or self._answer is None:
+        if self._status < 200 or self._response is None:
             return
         self._in_head = False
         self._head_bytes = 0
         headers = decode_fields(self._fields)
         framing = parse_framing(headers)
         if not framing.is_unambiguous:
-            self._broke("expected a body in chunks or of a told length")
+            self._fail("expected a chunked body or one with Content-Length")
             return
         if self._to_head or not has_body(self._status):
             self._resolve(Response(self._status, headers, b"", 0))
             if self._to_head:
-                # The parser waits for the body that the head tells of.
+                # The parser waits for the body that the head announces.
                 self._reset()
                 self._transport.close()
             return
@@ -191,8 +194,8 @@
         self._until_close = not framing.is_chunked and framing.length is None
         length = None if framing.is_chunked else framing.length
         if length is not None and length <= SMALL_BODY_BYTES:
-            self._whole_length = length
-            self._whole_headers = headers
+            self._buffered_length = length
+            self._buffered_headers = headers
             return
         self._resolve(Response(self._status, headers, self._body, length))
 
@@ -202,62 +205,64 @@
 
     def on_message_complete(self) -> None:
         if self._status == _SWITCHING:
-            self._broke("expected an answer, got another protocol")
+            self._fail("expected a response, got a switch of protocols")
             return
         if self._status >= 200:
-            self._end()
+            self._complete()
 
-    # Ends of an exchange.
+    # End of an exchange.
 
     def _resolve(self, response: Response) -> None:
-        if self._answer is not None and not self._answer.done():
-            self._answer.set_result(response)
+        if self._response is not None and not self._response.done():
+            self._response.set_result(response)
 
-    def _end(self) -> None:
-        """Takes that the answer is whole."""
-        if self._answer is None:
+    def _complete(self) -> None:
+        """Completes the response and releases the connection."""
+        if self._response is None:
             return
         body, self._body = self._body, None
         if body is not None:
             body.end()
-        if self._whole_length is not None and body is not None:
-            whole = body.get_buffered()
+        if self._buffered_length is not None and body is not None:
+            content = body.get_buffered()
             self._resolve(
-                Response(self._status, self._whole_headers, whole, len(whole))
+                Response(
+                    self._status, self._buffered_headers, content, len(content)
+                )
             )
-        keeps = not self._until_close and self._parser.should_keep_alive()
-        # The rest of a body that was not sent whole is due before the next
-        # request could be.
-        sent = self._pump is None or self._pump.done()
+        keeps_alive = not self._until_close and self._parser.should_keep_alive()
+        # If the request body was not sent completely, the next request cannot
+        # be sent on this connection.
+        is_sent = self._body_sender is None or self._body_sender.done()
         self._reset()
-        if self._lost:
+        if self._is_lost:
             return
-        if not keeps or not sent:
+        if not keeps_alive or not is_sent:
             self._transport.close()
             return
         self.idle_since = asyncio.get_running_loop().time()
-        self.usable = True
-        self._released(self)
+        self.is_usable = True
+        self._on_released(self)
 
     def _reset(self) -> None:
-        if self._pump is not None:
-            self._pump.cancel()
-            self._pump = None
-        self._answer = None
-        self._whole_length = None
+        if self._body_sender is not None:
+            self._body_sender.cancel()
+            self._body_sender = None
+        self._response = None
+        self._buffered_length = None
         self._until_close = False
         self._in_head = True
 
-    def _broke(self, reason: str) -> None:
-        """Takes that no answer, or no more of it, will come."""
+    def _fail(self, reason: str) -> None:
+        """Fails the exchange and closes the connection."""
         error = ExchangeBrokenError(reason)
         if self._body is not None:
             self._body.fail(error)
             self._body = None
-        answer = self._answer
+        response = self._response
         self._reset()
-        if answer is not None and not answer.done():
-            answer.set_exception(error)
+        if response is not None and not response.done():
+            response.set_exception(error)
         self.abort()
 
     def _send(self, data: bytes) -> None:
@@ -265,22 +270,23 @@
         self._meter.record_sent(len(data))
 
     async def _send_body(self, request: Request) -> None:
-        """Sends the pieces of a body as they come."""
+        """Sends the request body as it arrives."""
         assert isinstance(request.body, BodyStream)
-        in_chunks = request.body_bytes is None
+        is_chunked = request.body_bytes is None
         try:
             async for piece in request.body:
                 if not piece:
                     continue
-                self._send(encode_chunk(piece) if in_chunks else piece)
-                if not self._writes:
+                self._send(encode_chunk(piece) if is_chunked else piece)
+                if not self._is_writable:
                     loop = asyncio.get_running_loop()
                     self._writable = loop.create_future()
                     await self._writable
-            if in_chunks:
+            if is_chunked:
                 self._send(LAST_CHUNK)
         except asyncio.CancelledError:
             raise
         except Exception as exc:
-            # The sender of the body failed: the answer will be to a part.
-            self._broke(f"the body of the request broke off: {exc!r}")
+            # Reading the body failed: the response would be to an incomplete
+            # request.
+            self._fail(f"reading the request body failed: {exc!r}")
--- a/src/radishwind/http/factory.py
+++ b/src/radishwind/http/factory.py
@@ -1,4 +1,4 @@
-"""Chooses the HTTP library; the import waits until the choice is known."""
+"""Creates servers and senders; imports only the chosen HTTP library."""
 
 import enum
 
@@ -18,7 +18,7 @@
 def make_server(
     library: HttpLibrary, limits: ServerLimits | None = None
 ) -> Server:
-    """Returns a server that does not listen yet."""
+    """Creates a server that does not listen yet."""
     limits = limits or ServerLimits()
     if library is HttpLibrary.HYPERCORN_HTTPX:
         from radishwind.http.hypercorn_server import HypercornServer
@@ -34,7 +34,7 @@
 
 
 def make_sender(library: HttpLibrary, connections: int) -> Sender:
-    """Returns a sender with at most `connections` connections an address."""
+    """Creates a sender with at most `connections` connections per address."""
     if library is HttpLibrary.HYPERCORN_HTTPX:
         from radishwind.http.httpx_sender import HttpxSender
 
--- a/src/radishwind/http/httptools_sender.py
+++ b/src/radishwind/http/httptools_sender.py
@@ -1,4 +1,4 @@
-"""`Sender` over httptools: connections kept warm, an exchange on each."""
+"""`Sender` based on httptools, with a connection pool per address."""
 
 import asyncio
 import collections
@@ -17,14 +17,15 @@
 from radishwind.http.types import Request
 from radishwind.http.types import Response
 
-#: A connection that breaks so soon after a request was sent was forgotten (s);
-#: one that breaks later may have carried it.
+#: A reused connection that breaks this soon after a request was sent, without
+#: any response, was already dropped by the server (s); one that breaks later
+#: may have carried the request.
 STALE_DETECTION_S = 0.015
 
-#: The least rest after which a connection may still be used again (s).
+#: Smallest limit of the idle time of reusable connections (s).
 MIN_IDLE_LIMIT_S = 0.05
 
-#: How long the limit of the idle time applies after a stale connection (s).
+#: How long a reduced limit of the idle time applies (s).
 IDLE_LIMIT_DURATION_S = 20.0
 
 
@@ -37,30 +38,31 @@
         self.waiting: collections.deque[asyncio.Future[None]] = (
             collections.deque()
         )
-        # Connections that rested longer are not used before `idle_limit_until`
-        # (monotonic s).
+        # Until `idle_limit_until` (s, time of the loop), connections that were
+        # idle longer than this are not reused (s).
         self.idle_limit_s = float("inf")
         self.idle_limit_until = 0.0
 
     def max_idle_s(self, now: float) -> float:
-        """Returns how long a connection may have rested to be used again."""
+        """Returns how long a reusable connection may have been idle (s)."""
         return (
             self.idle_limit_s if now < self.idle_limit_until else float("inf")
         )
 
     def record_stale(self, idle_s: float, now: float) -> None:
-        """Takes that a connection which rested was gone unsaid."""
-        known_s = self.max_idle_s(now)
-        self.idle_limit_s = max(MIN_IDLE_LIMIT_S, min(known_s, idle_s / 2))
+        """Lowers the limit after a stale connection, idle for `idle_s`."""
+        current_s = self.max_idle_s(now)
+        self.idle_limit_s = max(MIN_IDLE_LIMIT_S, min(current_s, idle_s / 2))
         self.idle_limit_until = now + IDLE_LIMIT_DURATION_S
 
 
 class HttptoolsSender(Sender):
-    """Sends by httptools; see `Sender` for what it promises.
+    """Sends requests with httptools; see `Sender`.
 
-    A server that forgets connections which rested resets the next request on
-    one of them, and whether that ran is not known. So where one did, those that
-    rested half as long are not used again for a while.
+    Some servers drop idle connections without closing them and reset the next
+    request on such a connection; whether that request was executed is then
+    unknown. After such a reset, connections that were idle for half as long
+    are not reused for a while.
     """
 
     def __init__(
@@ -69,18 +71,18 @@
         keepalive_s: float = KEEPALIVE_S,
         meter: ByteMeter = NO_METER,
     ) -> None:
-        """Makes a sender.
+        """Creates a sender.
 
         Args:
-          connections: connections to one address at most.
-          keepalive_s: idle connections are closed after this time (s).
+          connections: maximum number of connections to one address.
+          keepalive_s: time after which idle connections are closed (s).
           meter: counts the bytes of all connections.
         """
         self._meter = meter
         self._connections = connections
         self._keepalive_s = keepalive_s
         self._pools: dict[Address, _Pool] = {}
-        self._sweeper: asyncio.TimerHandle | None = None
+        self._sweep_timer: asyncio.TimerHandle | None = None
         self._closed = False
 
     async def send(
@@ -90,58 +92,60 @@
         if pool is None:
             pool = self._pools[address] = _Pool()
         head = encode_request_head(request, address)
-        conn, idle_s = await self._take(pool, address, connect_timeout_s)
+        conn, idle_s = await self._acquire(pool, address, connect_timeout_s)
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started = loop.time()
         try:
             return await conn.exchange(head, request)
         except ExchangeBrokenError:
             now = loop.time()
-            at_once = not conn.answered and now - began < STALE_DETECTION_S
-            if idle_s and at_once:
+            is_immediate = (
+                not conn.has_received and now - started < STALE_DETECTION_S
+            )
+            if idle_s and is_immediate:
                 pool.record_stale(idle_s, now)
             raise
 
     async def close(self) -> None:
         self._closed = True
-        if self._sweeper is not None:
-            self._sweeper.cancel()
+        if self._sweep_timer is not None:
+            self._sweep_timer.cancel()
         for pool in self._pools.values():
             for conn in pool.idle:
                 conn.abort()
             pool.idle.clear()
         self._pools.clear()
-        # Lets the loop tell the connections that they are closed.
+        # Lets the loop call `connection_lost` of the connections.
         await asyncio.sleep(0)
 
-    async def _take(
+    async def _acquire(
         self, pool: _Pool, address: Address, connect_timeout_s: float
     ) -> tuple[ClientConnection, float]:
-        """Returns a connection and how long it rested; a new one did not (s).
+        """Returns a connection and its idle time (s); 0 for a new connection.
 
         Raises:
-          ConnectFailedError: none could be made.
+          ConnectFailedError: no connection could be opened.
         """
         while True:
             now = asyncio.get_running_loop().time()
-            most_s = min(self._keepalive_s, pool.max_idle_s(now))
+            limit_s = min(self._keepalive_s, pool.max_idle_s(now))
             while pool.idle:
                 conn = pool.idle.pop()
                 idle_s = now - conn.idle_since
-                if conn.usable and idle_s < most_s:
+                if conn.is_usable and idle_s < limit_s:
                     return conn, idle_s
                 conn.abort()
             if pool.open < self._connections:
                 return await self._connect(
                     pool, address, connect_timeout_s
                 ), 0.0
-            turn = asyncio.get_running_loop().create_future()
-            pool.waiting.append(turn)
+            available = asyncio.get_running_loop().create_future()
+            pool.waiting.append(available)
             try:
-                await turn
+                await available
             except BaseException:
-                if turn.done() and not turn.cancelled():
-                    self._let_next(pool)
+                if available.done() and not available.cancelled():
+                    self._wake_next(pool)
                 raise
 
     async def _connect(
@@ -149,62 +153,62 @@
     ) -> ClientConnection:
         loop = asyncio.get_running_loop()
         pool.open += 1
-        counted = [True]
+        is_counted = [True]
 
-        def released(conn: ClientConnection) -> None:
-            if conn.usable and not self._closed:
+        def on_released(conn: ClientConnection) -> None:
+            if conn.is_usable and not self._closed:
                 pool.idle.append(conn)
-                self._sweep_later()
-            elif counted:
-                counted.clear()
+                self._schedule_sweep()
+            elif is_counted:
+                is_counted.clear()
                 pool.open -= 1
                 if conn in pool.idle:
                     pool.idle.remove(conn)
-            self._let_next(pool)
+            self._wake_next(pool)
 
         try:
             with TimeLimit(timeout_s):
                 transport, conn = await loop.create_connection(
-                    lambda: ClientConnection(released, self._meter),
+                    lambda: ClientConnection(on_released, self._meter),
                     address.host,
                     address.port,
                 )
         except (OSError, TimeoutError) as exc:
-            counted.clear()
+            is_counted.clear()
             pool.open -= 1
-            self._let_next(pool)
+            self._wake_next(pool)
             raise ConnectFailedError(f"{address}: {exc!r}") from exc
         except BaseException:
-            counted.clear()
+            is_counted.clear()
             pool.open -= 1
-            self._let_next(pool)
+            self._wake_next(pool)
             raise
         enable_dead_peer_detection(transport.get_extra_info("socket"))
         return conn
 
-    def _let_next(self, pool: _Pool) -> None:
-        """Lets the next one that waits for a connection look again."""
+    def _wake_next(self, pool: _Pool) -> None:
+        """Wakes the next task that waits for a connection."""
         while pool.waiting:
-            turn = pool.waiting.popleft()
-            if not turn.done():
-                turn.set_result(None)
+            available = pool.waiting.popleft()
+            if not available.done():
+                available.set_result(None)
                 return
 
-    def _sweep_later(self) -> None:
-        if self._sweeper is None:
+    def _schedule_sweep(self) -> None:
+        if self._sweep_timer is None:
             loop = asyncio.get_running_loop()
-            self._sweeper = loop.call_later(self._keepalive_s, self._sweep)
+            self._sweep_timer = loop.call_later(self._keepalive_s, self._sweep)
 
     def _sweep(self) -> None:
-        """Closes connections that rested long enough."""
-        self._sweeper = None
+        """Closes connections that have been idle for `keepalive_s`."""
+        self._sweep_timer = None
         now = asyncio.get_running_loop().time()
-        kept = False
+        has_idle = False
         for pool in self._pools.values():
             for conn in list(pool.idle):
                 if now - conn.idle_since >= self._keepalive_s:
                     pool.idle.remove(conn)
                     conn.abort()
-            kept = kept or bool(pool.idle)
-        if kept:
-            self._sweep_later()
+            has_idle = has_idle or bool(pool.idle)
+        if has_idle:
+            self._schedule_sweep()
--- a/src/radishwind/http/problems.py
+++ b/src/radishwind/http/problems.py
@@ -1,4 +1,4 @@
-"""Error answers as problem details in JSON (RFC 9457)."""
+"""Error responses as problem details in JSON (RFC 9457)."""
 
 import math
 
@@ -8,21 +8,21 @@
 from radishwind.http.types import Headers
 from radishwind.http.types import Response
 
-#: Field names that callers may rely on.
+#: Names of header fields that are part of the interface to callers.
 CODE_FIELD = "Radishwind-Code"
 OUTCOME_FIELD = "Radishwind-Outcome"
 
 
 class Problem(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Problem details with our fields.
+    """Problem details with the extension members of this project.
 
     Attributes:
       title: the name of the code.
       status: the HTTP status.
-      detail: a sentence for the caller.
+      detail: an explanation for the caller.
       code: the numbered result code.
       outcome: `not-run` or `unknown`.
-      retry_after_s: when to come back (s).
+      retry_after_s: delay before a retry (s).
     """
 
     title: str
@@ -40,15 +40,15 @@
     outcome: str,
     retry_after_s: float | None = None,
 ) -> Response:
-    """Returns an error answer.
+    """Returns an error response.
 
     Args:
       code: the numbered result code.
       status: the HTTP status.
-      detail: a sentence for the caller.
+      detail: an explanation for the caller.
       outcome: `not-run` or `unknown`.
-      retry_after_s: when to come back (s); sent as `Retry-After` too, in
-        whole seconds rounded up, as that field asks.
+      retry_after_s: delay before a retry (s); also sent as `Retry-After`, which
+        requires whole seconds, rounded up.
     """
     title = code.name.lower().replace("_", "-")
     body = Problem(title, status, detail, int(code), outcome, retry_after_s)
--- a/src/radishwind/http/sanitization.py
+++ b/src/radishwind/http/sanitization.py
@@ -1,7 +1,7 @@
-"""What is taken from a received message and what is refused.
+"""Validates received requests and removes fields that are not forwarded.
 
-Fields that belong to one connection only are removed (RFC 9110, 7.6.1).
-Requests that two parsers could read differently are refused.
+Fields that apply to one connection only are removed (RFC 9110, 7.6.1). Requests
+that two parsers could interpret differently are rejected.
 """
 
 import re
@@ -26,26 +26,27 @@
     }
 )
 
-#: Methods that make no sense for a backend server behind a node.
-_REFUSED_METHODS = frozenset({"CONNECT", "TRACE"})
+#: Methods that cannot be forwarded to a backend server.
+_REJECTED_METHODS = frozenset({"CONNECT", "TRACE"})
 
-#: Fields that must not be given twice: receivers differ on which counts.
-_SINGLE = ("host", "content-length", "idempotency-key")
+#: Fields that must not be repeated: receivers differ on which value counts.
+_SINGLETON_FIELDS = ("host", "content-length", "idempotency-key")
 
 _DOT_SEGMENT = re.compile(r"/(\.|%2e){1,2}(/|$)", re.IGNORECASE)
 _PATH = re.compile(r"/[\x21-\x7e]*")
 
-#: Fields that only nodes may send start so.
+#: Prefix of the fields that only nodes may send.
 NODE_FIELD_PREFIX = "radishwind-node-"
 
 
 def strip_hop_by_hop_fields(headers: Headers) -> Headers:
-    """Returns `headers` as they may go on, in one pass.
+    """Returns the fields of `headers` that may be forwarded.
 
-    Hop-by-hop fields, listed or well known, and fields of nodes are removed.
+    Removes hop-by-hop fields, both standard ones and those that `Connection`
+    lists, and fields that only nodes may send.
     """
     names = [name.lower() for name, _ in headers]
-    dropped = _dropped(headers, names)
+    dropped = _hop_by_hop_names(headers, names)
     kept = [
         item
         for item, name in zip(headers, names, strict=True)
@@ -54,8 +55,8 @@
     return tuple(kept)
 
 
-def _dropped(headers: Headers, names: list[str]) -> frozenset[str]:
-    """Returns the hop-by-hop fields, by their `names` in lower case."""
+def _hop_by_hop_names(headers: Headers, names: list[str]) -> frozenset[str]:
+    """Returns the names of hop-by-hop fields, in lower case."""
     if "connection" not in names:
         return _HOP_BY_HOP
     lines = [
@@ -71,9 +72,9 @@
     """Returns the request target in origin form, `/PATH?QUERY`.
 
     Raises:
-      RequestRejectedError: it has another form, characters that must be
-        percent-encoded, or dot segments, which a server may resolve to a path
-        of another service.
+      RequestRejectedError: the target has another form, characters that must
+        be percent-encoded, or dot segments, which a server may resolve to a
+        path of another service.
     """
     if path.startswith(("http://", "https://")):
         try:
@@ -94,18 +95,19 @@
 
 
 def validate_request(request: Request) -> None:
-    """Checks what the parser lets pass.
+    """Checks what the parser does not check.
 
     Raises:
-      RequestRejectedError: the method is refused, a field is given twice that
-        must not be, or a value is not UTF-8.
+      RequestRejectedError: the method is not supported, a field is repeated
+        that must not be, or a value is not UTF-8.
     """
-    if request.method in _REFUSED_METHODS:
+    if request.method in _REJECTED_METHODS:
         raise RequestRejectedError(
-            f"expected a method for a backend server, got {request.method}"
+            "expected a method that backend servers support, got "
+            f"{request.method}"
         )
     names = [name.lower() for name, _ in request.headers]
-    for name in _SINGLE:
+    for name in _SINGLETON_FIELDS:
         if names.count(name) > 1:
             raise RequestRejectedError(f"expected one field {name}, got more")
     for name, value in request.headers:
--- a/src/radishwind/http/strict_response_handler.py
+++ b/src/radishwind/http/strict_response_handler.py
@@ -1,8 +1,8 @@
-"""aiohttp's client protocol, stricter about what is a whole answer.
+"""A stricter version of aiohttp's client protocol.
 
-Two things that aiohttp lets pass are refused here: an answer without a length
-whose connection is reset instead of ended, and bytes that arrive while no
-request waits, which would be taken for the answer to the next one.
+It rejects two things that aiohttp accepts: a response without a length whose
+connection is reset instead of closed, and bytes that arrive while no request is
+in progress, which would be taken for the response to the next one.
 """
 
 from typing import Any
@@ -13,10 +13,10 @@
 
 
 class StrictResponseHandler(ResponseHandler):
-    """Takes a reset for a broken answer and unasked bytes for a fault."""
+    """Treats resets and unsolicited bytes as errors of the connection."""
 
     def set_response_params(self, **params: Any) -> None:
-        # A request begins: the answer before is no longer the last word.
+        # A request starts, so the previous response no longer counts.
         self._payload = None
         super().set_response_params(**params)
 
@@ -34,5 +34,5 @@
         super().data_received(data)
 
     def _is_idle(self) -> bool:
-        """Returns whether the last answer is whole and none is due."""
+        """Returns whether the last response is complete and none is due."""
         return self._payload is not None and self._payload.is_eof()
--- a/src/radishwind/http/tests/test_stale_connections.py
+++ b/src/radishwind/http/tests/test_stale_connections.py
@@ -1,4 +1,8 @@
-"""A server that forgets connections which rested is asked on new ones."""
+"""Connections that a server dropped silently while idle are not reused.
+
+The next request on such a connection is reset, and whether it was executed is
+unknown.
+"""
 
 import math
 
@@ -16,8 +20,8 @@
 pytestmark = pytest.mark.anyio
 
 
-def rest(server, for_s):
-    """Lets the idle connections of the sender have rested so long."""
+def age_idle_connections(server, for_s):
+    """Makes the idle connections of the sender idle for `for_s` longer."""
     idle = server.sender._pools[server.address].idle
     for conn in idle:
         conn.idle_since -= for_s
@@ -25,12 +29,12 @@
 
 
 @pytest.fixture(autouse=True)
-def patient(monkeypatch):
-    """A busy machine must not make a break at once look like a late one."""
+def long_detection_time(monkeypatch):
+    """Keeps an immediate reset from counting as a late one under load."""
     monkeypatch.setattr(httptools_sender, "STALE_DETECTION_S", 30.0)
 
 
-async def test_what_rested_as_long_is_not_used_again_for_a_while():
+async def test_connections_idle_as_long_are_not_reused_for_a_while():
     async def script(count, writer):
         if count == 2:
             reset(writer)
@@ -41,20 +45,20 @@
     RawServer.sender_type = HttptoolsSender
     async with RawServer(script) as server:
         await server.ask()
-        rest(server, 1.0)
+        age_idle_connections(server, 1.0)
         with pytest.raises(ExchangeBrokenError):
             await server.ask("POST")
         await server.ask()
-        assert rest(server, 0.6) == 1
+        assert age_idle_connections(server, 0.6) == 1
         kept = server.sender._pools[server.address].idle[0]
 
         await server.ask()
 
-        assert not kept.usable
+        assert not kept.is_usable
         assert server.requests == ["GET", "POST", "GET", "GET"]
 
 
-def test_the_trust_comes_back_and_is_never_less_than_the_least():
+def test_idle_limit_expires_and_has_a_minimum():
     pool = httptools_sender._Pool()
     pool.record_stale(0.4, 10.0)
     assert pool.max_idle_s(11.0) == pytest.approx(0.2)
--- a/src/radishwind/http/types.py
+++ b/src/radishwind/http/types.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-#: Bodies up to this size (bytes) are held whole; larger ones are streamed.
+#: Bodies up to this size are buffered; larger ones are streamed.
 SMALL_BODY_BYTES = 64 * 1024
 
 _FIRST_SERVER_ERROR = 500
@@ -38,24 +38,24 @@
 
 
 class BodyStream(abc.ABC):
-    """A body read piece by piece, by one reader, once."""
+    """A body that is read once, piece by piece, by one reader."""
 
     @abc.abstractmethod
     def __aiter__(self) -> AsyncIterator[bytes]:
-        """Yields the pieces; raises `ExchangeBrokenError` if it is cut."""
+        """Yields the pieces; raises `ExchangeBrokenError` if it is cut off."""
 
     @abc.abstractmethod
     def abort(self) -> None:
-        """Gives the exchange up; its connection is closed, never reused."""
+        """Aborts the exchange; its connection is closed and never reused."""
 
     @property
     def is_unread(self) -> bool:
-        """Whether nobody began to read it; some streams can't tell."""
+        """Whether reading has not started; `False` where unknown."""
         return False
 
     @property
     def is_fully_buffered(self) -> bool:
-        """Whether all of it has come, so that it can't break off."""
+        """Whether it is buffered completely, so that it cannot be cut off."""
         return False
 
 
@@ -71,20 +71,20 @@
 
 
 def is_server_error(status: int) -> bool:
-    """Returns whether the HTTP `status` says that the server failed."""
+    """Returns whether the HTTP `status` is a server error."""
     return status >= _FIRST_SERVER_ERROR
 
 
 class Request(msgspec.Struct, frozen=True):
-    """A request as received or as to be sent.
+    """A request, received or to be sent.
 
     Attributes:
       method: the HTTP method, upper case.
       path: the request target: path and query as on the wire.
       headers: the field lines in order, names as received.
-      body: the body; empty bytes where there is none.
-      body_bytes: the length of the body (bytes), `None` where not told.
-      remote: the IP address of the other end, empty when sending.
+      body: the body; empty if there is none.
+      body_bytes: the length of the body (bytes), `None` if not stated.
+      remote: the IP address of the peer; empty if the request is to be sent.
     """
 
     method: str
@@ -96,13 +96,13 @@
 
 
 class Response(msgspec.Struct, frozen=True):
-    """A response as received or as to be sent.
+    """A response, received or to be sent.
 
     Attributes:
       status: the HTTP status, 100 to 599.
       headers: the field lines in order.
       body: the body; a stream must be read to its end or aborted.
-      body_bytes: the length of the body (bytes), `None` where not told.
+      body_bytes: the length of the body (bytes), `None` if not stated.
     """
 
     status: int
@@ -112,14 +112,14 @@
 
 
 async def read_body(body: Body) -> bytes:
-    """Returns the whole of `body`; for messages known to be small."""
+    """Reads the complete `body`; for messages known to be small."""
     if isinstance(body, bytes):
         return body
     return b"".join([piece async for piece in body])
 
 
 def is_resendable(body: Body) -> bool:
-    """Returns whether the whole of `body` can still be sent."""
+    """Returns whether `body` can still be sent from its start."""
     return isinstance(body, bytes) or body.is_unread
 
 
