--- a/src/radishwind/standins/platform_server.py
+++ b/src/radishwind/standins/platform_server.py
@@ -1,8 +1,10 @@
-"""A stand-in for a backend server of the platform, with its faults.
+"""A stand-in for a backend server of the platform, with fault injection.
 
-It runs requests in slots at the pace of its instance, which changes on a
-grid; queues a few, sheds the rest, tells its load, checks the incarnation
-meant, and sends heartbeats to the node beside it.
+It runs requests in a fixed number of slots, queues a bounded number and sheds
+the rest. The service time varies with the pace of the instance, which is drawn
+anew for each spell of a fixed length. Each response reports the load. A
+request that expects another incarnation is rejected, and heartbeats go to the
+node on the same instance.
 """
 
 import asyncio
@@ -25,33 +27,34 @@
 COUNTERS_PATH = "/standin/counters"
 HEALTH_PATH = "/health"
 
-#: A heartbeat that got no answer is sent again after this time (s).
-_RETRY_S = 0.3
+#: Delay before a heartbeat that was not acknowledged is retried (s).
+_HEARTBEAT_RETRY_S = 0.3
 
 _HEARTBEAT_TIMEOUT_S = 1.0
 
-#: Makes a close send a reset at once.
+#: Value of SO_LINGER with which a close sends a reset (RST) at once.
 _ZERO_LINGER = struct.pack("ii", 1, 0)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServerOptions:
-    """How the server behaves.
+    """The behavior of the server.
 
     Attributes:
-      service: the service it gives.
-      failure_domain: where it stands.
-      address: where it receives requests.
-      control: where it sends its heartbeats.
-      slots: requests it runs at once.
-      queue: requests that wait in it.
-      work_s: mean run time at the usual pace (s).
-      slow_share: part of the spells that are slow.
-      slow_pace: the pace in those.
-      spell_s: how long a spell lasts (s); 0 for no change of pace.
-      heartbeat_s: time between heartbeats (s).
-      cold_s: how long it is slow after its start (s).
-      incarnation: its name; drawn where empty.
+      service: the service that it provides.
+      failure_domain: its failure domain.
+      address: the address at which it listens.
+      control: the address of the node's control listener, which receives the
+        heartbeats.
+      slots: the maximum number of requests that run concurrently.
+      queue: the maximum number of queued requests.
+      work_s: the mean service time at pace 1 (s).
+      slow_share: the fraction of spells that are slow.
+      slow_pace: the pace during a slow spell.
+      spell_s: the duration of a spell (s); 0 for a constant pace.
+      heartbeat_s: the interval between heartbeats (s).
+      cold_s: the warm-up time after the start that heartbeats report (s).
+      incarnation: the ID of the incarnation; random if empty.
     """
 
     service: str
@@ -70,19 +73,22 @@
 
 
 class ServerFaults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What goes wrong, until told otherwise.
+    """The faults in force until they are replaced.
 
     Attributes:
-      answer: empty, or what happens to answers: `reset` (cut after the head),
-        `cut` (ended early), `unframed` (no length), `unframed-reset`, `extra`
-        (a second answer behind it), `other` (names another request),
-        `unsigned`, `encoded`, `lost` (it ran and nothing comes).
-      share: part of the answers that this happens to.
-      fail: part of the requests answered 500.
-      shed: part of the requests refused though there is room.
+      answer: empty, or the fault of a response: `reset` (truncated, then the
+        connection is reset), `cut` (truncated, then the connection is closed),
+        `unframed` (no length), `unframed-reset` (no length, truncated, then
+        the connection is reset), `extra` (followed by a second response),
+        `other` (carries the ID of another request), `unsigned` (carries no
+        signature), `encoded` (declares a content encoding), `lost` (the
+        request ran, but the connection is reset without a response).
+      share: the fraction of responses with this fault.
+      fail: the fraction of requests answered with status 500.
+      shed: the fraction of requests shed although the queue has room.
       health: empty, `bad` (always reports unhealthy) or `good` (always reports
         healthy).
-      slow: how many times slower than usual it is all the time.
+      slow: a factor on every service time.
     """
 
     answer: str = ""
@@ -97,13 +103,14 @@
     """One incarnation of a backend server.
 
     Attributes:
-      options: how it behaves.
-      incarnation: names it.
-      started_at_ms: when this life began (ms since the epoch, UTC).
-      faults: what goes wrong, until told otherwise.
-      runs: runs begun, by the name of the request.
-      accounts: the client account that each came for; empty for none.
-      draining: whether it says that it takes no new work.
+      options: the behavior of the server.
+      incarnation: the ID of the incarnation.
+      started_at_ms: the start of the incarnation (ms since the epoch, UTC).
+      faults: the faults in force.
+      runs: the number of runs started, by request ID.
+      accounts: the client account of each request, by request ID; empty for
+        none.
+      draining: whether heartbeats and health checks report it as draining.
       leave_acknowledged_at: when the node acknowledged the planned leave
         (monotonic s), set by the caller that makes it leave; `None` before.
       last_run_started_at: when the last run started (monotonic s); 0 before
@@ -135,11 +142,11 @@
 
     @property
     def service(self) -> str:
-        """The service it gives."""
+        """The service that the server provides."""
         return self.options.service
 
     def make_application(self) -> web.Application:
-        """Returns the server as an application of aiohttp."""
+        """Returns an aiohttp application that serves the requests."""
         app = web.Application()
         app.router.add_get(HEALTH_PATH, self._handle_health)
         app.router.add_post(FAULTS_PATH, self._handle_faults)
@@ -153,12 +160,16 @@
             while True:
                 acknowledged = await self.send_heartbeat(session)
                 period_s = self.options.heartbeat_s
-                await asyncio.sleep(period_s if acknowledged else _RETRY_S)
+                await asyncio.sleep(
+                    period_s if acknowledged else _HEARTBEAT_RETRY_S
+                )
 
     async def send_heartbeat(self, session: aiohttp.ClientSession) -> bool:
         """Sends one heartbeat; returns whether it was acknowledged."""
         options = self.options
-        cold_s = options.cold_s - (self._clock.monotonic() - self._started_at)
+        warmup_left_s = options.cold_s - (
+            self._clock.monotonic() - self._started_at
+        )
         body = {
             "service": options.service,
             "address": str(options.address),
@@ -166,39 +177,41 @@
             "version": "v1",
             "slots": options.slots,
             "state": "draining" if self.draining else "ready",
-            "warmup-left-ms": max(0.0, cold_s) * 1000,
+            "warmup-left-ms": max(0.0, warmup_left_s) * 1000,
             "seq": next(self._heartbeat_sequence),
             "born": self.started_at_ms,
         }
-        return await self._post(session, "Heartbeat", body)
+        return await self._post_to_node(session, "Heartbeat", body)
 
     async def deregister(self, session: aiohttp.ClientSession) -> bool:
-        """Ends the registration; returns whether that was acknowledged."""
+        """Deregisters; returns whether the node acknowledged it."""
         body = {"born": self.started_at_ms}
-        return await self._post(session, "Deregister", body)
+        return await self._post_to_node(session, "Deregister", body)
 
-    async def _post(
-        self, session: aiohttp.ClientSession, name: str, body: dict[str, Any]
+    async def _post_to_node(
+        self, session: aiohttp.ClientSession, method: str, body: dict[str, Any]
     ) -> bool:
         control = self.options.control
-        url = f"http://{control}/-/Instances.{name}/{self.incarnation}"
+        url = f"http://{control}/-/Instances.{method}/{self.incarnation}"
         timeout = aiohttp.ClientTimeout(total=_HEARTBEAT_TIMEOUT_S)
         try:
-            async with session.post(url, json=body, timeout=timeout) as answer:
-                return answer.status == 200
+            async with session.post(
+                url, json=body, timeout=timeout
+            ) as response:
+                return response.status == 200
         except (aiohttp.ClientError, TimeoutError):
             return False
 
     def pace(self) -> float:
-        """Returns how long work takes now; 1 is as usual."""
+        """Returns the current factor on service times; 1 is the normal pace."""
         options = self.options
         if not options.spell_s:
             return self.faults.slow
         now = self._clock.monotonic() + self._spell_offset_s
         spell = int(now / options.spell_s)
         if spell not in self._pace_by_spell:
-            slow = self._rng.random() < options.slow_share
-            self._pace_by_spell = {spell: options.slow_pace if slow else 1.0}
+            is_slow = self._rng.random() < options.slow_share
+            self._pace_by_spell = {spell: options.slow_pace if is_slow else 1.0}
         return self._pace_by_spell[spell] * self.faults.slow
 
     def _load_header(self) -> dict[str, str]:
@@ -252,79 +265,81 @@
             self._slots.release()
 
     async def _run_request(self, request: web.Request) -> web.StreamResponse:
-        name = request.headers["Attempt-Id"]
-        self.runs[name] += 1
-        self.accounts[name] = request.headers.get("Tenant", "")
+        request_id = request.headers["Attempt-Id"]
+        self.runs[request_id] += 1
+        self.accounts[request_id] = request.headers.get("Tenant", "")
         self.last_run_started_at = self._clock.monotonic()
-        left_s = float(request.headers.get("Timeout-Ms", "10000")) / 1000
+        timeout_s = float(request.headers.get("Timeout-Ms", "10000")) / 1000
         work_s = self._rng.gammavariate(8, self.options.work_s / 8)
         run_s = work_s * self.pace()
-        await asyncio.sleep(min(run_s, left_s))
-        if run_s > left_s:
-            return self._make_response(name, 504)
+        await asyncio.sleep(min(run_s, timeout_s))
+        if run_s > timeout_s:
+            return self._make_response(request_id, 504)
         if self._rng.random() < self.faults.fail:
-            return self._make_response(name, 500)
+            return self._make_response(request_id, 500)
         faults = self.faults
         if faults.answer and self._rng.random() < faults.share:
             return await self._send_faulty_response(
-                request, name, faults.answer
+                request, request_id, faults.answer
             )
-        return self._make_response(name, 200)
+        return self._make_response(request_id, 200)
 
-    def _make_response(self, name: str, status: int) -> web.Response:
-        headers = {"Attempt-Id": name, **self._load_header()}
+    def _make_response(self, request_id: str, status: int) -> web.Response:
+        headers = {"Attempt-Id": request_id, **self._load_header()}
         if status == 200:
-            headers["Response-Signature"] = f"{self.incarnation}.{name}"
-        body = b"done %s" % name.encode()
+            headers["Response-Signature"] = f"{self.incarnation}.{request_id}"
+        body = b"done %s" % request_id.encode()
         return web.Response(status=status, headers=headers, body=body)
 
     async def _send_faulty_response(
-        self, request: web.Request, name: str, how: str
+        self, request: web.Request, request_id: str, fault: str
     ) -> web.StreamResponse:
-        """Answers in one of the ways that an answer must not be."""
-        answer = self._make_response(name, 200)
-        if how == "unsigned":
-            del answer.headers["Response-Signature"]
-            return answer
-        if how == "other":
-            answer.headers["Attempt-Id"] = "another"
-            return answer
-        if how == "encoded":
-            answer.headers["Content-Encoding"] = "gzip"
-            return answer
+        """Sends a response with the fault `fault`."""
+        response = self._make_response(request_id, 200)
+        if fault == "unsigned":
+            del response.headers["Response-Signature"]
+            return response
+        if fault == "other":
+            response.headers["Attempt-Id"] = "another"
+            return response
+        if fault == "encoded":
+            response.headers["Content-Encoding"] = "gzip"
+            return response
         transport = request.transport
         assert transport is not None
-        if how != "lost":
+        if fault != "lost":
             transport.write(
-                _encode_faulty_response(name, self.incarnation, how)
+                _encode_faulty_response(request_id, self.incarnation, fault)
             )  # type: ignore[attr-defined]
             await asyncio.sleep(0.01)
-        if how in ("unframed", "cut", "extra"):
+        if fault in ("unframed", "cut", "extra"):
             transport.close()
         else:
             _send_reset(transport)
-        return answer
+        return response
 
 
 def _send_reset(transport: asyncio.BaseTransport) -> None:
-    """Ends a connection by a reset instead of an end."""
+    """Closes a connection with a reset (RST) instead of a FIN."""
     sock = transport.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _ZERO_LINGER)
     transport.abort()  # type: ignore[attr-defined]
 
 
-def _encode_faulty_response(name: str, incarnation: str, how: str) -> bytes:
-    """Returns the bytes of an answer that is spoiled in the way `how`."""
-    body = f"done {name}".encode()
+def _encode_faulty_response(
+    request_id: str, incarnation: str, fault: str
+) -> bytes:
+    """Returns the bytes of a response with the fault `fault`."""
+    body = f"done {request_id}".encode()
     head = (
-        f"HTTP/1.1 200 OK\r\nAttempt-Id: {name}\r\n"
-        f"Response-Signature: {incarnation}.{name}\r\n"
+        f"HTTP/1.1 200 OK\r\nAttempt-Id: {request_id}\r\n"
+        f"Response-Signature: {incarnation}.{request_id}\r\n"
     ).encode()
     length = b"Content-Length: %d\r\n\r\n" % len(body)
-    if how == "unframed":
+    if fault == "unframed":
         return head + b"\r\n" + body
-    if how == "unframed-reset":
+    if fault == "unframed-reset":
         return head + b"\r\n" + body[:-3]
-    if how == "extra":
+    if fault == "extra":
         return 2 * (head + length + body)
     return head + length + body[:-3]
