--- a/src/radishwind/standins/platform_store.py
+++ b/src/radishwind/standins/platform_store.py
@@ -1,8 +1,8 @@
-"""A stand-in for the platform's store, in memory, with its faults.
+"""An in-memory stand-in for the platform's store, with fault injection.
 
-It speaks the published calls: items with revisions, ranges in pages, watches,
-transactions, leases. Each call is counted. Faults are set from outside while
-it runs, as JSON posted to `FAULTS_PATH`.
+It implements the published calls: items with revisions, paged ranges, watches,
+transactions and leases. Each call is counted. Faults are set at run time by
+posting JSON to `FAULTS_PATH`.
 """
 
 import asyncio
@@ -19,27 +19,29 @@
 FAULTS_PATH = "/standin/faults"
 COUNTERS_PATH = "/standin/counters"
 
-#: Items in one page of a range, and entries of one transaction, at most.
+#: The maximum number of items in a page of a range, and of entries in a
+#: transaction.
 MAX_PAGE_ITEMS = 500
 MAX_TRANSACTION_ENTRIES = 32
 
-#: Keys that only the operator may write.
+#: Prefix of the keys that only the operator may write.
 OPERATOR_PREFIX = "op/"
 
-#: How often leases are looked at (s).
+#: Interval between checks for expired leases (s).
 _LEASE_CHECK_INTERVAL_S = 0.1
 
 
 class StoreFaults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What goes wrong, until told otherwise.
+    """The faults in force until they are replaced.
 
     Attributes:
-      down: empty, `busy` (503), `many` (429), `reset` or `silent`.
-      only: IP addresses that `down` and `lose_answers` concern; empty for all.
-      delay_ms: how long each call waits before it is carried out (ms).
-      lose_answers: transactions whose answer is lost from now on.
-      late_s: a transaction whose answer is lost is carried out so much later,
-        if its condition still holds (s).
+      down: empty, `busy` (status 503), `many` (status 429), `reset` (the
+        connection is reset) or `silent` (no response).
+      only: the client IP addresses to which `down` applies; empty for all.
+      delay_ms: the delay before each call is processed (ms).
+      lose_answers: the number of next transactions whose response is lost.
+      late_s: the delay after which a transaction whose response was lost is
+        applied, if its conditions still hold (s).
     """
 
     down: str = ""
@@ -51,19 +53,25 @@
 
 @dataclasses.dataclass(slots=True)
 class _Lease:
-    """A lease: its time to live (ms) and its end (monotonic s)."""
+    """A lease.
+
+    Attributes:
+      ttl_ms: the time to live (ms).
+      expires_at: when it expires (monotonic s).
+    """
 
     ttl_ms: int
-    until: float
+    expires_at: float
 
 
 class PlatformStoreStandin:
-    """Answers the store's calls.
+    """Handles the calls of the store.
 
     Attributes:
-      calls: calls received, by name; a waiting watch counts as one.
-      faults: what goes wrong, until told otherwise.
-      revision: the store's revision.
+      calls: the number of calls received, by name; a long-polling watch counts
+        once.
+      faults: the faults in force.
+      revision: the current revision of the store.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -81,7 +89,7 @@
         self.revision = 1
 
     def make_application(self) -> web.Application:
-        """Returns the store as an application of aiohttp."""
+        """Returns an aiohttp application that serves the calls."""
         app = web.Application()
         app.router.add_post(FAULTS_PATH, self._handle_faults)
         app.router.add_get(COUNTERS_PATH, self._handle_counters)
@@ -98,39 +106,45 @@
         return app
 
     async def run(self) -> None:
-        """Lets leases end in time; runs until cancelled."""
+        """Ends expired leases periodically until cancelled."""
         while True:
             now = self._clock.monotonic()
-            for lease in [k for k, v in self._leases.items() if v.until <= now]:
+            for lease in [
+                k for k, v in self._leases.items() if v.expires_at <= now
+            ]:
                 self.end_lease(lease)
             await asyncio.sleep(_LEASE_CHECK_INTERVAL_S)
 
     def put(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Writes an item as the operator does; returns its revision."""
+        """Writes an item as the operator, without a transaction's checks.
+
+        Returns:
+          The revision of the item.
+        """
         self.revision += 1
         self._write(key, base64.b64encode(value).decode(), lease)
         self._notify_watches()
         return self.revision
 
     def value(self, key: str) -> bytes | None:
-        """Returns the value of an item; `None` where there is none."""
+        """Returns the value of an item; `None` if the key is absent."""
         item = self._items.get(key)
         return None if item is None else base64.b64decode(item["value"])
 
     def remove(self, key: str) -> None:
-        """Removes an item as the operator does."""
+        """Removes an item as the operator, without a transaction's checks."""
         self.revision += 1
         self._remove(key)
         self._notify_watches()
 
     def compact_history(self) -> None:
-        """Drops the history, so that watches have to read anew."""
+        """Drops the history, so that watches must read the range again."""
         self._history.clear()
         self._compacted_revision = self.revision
         self._notify_watches()
 
     def end_lease(self, lease: int) -> None:
-        """Ends a lease; its keys are removed."""
+        """Ends a lease and removes the keys attached to it."""
         if self._leases.pop(lease, None) is None:
             return
         keys = [k for k, v in self._items.items() if v["lease"] == lease]
@@ -141,7 +155,7 @@
         self._notify_watches()
 
     def _with_faults(self, handler: Any) -> Any:
-        """Returns `handler` behind the faults in force."""
+        """Returns a handler that applies the faults before `handler`."""
 
         async def handle(request: web.Request) -> web.StreamResponse:
             self.calls[request.path.split("/")[2]] += 1
@@ -191,7 +205,7 @@
     async def _handle_watch(self, request: web.Request) -> web.Response:
         prefix, after = request.query["prefix"], int(request.query["after"])
         loop = asyncio.get_running_loop()
-        until = loop.time() + int(request.query["wait-ms"]) / 1000
+        deadline = loop.time() + int(request.query["wait-ms"]) / 1000
         while True:
             if after < self._compacted_revision:
                 return web.json_response({}, status=410)
@@ -200,10 +214,10 @@
                 for e in self._history
                 if e["rev"] > after and e["key"].startswith(prefix)
             ]
-            left_s = until - loop.time()
+            left_s = deadline - loop.time()
             if events or left_s <= 0:
-                answer = {"events": events, "current-rev": self.revision}
-                return web.json_response(answer)
+                response = {"events": events, "current-rev": self.revision}
+                return web.json_response(response)
             await _wait_at_most(self._change_event, left_s)
 
     async def _handle_transaction(
@@ -217,11 +231,11 @@
             self._delayed_transactions.add(task)
             task.add_done_callback(self._delayed_transactions.discard)
             return await _send_fault(request, "reset")
-        status, answer = self._apply_transaction(body)
-        return web.json_response(answer, status=status)
+        status, response = self._apply_transaction(body)
+        return web.json_response(response, status=status)
 
-    async def _apply_later(self, body: dict[str, Any], s: float) -> None:
-        await asyncio.sleep(s)
+    async def _apply_later(self, body: dict[str, Any], delay_s: float) -> None:
+        await asyncio.sleep(delay_s)
         self._apply_transaction(body)
 
     def _apply_transaction(
@@ -239,11 +253,11 @@
         for put in puts:
             if put.get("lease") and put["lease"] not in self._leases:
                 return 404, {"error": "no such lease"}
-        for row in conditions:
-            item = self._items.get(row["key"])
-            if (item["rev"] if item else 0) != row["rev"]:
-                named = [self._items.get(r["key"]) for r in conditions]
-                return 412, {"items": [i for i in named if i]}
+        for condition in conditions:
+            item = self._items.get(condition["key"])
+            if (item["rev"] if item else 0) != condition["rev"]:
+                current = [self._items.get(c["key"]) for c in conditions]
+                return 412, {"items": [i for i in current if i]}
         self.revision += 1
         for put in puts:
             self._write(put["key"], put["value"], put.get("lease", 0))
@@ -256,8 +270,8 @@
         ttl_ms = int((await request.json())["ttl-ms"])
         lease = self._next_lease
         self._next_lease += 1
-        until = self._clock.monotonic() + ttl_ms / 1000
-        self._leases[lease] = _Lease(ttl_ms, until)
+        expires_at = self._clock.monotonic() + ttl_ms / 1000
+        self._leases[lease] = _Lease(ttl_ms, expires_at)
         return web.json_response({"lease": lease, "ttl-ms": ttl_ms})
 
     async def _handle_lease_keepalive(
@@ -266,7 +280,7 @@
         lease = self._leases.get(int(request.match_info["id"]))
         if lease is None:
             return web.json_response({}, status=404)
-        lease.until = self._clock.monotonic() + lease.ttl_ms / 1000
+        lease.expires_at = self._clock.monotonic() + lease.ttl_ms / 1000
         return web.json_response({"ttl-ms": lease.ttl_ms})
 
     async def _handle_lease_end(self, request: web.Request) -> web.Response:
@@ -274,13 +288,15 @@
         return web.json_response({})
 
     def _write(self, key: str, value: str, lease: int) -> None:
-        old = self._items.get(key)
-        created = old["created-rev"] if old else self.revision
+        previous = self._items.get(key)
+        created_revision = (
+            previous["created-rev"] if previous else self.revision
+        )
         item = {
             "key": key,
             "value": value,
             "rev": self.revision,
-            "created-rev": created,
+            "created-rev": created_revision,
             "lease": lease,
         }
         self._items[key] = item
@@ -296,12 +312,12 @@
         self._change_event = asyncio.Event()
 
 
-async def _send_fault(request: web.Request, how: str) -> web.StreamResponse:
-    if how == "busy":
+async def _send_fault(request: web.Request, fault: str) -> web.StreamResponse:
+    if fault == "busy":
         return web.json_response({}, status=503)
-    if how == "many":
+    if fault == "many":
         return web.json_response({}, status=429)
-    if how == "silent":
+    if fault == "silent":
         await asyncio.sleep(3600)
     transport = request.transport
     if transport is not None:
@@ -309,8 +325,8 @@
     return web.Response(status=503)
 
 
-async def _wait_at_most(event: asyncio.Event, for_s: float) -> None:
+async def _wait_at_most(event: asyncio.Event, timeout_s: float) -> None:
     try:
-        await asyncio.wait_for(event.wait(), for_s)
+        await asyncio.wait_for(event.wait(), timeout_s)
     except TimeoutError:
         return
