--- a/src/radishwind/standins/platform_day.py
+++ b/src/radishwind/standins/platform_day.py
@@ -1,8 +1,9 @@
-"""A calm day on stand-ins of the platform: `python -m ...platform_day`.
+"""A demonstration without faults: `python -m ...platform_day`.
 
-Five instances in two failure domains serve callers for some seconds; the
-servers' pace changes all the time, one server drains and one node is stopped
-as planned. It ends with 0 if every request was answered and none ran twice.
+Five instances in two failure domains serve callers for some seconds while the
+pace of the servers varies, one server drains and one node is stopped
+gracefully. The exit code is 0 if every request was answered with status 200
+and no booking ran more than once.
 """
 
 import asyncio
@@ -30,11 +31,11 @@
     Place("b-2", "127.0.9.25", "b", "sessions"),
 ]
 
-#: How long callers send, and their requests a second on each instance.
+#: Duration of the load (s) and mean request rate on each instance.
 LOAD_DURATION_S = 8.0
 REQUESTS_PER_S = 12.0
 
-#: When the drain and the planned stop begin (s).
+#: When the drain and the graceful stop start, from the start of the load (s).
 _DRAIN_START_S = 2.0
 _NODE_STOP_S = 4.0
 
@@ -43,12 +44,12 @@
 
 @dataclasses.dataclass(slots=True)
 class ResponseCounts:
-    """What callers got.
+    """Counts the responses that callers received.
 
     Attributes:
-      statuses: answers by status; 0 for none.
-      times_ms: answer times of successes (ms).
-      again: requests that came back after a refusal.
+      statuses: the number of final responses by status; 0 for no response.
+      times_ms: the response times of successful requests (ms).
+      retried: the number of requests retried after a response with status 503.
     """
 
     statuses: collections.Counter[int] = dataclasses.field(
@@ -59,7 +60,11 @@
 
 
 async def main() -> int:
-    """Plays the day and prints what became of the requests."""
+    """Runs the deployment under load and prints a report.
+
+    Returns:
+      The exit code.
+    """
     with tempfile.TemporaryDirectory() as folder:
         async with Fleet(_PLACES, pathlib.Path(folder)) as fleet:
             fleet.configure(
@@ -96,7 +101,7 @@
 
 
 def _has_stop_begun(end: float) -> bool:
-    """Returns whether callers of the stopped node have gone elsewhere."""
+    """Returns whether the planned stop of the node has started."""
     return time.monotonic() > end - LOAD_DURATION_S + _NODE_STOP_S
 
 
@@ -105,13 +110,13 @@
 ) -> None:
     method = "POST" if service == "sessions" else "GET"
     started = time.monotonic()
-    answer = await fleet.ask(instance, f"/{service}/x", method)
-    if answer.status == 503:
+    response = await fleet.ask(instance, f"/{service}/x", method)
+    if response.status == 503:
         counts.retried += 1
-        await asyncio.sleep(float(answer.headers["Retry-After"]))
-        answer = await fleet.ask(instance, f"/{service}/x", method)
-    counts.statuses[answer.status] += 1
-    if answer.status == 200:
+        await asyncio.sleep(float(response.headers["Retry-After"]))
+        response = await fleet.ask(instance, f"/{service}/x", method)
+    counts.statuses[response.status] += 1
+    if response.status == 200:
         counts.times_ms.append((time.monotonic() - started) * 1000)
 
 
--- a/src/radishwind/standins/platform_fleet.py
+++ b/src/radishwind/standins/platform_fleet.py
@@ -1,7 +1,7 @@
-"""A small deployment on one machine: nodes as processes, the rest stood in.
+"""A small deployment on one machine: real node processes and stand-ins.
 
-Each instance has an address of its own in the loopback range, so that all use
-the same ports as on the platform.
+Each instance has its own loopback IP address, so that all instances use the
+same ports, as on the platform.
 """
 
 import asyncio
@@ -33,24 +33,24 @@
 HOST = "calm.example"
 STORE_HOST = "127.0.9.1"
 
-#: What holds in every deployment of stand-ins.
+#: The `bounds` setting that every deployment of stand-ins has.
 _BOUNDS = ("drain-ms=2000", "grace-s=6", "retry-slack=58")
 
-#: How long a node may take to be ready (s).
+#: Time within which a node must become ready (s).
 READY_WITHIN_S = 20.0
 
-_LOOK_S = 0.05
+_POLL_INTERVAL_S = 0.05
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Place:
-    """An instance of the deployment.
+    """The configuration of an instance of the deployment.
 
     Attributes:
-      name: of the instance.
-      host: its IP address.
-      failure_domain: where it stands.
-      service: of the server beside.
+      name: the name of the instance.
+      host: the IP address of the instance.
+      failure_domain: the failure domain of the instance.
+      service: the service that its backend server provides.
     """
 
     name: str
@@ -61,12 +61,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerResponse:
-    """What a caller got.
+    """The response that a caller received.
 
     Attributes:
-      status: the HTTP status; 0 for no answer.
-      headers: the fields.
-      body: the body.
+      status: the HTTP status; 0 for no response.
+      headers: the header fields.
+      body: the complete body.
     """
 
     status: int
@@ -75,10 +75,28 @@
 
 
 class Instance:
-    """One instance: its node as a process, its server stood in.
+    """One instance: a node process and a stand-in for its backend server.
 
     Attributes:
-      python: the command that runs a module; of its node.
+      place: the configuration of the instance.
+      caller_address: the listener for callers on the node.
+      control_address: the control listener of the node, which receives the
+        heartbeats of the server.
+      ready_address: the readiness listener of the node.
+      peer_address: the listener for peers on the node.
+      server_address: the address of the backend server.
+      metrics_address: the metrics listener of the node.
+      configured_store_address: the address of the store that the node is
+        configured with, such as that of a proxy; `None` for the real one.
+      configured_server_address: the address of the backend server that the
+        node is configured with.
+      configured_peer_address: the peer address that the node advertises;
+        `None` for the real one.
+      python: the Python command that runs the node.
+      log_path: the log file of the node.
+      settings_path: the settings file of the node.
+      server: the current incarnation of the backend server; `None` before
+        the first start.
     """
 
     def __init__(self, place: Place, port: int, folder: pathlib.Path) -> None:
@@ -89,8 +107,6 @@
         self.peer_address = Address(place.host, port + 3)
         self.server_address = Address(place.host, port + 4)
         self.metrics_address = Address(place.host, port + 6)
-        # What its node is told of the store, its server and itself; others
-        # than the real addresses where something stands in between.
         self.configured_store_address: Address | None = None
         self.configured_server_address = self.server_address
         self.configured_peer_address: Address | None = None
@@ -106,7 +122,7 @@
     def write_settings(
         self, store: Address, domains: list[str], bounds: tuple[str, ...]
     ) -> None:
-        """Writes the settings file as the platform does."""
+        """Writes the settings file in the format of the platform."""
         place = self.place
         lines = [
             f'node = "{place.name}"',
@@ -131,7 +147,7 @@
         self.settings_path.write_text("\n".join(lines) + "\n")
 
     async def start_node(self) -> None:
-        """Starts the node as a process."""
+        """Starts the node process."""
         if self.log_path.exists():
             self._log_size_at_start = self.log_path.stat().st_size
         environ = {
@@ -158,7 +174,7 @@
         self.server = PlatformServerStandin(
             options, random.Random(seed), SystemClock()
         )
-        self._runner = await _serve(
+        self._runner = await _start_application(
             self.server.make_application(), self.server_address
         )
         self._heartbeat_task = asyncio.create_task(
@@ -166,50 +182,50 @@
         )
 
     async def restart_server(self) -> None:
-        """Ends the server and starts another life under the same name."""
-        before = self.server
-        assert before is not None, "no server was started"
+        """Crashes the server and restarts it with the same incarnation ID."""
+        previous = self.server
+        assert previous is not None, "no server was started"
         await self.crash_server()
         options = dataclasses.replace(
-            before.options, incarnation=before.incarnation
+            previous.options, incarnation=previous.incarnation
         )
         await self.start_server(options, seed=1)
 
     def stop_heartbeats(self) -> None:
-        """Lets the server say nothing any more."""
+        """Stops the heartbeats of the server, which goes on serving."""
         if self._heartbeat_task is not None:
             self._heartbeat_task.cancel()
 
     async def crash_server(self) -> None:
-        """Ends the server without a word."""
+        """Stops the server without a draining heartbeat or deregistration."""
         self.stop_heartbeats()
         if self._runner is not None:
             await self._runner.cleanup()
         self._runner = None
 
     def signal_node(self, number: signal.Signals) -> None:
-        """Sends a signal to the node, to the process started here only."""
+        """Sends a signal to the node process if it is still running."""
         if self._process is not None and self._process.returncode is None:
             self._process.send_signal(number)
 
     @property
     def has_logged_since_start(self) -> bool:
-        """Whether the node wrote any line since its last start."""
+        """Whether the node has logged anything since its last start."""
         return self.log_path.stat().st_size > self._log_size_at_start
 
     @property
     def node_pid(self) -> int:
-        """The process of the node."""
+        """The process ID of the node."""
         assert self._process is not None, "no node was started"
         return self._process.pid
 
     async def node_ended(self) -> int:
-        """Returns the exit code of the node once it ended."""
+        """Waits until the node exits; returns its exit code."""
         assert self._process is not None
         return await self._process.wait()
 
     async def close(self) -> None:
-        """Ends the node and the server."""
+        """Stops the server and kills the node."""
         await self.crash_server()
         self.signal_node(signal.SIGKILL)
         if self._process is not None:
@@ -217,13 +233,14 @@
 
 
 class Fleet:
-    """The deployment: instances, the store, and the operator.
+    """A deployment: instances, the store, and the operator's writes to it.
 
     Attributes:
-      instances: by name.
-      store: the store stood in.
-      accounts: the client accounts of the next configurations, as the
-        operator writes them.
+      instances: the instances, by name.
+      store: the stand-in for the store.
+      store_address: the address of the store.
+      accounts: the client accounts that `configure` writes, in the format of
+        the operator.
     """
 
     def __init__(
@@ -233,17 +250,17 @@
         prepare: Callable[[Instance], Awaitable[None]] | None = None,
         bounds: tuple[str, ...] = (),
     ) -> None:
-        """Makes a deployment that is not started yet.
+        """Initializes a deployment without starting it.
 
         Args:
-          places: the instances.
-          folder: where settings and logs go.
+          places: the configurations of the instances.
+          folder: the directory for settings and log files.
           prepare: called with each instance before its settings are written.
-          bounds: further ones of the settings, as NAME=VALUE.
+          bounds: further entries of the `bounds` setting, as NAME=VALUE.
         """
         self._bounds = bounds
         self.accounts: list[dict[str, Any]] = []
-        self._prepare = prepare
+        self._prepare_instance = prepare
         port = find_free_port_range([p.host for p in places] + [STORE_HOST], 10)
         self.instances = {p.name: Instance(p, port, folder) for p in places}
         self.store = PlatformStoreStandin(SystemClock())
@@ -253,10 +270,12 @@
         self._session: aiohttp.ClientSession
 
     async def __aenter__(self) -> "Fleet":
-        runner = await _serve(self.store.make_application(), self.store_address)
+        runner = await _start_application(
+            self.store.make_application(), self.store_address
+        )
         self._stack.push_async_callback(runner.cleanup)
-        lapse = asyncio.create_task(self.store.run())
-        self._stack.callback(lapse.cancel)
+        store_task = asyncio.create_task(self.store.run())
+        self._stack.callback(store_task.cancel)
         connector = aiohttp.TCPConnector(limit=0, force_close=True)
         self._session = aiohttp.ClientSession(connector=connector)
         self._stack.push_async_callback(self._session.close)
@@ -264,8 +283,8 @@
             {i.place.failure_domain for i in self.instances.values()}
         )
         for instance in self.instances.values():
-            if self._prepare is not None:
-                await self._prepare(instance)
+            if self._prepare_instance is not None:
+                await self._prepare_instance(instance)
             instance.write_settings(self.store_address, domains, self._bounds)
             self._stack.push_async_callback(instance.close)
         return self
@@ -274,27 +293,38 @@
         await self._stack.aclose()
 
     async def start(self, seed: int, **options: Any) -> None:
-        """Starts every server and node, and waits until all are ready."""
+        """Starts every server and node, and waits until all nodes are ready.
+
+        Args:
+          seed: seeds the servers.
+          **options: further fields of `ServerOptions`.
+
+        Raises:
+          TimeoutError: a node is not ready within `READY_WITHIN_S`.
+        """
         for number, instance in enumerate(self.instances.values()):
             place = instance.place
-            told = ServerOptions(
+            server_options = ServerOptions(
                 place.service,
                 place.failure_domain,
                 instance.server_address,
                 instance.control_address,
                 **options,
             )
-            await instance.start_server(told, seed + number)
+            await instance.start_server(server_options, seed + number)
             await instance.start_node()
         for instance in self.instances.values():
             await self.until_ready(instance)
 
     def configure(self, routes: list[dict[str, Any]], **more: Any) -> int:
-        """Writes a configuration as the operator does; returns its version.
+        """Writes a configuration to the store in the operator's format.
 
         Args:
-          routes: as `route` returns them.
+          routes: the routes, as returned by `route`.
           **more: further fields of the configuration.
+
+        Returns:
+          The version of the configuration.
         """
         self._config_version += 2
         names = {i.place.service for i in self.instances.values()}
@@ -314,15 +344,15 @@
         return self._config_version
 
     async def until_ready(self, instance: Instance) -> None:
-        """Returns once the node says that it takes callers.
+        """Waits until the node reports that it is ready.
 
         Raises:
-          TimeoutError: it does not within `READY_WITHIN_S`.
+          TimeoutError: the node is not ready within `READY_WITHIN_S`.
         """
         url = f"http://{instance.ready_address}/-/ready"
         async with asyncio.timeout(READY_WITHIN_S):
-            while not await self._answers(url):  # noqa: ASYNC110
-                await asyncio.sleep(_LOOK_S)
+            while not await self._is_ok(url):  # noqa: ASYNC110
+                await asyncio.sleep(_POLL_INTERVAL_S)
 
     async def ask(
         self,
@@ -333,7 +363,7 @@
         request_id: str = "",
         headers: Mapping[str, str] | None = None,
     ) -> CallerResponse:
-        """Sends a request as a caller on `instance` does."""
+        """Sends a request to the caller listener of `instance`."""
         fields = {
             "Host": HOST,
             "Attempt-Id": request_id or uuid.uuid4().hex[:16],
@@ -345,23 +375,25 @@
         try:
             async with self._session.request(
                 method, url, headers=fields, timeout=timeout
-            ) as answer:
-                body = await answer.read()
-                return CallerResponse(answer.status, dict(answer.headers), body)
+            ) as response:
+                body = await response.read()
+                return CallerResponse(
+                    response.status, dict(response.headers), body
+                )
         except (aiohttp.ClientError, TimeoutError):
             return CallerResponse(0, {}, b"")
 
-    async def _answers(self, url: str) -> bool:
+    async def _is_ok(self, url: str) -> bool:
         timeout = aiohttp.ClientTimeout(total=1.0)
         try:
-            async with self._session.get(url, timeout=timeout) as answer:
-                return answer.status == 200
+            async with self._session.get(url, timeout=timeout) as response:
+                return response.status == 200
         except (aiohttp.ClientError, TimeoutError):
             return False
 
 
 def route(service: str, kind: str, **more: Any) -> dict[str, Any]:
-    """Returns a route below `/SERVICE/` as the operator writes it."""
+    """Returns a route for `/SERVICE/` in the operator's format."""
     return {
         "name": f"r-{service}",
         "host": HOST,
@@ -376,7 +408,9 @@
     }
 
 
-async def _serve(app: web.Application, address: Address) -> web.AppRunner:
+async def _start_application(
+    app: web.Application, address: Address
+) -> web.AppRunner:
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
     await runner.setup()
     site = web.TCPSite(runner, address.host, address.port, reuse_address=True)
--- a/src/radishwind/standins/ports.py
+++ b/src/radishwind/standins/ports.py
@@ -1,11 +1,14 @@
-"""Finds ports that are free on several addresses at once."""
+"""Finds ports that are free on several addresses."""
 
 from collections.abc import Sequence
 import socket
 
 
 def find_free_port_range(hosts: Sequence[str], count: int) -> int:
-    """Returns the first of `count` ports that are free on every host."""
+    """Returns the first of `count` consecutive ports free on every host.
+
+    A port counts as free if both TCP and UDP sockets can be bound to it.
+    """
     while True:
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
@@ -17,8 +20,8 @@
 
 
 def _is_free(host: str, port: int) -> bool:
-    for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
-        with socket.socket(type=kind) as probe:
+    for socket_type in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
+        with socket.socket(type=socket_type) as probe:
             try:
                 probe.bind((host, port))
             except OSError:
