--- a/src/radishwind/standins/store.py
+++ b/src/radishwind/standins/store.py
@@ -1,7 +1,7 @@
-"""A stand-in for the platform's store, in memory.
+"""An in-memory stand-in for an etcd store, with fault injection.
 
-It speaks the part of etcd's v3 JSON gateway that the product uses, counts each
-call, and can be told at run time to fail in the ways the platform's does.
+It implements the part of etcd's v3 JSON gateway that the product uses and
+counts each call. Faults of the platform's store are injected at run time.
 """
 
 import base64
@@ -24,7 +24,7 @@
 FAULTS_PATH = "/standin/faults"
 COUNTERS_PATH = "/standin/counters"
 
-#: The kind under which each path is counted.
+#: The kind of call of each path.
 _KINDS = {
     "/v3/kv/range": "range",
     "/v3/kv/txn": "txn",
@@ -34,22 +34,24 @@
     "/v3/watch": "watch",
 }
 
-#: How often it looks for leases whose time is over (s).
-_LAPSE_STEP_S = 0.1
+#: Interval between checks for expired leases (s).
+_LEASE_CHECK_INTERVAL_S = 0.1
 
 
 class StoreFaults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What goes wrong, until told otherwise.
+    """The faults in force until they are replaced.
 
     Attributes:
-      down: empty, `refuse` (connections are cut and calls not carried out) or
-        `hang` (calls get no answer and are not carried out).
-      delay_ms: how long each call waits before it is carried out (ms).
-      lose_answers: how many of the next calls of `lose_kind` are carried out
-        and get no answer.
-      lose_kind: the kind of call meant, `txn` if not given.
-      lose_prefix: only transactions that name a key below it lose theirs.
-      lapse_leases: leases that end now, by ID; `[-1]` for all.
+      down: empty, `refuse` (the connection breaks and the call is not
+        executed) or `hang` (there is no response and the call is not
+        executed).
+      delay_ms: the delay before each call is executed (ms).
+      lose_answers: the number of next calls of `lose_kind` that are executed
+        but whose response is lost.
+      lose_kind: the kind of call that loses its response.
+      lose_prefix: limits the loss to transactions that change a key with this
+        prefix.
+      lapse_leases: the IDs of leases to end at once; `[-1]` for all.
     """
 
     down: str = ""
@@ -61,12 +63,12 @@
 
 
 class StoreStandin:
-    """Receives calls; its state is in `StoreState`.
+    """Handles calls of the gateway and applies faults.
 
     Attributes:
-      state: keys, revisions and leases.
-      calls: calls received, by kind; a waiting watch counts as one.
-      open_watches: watches that are open now.
+      state: the keys, revisions and leases.
+      calls: the number of calls received, by kind; a watch counts once.
+      open_watches: the number of open watches.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -74,19 +76,19 @@
         self.calls: dict[str, int] = {}
         self.open_watches = 0
         self._faults = StoreFaults()
-        self._lose_answers = 0
+        self._answers_to_lose = 0
         self._faults_changed = anyio.Event()
 
     async def run(self) -> None:
-        """Lets leases lapse in time; runs until cancelled."""
+        """Ends expired leases periodically until cancelled."""
         while True:
-            self.state.lapse()
-            await anyio.sleep(_LAPSE_STEP_S)
+            self.state.end_expired_leases()
+            await anyio.sleep(_LEASE_CHECK_INTERVAL_S)
 
     def set_faults(self, faults: StoreFaults) -> None:
         """Replaces the faults in force."""
         self._faults = faults
-        self._lose_answers = faults.lose_answers
+        self._answers_to_lose = faults.lose_answers
         for lease_id in faults.lapse_leases:
             if lease_id == -1:
                 self.state.end_all_leases()
@@ -95,43 +97,45 @@
         self._faults_changed = anyio.Event()
 
     async def handle(self, request: Request) -> Response:
-        """Answers one call."""
+        """Handles one call."""
         if request.path == COUNTERS_PATH:
-            return _json(200, self._counters())
+            return _make_response(200, self._read_counters())
         if request.path == FAULTS_PATH:
             return await self._handle_faults(request)
         kind = _KINDS.get(request.path)
         if kind is None:
-            return _error(404, 5, "not found")
+            return _make_error(404, 5, "not found")
         self.calls[kind] = self.calls.get(kind, 0) + 1
         body = await read_body(request.body)
-        if not await self._reachable():
-            return Response(200, (), _CutBody())
-        self.state.lapse()
+        if not await self._apply_availability_faults():
+            return Response(200, (), _BrokenBody())
+        self.state.end_expired_leases()
         try:
             call = msgspec.json.decode(body)
-            response = self._answer(kind, call)
+            response = self._execute(kind, call)
         except CallError as exc:
-            return _error(exc.status, exc.code, str(exc))
+            return _make_error(exc.status, exc.code, str(exc))
         except (KeyError, TypeError, ValueError, AttributeError) as exc:
-            return _error(400, 3, repr(exc))
-        if self._loses_answer(kind, call):
-            return Response(200, (), _CutBody())
+            return _make_error(400, 3, repr(exc))
+        if self._should_lose_response(kind, call):
+            return Response(200, (), _BrokenBody())
         return response
 
-    def _loses_answer(self, kind: str, call: dict[str, Any]) -> bool:
-        """Returns whether the answer is to be lost, and counts it."""
-        if kind != self._faults.lose_kind or self._lose_answers <= 0:
+    def _should_lose_response(self, kind: str, call: dict[str, Any]) -> bool:
+        """Returns whether the response is lost, and counts the loss."""
+        if kind != self._faults.lose_kind or self._answers_to_lose <= 0:
             return False
         prefix = self._faults.lose_prefix
-        if prefix and not any(key.startswith(prefix) for key in _keys(call)):
+        if prefix and not any(
+            key.startswith(prefix) for key in _changed_keys(call)
+        ):
             return False
-        self._lose_answers -= 1
+        self._answers_to_lose -= 1
         return True
 
-    def _answer(self, kind: str, body: dict[str, Any]) -> Response:
+    def _execute(self, kind: str, body: dict[str, Any]) -> Response:
         if kind != "watch":
-            return _json(200, self.state.handlers[kind](body))
+            return _make_response(200, self.state.handlers[kind](body))
         create = body["create_request"]
         key = base64.b64decode(create["key"])
         end = base64.b64decode(create["range_end"])
@@ -139,8 +143,12 @@
         stream = _WatchBody(self, key, end, start or self.state.revision + 1)
         return Response(200, (("Content-Type", "application/json"),), stream)
 
-    async def _reachable(self) -> bool:
-        """Waits as told; returns whether the call is to be carried out."""
+    async def _apply_availability_faults(self) -> bool:
+        """Applies `delay_ms` and `down`.
+
+        Returns:
+          Whether the call is executed.
+        """
         if self._faults.delay_ms:
             await anyio.sleep(self._faults.delay_ms / 1000)
         if self._faults.down == "hang":
@@ -154,13 +162,13 @@
         try:
             faults = msgspec.json.decode(body, type=StoreFaults)
         except msgspec.MsgspecError as exc:
-            return _error(400, 3, str(exc))
+            return _make_error(400, 3, str(exc))
         if faults.down not in ("", "refuse", "hang"):
-            return _error(400, 3, "down: expected '', 'refuse' or 'hang'")
+            return _make_error(400, 3, "down: expected '', 'refuse' or 'hang'")
         self.set_faults(faults)
-        return _json(200, faults)
+        return _make_response(200, faults)
 
-    def _counters(self) -> dict[str, Any]:
+    def _read_counters(self) -> dict[str, Any]:
         return {
             "calls": self.calls,
             "watching": self.open_watches,
@@ -170,38 +178,49 @@
     async def watch_lines(
         self, key: bytes, end: bytes, start: int
     ) -> AsyncIterator[bytes]:
-        """Yields the messages of one watch until the store is down."""
+        """Yields the messages of one watch until the store is down.
+
+        Args:
+          key: the first key of the range.
+          end: the end of the range, exclusive.
+          start: the first revision.
+
+        Raises:
+          ExchangeBrokenError: the store is down.
+        """
         header = {"header": self.state.header(), "created": True}
-        if start <= self.state.compacted:
-            compacted = str(self.state.compacted)
+        if start <= self.state.compacted_revision:
+            compacted = str(self.state.compacted_revision)
             header |= {"canceled": True, "compact_revision": compacted}
-        yield _line({"result": header})
+        yield _encode_line({"result": header})
         while not self._faults.down:
-            changed = self.state.changed()
-            changes = self.state.changes(start, key, end)
+            change_event = self.state.change_event()
+            changes = self.state.changes_since(start, key, end)
             if changes:
                 start = changes[-1].revision + 1
                 events = [c.message for c in changes]
                 result = {"header": self.state.header(), "events": events}
-                yield _line({"result": result})
+                yield _encode_line({"result": result})
                 continue
-            await self._either(changed, self._faults_changed)
-        _cut()
+            await self._wait_for_either(change_event, self._faults_changed)
+        _break_connection()
 
-    async def _either(self, first: anyio.Event, second: anyio.Event) -> None:
-        """Returns once one of the two is set."""
+    async def _wait_for_either(
+        self, first_event: anyio.Event, second_event: anyio.Event
+    ) -> None:
+        """Waits until either event is set."""
         async with anyio.create_task_group() as tasks:
 
             async def wait(event: anyio.Event) -> None:
                 await event.wait()
                 tasks.cancel_scope.cancel()
 
-            tasks.start_soon(wait, first)
-            tasks.start_soon(wait, second)
+            tasks.start_soon(wait, first_event)
+            tasks.start_soon(wait, second_event)
 
 
 class _WatchBody(BodyStream):
-    """The endless answer of a watch."""
+    """The unbounded response body of a watch."""
 
     def __init__(
         self, standin: StoreStandin, key: bytes, end: bytes, start: int
@@ -221,37 +240,37 @@
             self._standin.open_watches -= 1
 
     def abort(self) -> None:
-        """Does nothing; the reader stops reading."""
+        """Does nothing: the watch ends when its iterator is closed."""
 
 
-class _CutBody(BodyStream):
-    """An answer whose connection breaks at once."""
+class _BrokenBody(BodyStream):
+    """A response body whose connection breaks at once."""
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
-        _cut()
+        _break_connection()
         yield b""  # pragma: no cover
 
     def abort(self) -> None:
-        """Does nothing."""
+        """Does nothing: there is nothing to release."""
 
 
-def _cut() -> NoReturn:
-    raise ExchangeBrokenError("told to break")
+def _break_connection() -> NoReturn:
+    raise ExchangeBrokenError("store stand-in: injected connection failure")
 
 
-def _line(message: dict[str, Any]) -> bytes:
+def _encode_line(message: dict[str, Any]) -> bytes:
     return msgspec.json.encode(message) + b"\n"
 
 
-def _keys(call: dict[str, Any]) -> list[str]:
+def _changed_keys(call: dict[str, Any]) -> list[str]:
     """Returns the keys that a transaction changes."""
     operations = [
-        part for op in call.get("success", ()) for part in op.values()
+        operation for op in call.get("success", ()) for operation in op.values()
     ]
     return [base64.b64decode(op["key"]).decode() for op in operations]
 
 
-def _json(status: int, body: Any) -> Response:
+def _make_response(status: int, body: Any) -> Response:
     return Response(
         status,
         (("Content-Type", "application/json"),),
@@ -259,5 +278,7 @@
     )
 
 
-def _error(status: int, code: int, text: str) -> Response:
-    return _json(status, {"error": text, "code": code, "message": text})
+def _make_error(status: int, code: int, text: str) -> Response:
+    return _make_response(
+        status, {"error": text, "code": code, "message": text}
+    )
--- a/src/radishwind/standins/store_state.py
+++ b/src/radishwind/standins/store_state.py
@@ -1,4 +1,4 @@
-"""Keys, revisions, leases and the log of changes of the store's stand-in."""
+"""Keys, revisions, leases and the change log of the etcd stand-in."""
 
 import base64
 import collections
@@ -10,23 +10,24 @@
 
 from radishwind.core.clock import Clock
 
-#: Changes kept for watches that start in the past; older ones are compacted.
-LOG_LENGTH = 4096
+#: The maximum number of changes kept for watches that start at a past
+#: revision; older changes are compacted.
+MAX_LOG_ENTRIES = 4096
 
-#: Operations that etcd allows in a transaction by default.
+#: The maximum number of operations in a transaction: etcd's default.
 MAX_OPERATIONS = 128
 
-#: The largest value (bytes), as the platform allows.
+#: The maximum size of a value (bytes), as on the platform.
 MAX_VALUE_BYTES = 1024 * 1024
 
 
 class CallError(Exception):
-    """The call is refused and had no effect.
+    """A call was rejected without effect.
 
     Args:
       status: the HTTP status.
-      code: gRPC's status code, as the gateway tells it.
-      text: why, in etcd's words.
+      code: the gRPC status code in the response of the gateway.
+      text: etcd's error message.
     """
 
     def __init__(self, status: int, code: int, text: str) -> None:
@@ -37,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Value:
-    """A key's value, in base64, with what etcd tells of it."""
+    """The value of a key, in base64, with etcd's metadata."""
 
     value: str
     create_revision: int
@@ -48,12 +49,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoggedChange:
-    """A change of one key, as a watch tells it.
+    """A change of one key, as reported by a watch.
 
     Attributes:
       revision: the store's revision of the change.
       key: the key.
-      message: the event in the form of the gateway.
+      message: the event in the format of the gateway.
     """
 
     revision: int
@@ -62,18 +63,23 @@
 
 
 class StoreState:
-    """Answers the calls; every method takes and returns gateway messages."""
+    """The state of the store.
+
+    Attributes:
+      handlers: the handler of each kind of call; it maps a request message of
+        the gateway to the response message.
+    """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._revision = 1
         self._values: dict[bytes, _Value] = {}
-        # By ID: the time to live (s), and when it ends (monotonic, s).
+        # By ID: the time to live (s) and the time of expiry (monotonic, s).
         self._leases: dict[int, tuple[int, float]] = {}
-        self._next_lease = 1
+        self._next_lease_id = 1
         self._log: collections.deque[LoggedChange] = collections.deque()
-        self._compacted = 0
-        self._changed = anyio.Event()
+        self._compacted_revision = 0
+        self._change_event = anyio.Event()
         self.handlers: dict[str, Callable[[dict[str, Any]], Any]] = {
             "range": self._range,
             "txn": self._txn,
@@ -88,29 +94,37 @@
         return self._revision
 
     @property
-    def compacted(self) -> int:
-        """Changes up to this revision can no longer be watched."""
-        return self._compacted
-
-    def changed(self) -> anyio.Event:
-        """Returns an event that is set at the next change."""
-        return self._changed
-
-    def changes(self, start: int, key: bytes, end: bytes) -> list[LoggedChange]:
-        """Returns the changes from `start` on of keys in `key` to `end`."""
+    def compacted_revision(self) -> int:
+        """The last compacted revision; watches must start after it."""
+        return self._compacted_revision
+
+    def change_event(self) -> anyio.Event:
+        """Returns the event that is set at the next change."""
+        return self._change_event
+
+    def changes_since(
+        self, start: int, key: bytes, end: bytes
+    ) -> list[LoggedChange]:
+        """Returns the changes of a range of keys since a revision.
+
+        Args:
+          start: the first revision.
+          key: the first key of the range.
+          end: the end of the range, exclusive.
+        """
         return [
             c for c in self._log if c.revision >= start and key <= c.key < end
         ]
 
-    def lapse(self) -> None:
-        """Ends the leases whose time is over."""
+    def end_expired_leases(self) -> None:
+        """Ends the leases that have expired."""
         now = self._clock.monotonic()
-        for lease_id, (_, until) in list(self._leases.items()):
-            if until <= now:
+        for lease_id, (_, expires_at) in list(self._leases.items()):
+            if expires_at <= now:
                 self.end_lease(lease_id)
 
     def end_lease(self, lease_id: int) -> None:
-        """Ends a lease; the keys on it are removed."""
+        """Ends a lease and removes the keys attached to it."""
         if self._leases.pop(lease_id, None) is None:
             return
         keys = [k for k, v in self._values.items() if v.lease == lease_id]
@@ -119,7 +133,7 @@
         self._revision += 1
         for key in keys:
             self._delete(key)
-        self._tell()
+        self._notify_watches()
 
     def end_all_leases(self) -> None:
         """Ends every lease."""
@@ -127,7 +141,7 @@
             self.end_lease(lease_id)
 
     def header(self) -> dict[str, Any]:
-        """Returns the header of an answer."""
+        """Returns the header of a response."""
         return {"revision": str(self._revision)}
 
     def _range(self, body: dict[str, Any]) -> dict[str, Any]:
@@ -135,13 +149,13 @@
         end = base64.b64decode(body.get("range_end", ""))
         limit = int(body.get("limit", 0))
         keys = [key] if not end else [k for k in self._values if key <= k < end]
-        held = [k for k in sorted(keys) if k in self._values]
-        kvs = [self._kv(k) for k in (held[:limit] if limit else held)]
-        answer: dict[str, Any] = {"header": self.header(), "kvs": kvs}
-        answer["count"] = str(len(held))
-        if len(kvs) < len(held):
-            answer["more"] = True
-        return answer
+        present = [k for k in sorted(keys) if k in self._values]
+        kvs = [self._kv(k) for k in (present[:limit] if limit else present)]
+        response: dict[str, Any] = {"header": self.header(), "kvs": kvs}
+        response["count"] = str(len(present))
+        if len(kvs) < len(present):
+            response["more"] = True
+        return response
 
     def _txn(self, body: dict[str, Any]) -> dict[str, Any]:
         holds = all(self._condition_holds(c) for c in body.get("compare", ()))
@@ -152,16 +166,16 @@
         for op in operations:
             self._apply(op)
         if operations:
-            self._tell()
+            self._notify_watches()
         return {"header": self.header(), "succeeded": holds}
 
     def _condition_holds(self, compare: dict[str, Any]) -> bool:
         value = self._values.get(base64.b64decode(compare["key"]))
         if compare["target"] == "CREATE":
-            got = value.create_revision if value else 0
-            return got == int(compare["create_revision"])
-        got = value.mod_revision if value else 0
-        return got == int(compare["mod_revision"])
+            actual = value.create_revision if value else 0
+            return actual == int(compare["create_revision"])
+        actual = value.mod_revision if value else 0
+        return actual == int(compare["mod_revision"])
 
     def _apply(self, op: dict[str, Any]) -> None:
         if "request_delete_range" in op:
@@ -169,15 +183,15 @@
             return
         put = op["request_put"]
         key = base64.b64decode(put["key"])
-        old = self._values.get(key)
+        previous = self._values.get(key)
         self._values[key] = _Value(
             put["value"],
-            old.create_revision if old else self._revision,
+            previous.create_revision if previous else self._revision,
             self._revision,
-            old.version + 1 if old else 1,
+            previous.version + 1 if previous else 1,
             int(put.get("lease", 0)),
         )
-        self._note(key, {"kv": self._kv(key)})
+        self._log_change(key, {"kv": self._kv(key)})
 
     def _delete(self, key: bytes) -> None:
         if self._values.pop(key, None) is None:
@@ -186,20 +200,20 @@
             "key": base64.b64encode(key).decode(),
             "mod_revision": str(self._revision),
         }
-        self._note(key, {"type": "DELETE", "kv": kv})
+        self._log_change(key, {"type": "DELETE", "kv": kv})
 
-    def _note(self, key: bytes, message: dict[str, Any]) -> None:
+    def _log_change(self, key: bytes, message: dict[str, Any]) -> None:
         self._log.append(LoggedChange(self._revision, key, message))
-        if len(self._log) > LOG_LENGTH:
-            self._compacted = self._log.popleft().revision
+        if len(self._log) > MAX_LOG_ENTRIES:
+            self._compacted_revision = self._log.popleft().revision
 
-    def _tell(self) -> None:
-        self._changed.set()
-        self._changed = anyio.Event()
+    def _notify_watches(self) -> None:
+        self._change_event.set()
+        self._change_event = anyio.Event()
 
     def _grant(self, body: dict[str, Any]) -> dict[str, Any]:
-        lease_id = self._next_lease
-        self._next_lease += 1
+        lease_id = self._next_lease_id
+        self._next_lease_id += 1
         ttl_s = int(body["TTL"])
         self._leases[lease_id] = (ttl_s, self._clock.monotonic() + ttl_s)
         return {"header": self.header(), "ID": str(lease_id), "TTL": str(ttl_s)}
