--- a/src/radishwind/standins/announcer.py
+++ b/src/radishwind/standins/announcer.py
@@ -1,6 +1,6 @@
-"""Announces the backend stand-in to the node beside it, again and again.
+"""Announces the backend stand-in periodically to the node on its instance.
 
-`docs/target.md` tells what a real backend server has to send.
+`docs/target.md` describes the announcements of a real backend server.
 """
 
 import contextlib
@@ -16,15 +16,15 @@
 from radishwind.standins.backend import BackendStandin
 from radishwind.standins.backend import HEALTH_PATH
 
-#: Time between announcements (s).
-INTERVAL_S = 1.0
+#: Interval between announcements (s).
+_INTERVAL_S = 1.0
 
-#: How long one may take (s).
+#: Time limit for an announcement (s).
 _TIMEOUT_S = 1.0
 
 
 class Announcer:
-    """Posts the server's name, address and state to the node beside it."""
+    """Posts the server's name, address and state to its node."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
     ) -> None:
         self._backend = backend
         self._sender = sender
-        self._fixed = {
+        self._static_fields = {
             "target": target,
             "instance": instance,
             "address": str(address),
@@ -47,18 +47,18 @@
         self._node = node
 
     async def run(self) -> None:
-        """Announces until cancelled; a node that is away is tried again."""
+        """Announces periodically until cancelled; ignores failed attempts."""
         while True:
             await self.announce()
-            await anyio.sleep(INTERVAL_S)
+            await anyio.sleep(_INTERVAL_S)
 
     async def announce(self) -> None:
-        """Announces once."""
-        now = {
+        """Sends one announcement; ignores a failure."""
+        current_fields = {
             "state": self._backend.state,
             "uptime_s": round(self._backend.uptime_s, 3),
         }
-        body = msgspec.json.encode(self._fixed | now)
+        body = msgspec.json.encode(self._static_fields | current_fields)
         fields = (("Content-Type", "application/json"),)
         request = Request("POST", "/v1/server", fields, body, len(body))
         with contextlib.suppress(SendError), anyio.move_on_after(_TIMEOUT_S):
--- a/src/radishwind/standins/backend.py
+++ b/src/radishwind/standins/backend.py
@@ -1,8 +1,9 @@
-"""A stand-in for a backend server, with the faults that real ones have.
+"""A stand-in for a backend server, with fault injection.
 
-It runs requests in slots, queues a few, sheds the rest, stops work whose
-caller left or whose deadline passed, starts cold, drains, straggles, fails
-fast, crashes, and tells lies about its health and load when asked to.
+It runs requests in a fixed number of slots, queues a bounded number and sheds
+the rest. It cancels requests whose caller has disconnected or whose deadline
+has passed. It warms up after its start and drains on request. Injected faults
+make it slow, fail fast, crash, or report a wrong health state or load.
 """
 
 from collections.abc import AsyncIterator
@@ -27,36 +28,39 @@
 FAULTS_PATH = "/standin/faults"
 COUNTERS_PATH = "/standin/counters"
 
-#: A request with this field, or this text in its path, ends the process.
+#: A request with this header field, or with this text in its path, crashes
+#: the process.
 CRASH_FIELD = "radishwind-standin-crash"
 CRASH_TEXT = "standin-crash"
 
-#: A request with this field, or with this in its path before the number, gets
-#: an answer of so many bytes, in pieces.
+#: A request with a number in this header field, or after this text in its
+#: path, gets a response body of that size (bytes), sent in chunks.
 BYTES_FIELD = "radishwind-standin-bytes"
 BYTES_TEXT = "/standin/bytes/"
 
-_JSON = (("Content-Type", "application/json"),)
-_TEXT = (("Content-Type", "text/plain"),)
-_SHED = (*_TEXT, ("Radishwind-Shed", "1"))
-_PIECE = b"." * 65536
-_CRASH_EXIT = 70
+_JSON_HEADERS = (("Content-Type", "application/json"),)
+_TEXT_HEADERS = (("Content-Type", "text/plain"),)
+_SHED_HEADERS = (*_TEXT_HEADERS, ("Radishwind-Shed", "1"))
+_CHUNK = b"." * 65536
+_CRASH_EXIT_CODE = 70
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BackendOptions:
-    """How the stand-in behaves.
+    """The behavior of the stand-in.
 
     Attributes:
-      name: told in each answer.
-      slots: requests it runs at once.
-      service_s: mean time a request runs (s), gamma distributed.
-      service_shape: shape of that distribution: 1 is exponential, the times
-        vary less the larger it is.
-      queue_length: requests that wait inside it; more are shed.
-      probe_s: time a health or load request holds a slot (s).
-      cold_s: how long after its start it is slow (s).
-      cold_factor: how many times slower it is at its start.
+      name: the name of the server, included in responses.
+      slots: the maximum number of requests that run concurrently.
+      service_s: the mean service time (s); service times have a gamma
+        distribution.
+      service_shape: the shape of that distribution: 1 is exponential, and
+        larger values have less variance.
+      queue_length: the maximum number of queued requests; more are shed.
+      probe_s: the time for which a health or load probe holds a slot (s).
+      cold_s: the duration of the warm-up after the start (s).
+      cold_factor: the factor on service times at the start; it falls to 1
+        linearly during the warm-up.
     """
 
     name: str
@@ -70,17 +74,22 @@
 
 
 class BackendFaults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Faults in force; each post of JSON to the control path replaces all.
+    """The faults in force; JSON posted to `FAULTS_PATH` replaces all of them.
 
     Attributes:
-      draining: sheds new requests and says so; what runs goes on.
+      draining: reports itself as draining and sheds new requests; running
+        requests continue.
       shed: sheds every request.
       fail_fast: answers every request with status 500 at once.
-      slow_factor: how many times slower than usual it runs.
-      slots: slots it really has, whatever it says; `None` for its own.
-      told_state: the state that its health tells; `None` for the truth.
-      told_in_flight: the load that it tells; `None` for the truth.
-      probe_s: time a probe holds a slot (s); `None` for its own.
+      slow_factor: a factor on every service time.
+      slots: the actual number of slots, whereas the load probe still reports
+        the configured number; `None` for the configured number.
+      told_state: the state that the health probe reports; `None` for the
+        actual state.
+      told_in_flight: the number of requests in flight that the load probe
+        reports; `None` for the actual number.
+      probe_s: the time for which a probe holds a slot (s); `None` for the
+        configured time.
     """
 
     draining: bool = False
@@ -94,17 +103,17 @@
 
 
 class BackendStandin:
-    """Runs requests in slots; see the module for what else it does.
+    """A backend server that runs requests in slots; see the module.
 
     Args:
-      options: how it behaves.
-      rng: draws the service times.
+      options: the behavior of the stand-in.
+      rng: the source of the service times.
       clock: the clock.
-      crash: ends the process.
+      crash: crashes the process.
 
     Attributes:
       faults: the faults in force.
-      counters: what it counted.
+      counters: the counters since the start.
     """
 
     def __init__(
@@ -112,131 +121,141 @@
         options: BackendOptions,
         rng: random.Random,
         clock: Clock,
-        crash: Callable[[], None] = lambda: os._exit(_CRASH_EXIT),
+        crash: Callable[[], None] = lambda: os._exit(_CRASH_EXIT_CODE),
     ) -> None:
         self._options = options
         self._rng = rng
         self._clock = clock
         self._crash = crash
-        self._started = clock.monotonic()
+        self._started_at = clock.monotonic()
         self._in_flight = 0
-        self._waiting: list[anyio.Event] = []
-        self._idle = anyio.Event()
+        self._queue: list[anyio.Event] = []
+        self._idle_event = anyio.Event()
         self.faults = BackendFaults()
         self.counters = BackendCounters()
 
     @property
     def state(self) -> str:
-        """Its true state: `starting`, `ready` or `draining`."""
+        """The actual state: `starting`, `ready` or `draining`."""
         if self.faults.draining:
             return "draining"
-        return "starting" if self.warm < 1 else "ready"
+        return "starting" if self.warmup_fraction < 1 else "ready"
 
     @property
-    def warm(self) -> float:
-        """0 at its start to 1 once warm."""
+    def warmup_fraction(self) -> float:
+        """The completed fraction of the warm-up, from 0 to 1."""
         if not self._options.cold_s:
             return 1.0
         return min(1.0, self.uptime_s / self._options.cold_s)
 
     @property
     def uptime_s(self) -> float:
-        """Time since its start (s)."""
-        return self._clock.monotonic() - self._started
+        """The time since the start (s)."""
+        return self._clock.monotonic() - self._started_at
 
     def start_draining(self) -> None:
-        """Sheds what is new from now on; what runs goes on."""
+        """Sheds new requests from now on; running requests continue."""
         self.faults = msgspec.structs.replace(self.faults, draining=True)
 
-    async def drained(self) -> None:
-        """Returns once nothing runs."""
+    async def wait_until_idle(self) -> None:
+        """Waits until no request is running."""
         if self._in_flight:
-            self._idle = anyio.Event()
-            await self._idle.wait()
+            self._idle_event = anyio.Event()
+            await self._idle_event.wait()
 
     async def handle(self, request: Request) -> Response:
-        """Answers one request."""
+        """Handles one request."""
         path = request.path.partition("?")[0]
         if path == FAULTS_PATH:
             return self._set_faults(request)
         if path == COUNTERS_PATH:
-            return _json({"name": self._options.name} | self._told_counters())
+            return _make_json_response(
+                {"name": self._options.name} | self._read_counters()
+            )
         if path in (HEALTH_PATH, LOAD_PATH):
-            return await self._probe(path)
-        return await self._request(request)
+            return await self._handle_probe(path)
+        return await self._handle_request(request)
 
-    async def _request(self, request: Request) -> Response:
-        size = await _body_bytes(request)
+    async def _handle_request(self, request: Request) -> Response:
+        size = await _read_body_size(request)
         faults = self.faults
-        if faults.shed or faults.draining or not self._has_room():
-            return self._shed()
+        if faults.shed or faults.draining or not self._has_capacity():
+            return self._make_shed_response()
         if faults.fail_fast:
             self.counters.failed += 1
-            return Response(500, _TEXT, b"failed fast\n")
-        timeout_s = _timeout_s(request)
-        started = False
+            return Response(500, _TEXT_HEADERS, b"failed fast\n")
+        timeout_s = _parse_timeout_s(request)
+        has_started = False
         try:
             with anyio.fail_after(timeout_s):
-                async with self._slot():
-                    started = True
-                    return await self._run(request, size)
+                async with self._hold_slot():
+                    has_started = True
+                    return await self._run_request(request, size)
         except TimeoutError:
-            if not started:
-                return self._shed()
+            if not has_started:
+                return self._make_shed_response()
             self.counters.late += 1
-            return Response(504, _TEXT, b"stopped at its deadline\n")
+            return Response(504, _TEXT_HEADERS, b"stopped at its deadline\n")
         except anyio.get_cancelled_exc_class():
-            self.counters.cancelled += started
+            self.counters.cancelled += has_started
             raise
 
-    async def _run(self, request: Request, size: int) -> Response:
-        self.counters.ran(_name(request))
+    async def _run_request(self, request: Request, size: int) -> Response:
+        self.counters.record_run(_request_key(request))
         if CRASH_TEXT in request.path or get_header(
             request.headers, CRASH_FIELD
         ):
             self._crash()
-        began = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         try:
-            await anyio.sleep(self._service_s())
+            await anyio.sleep(self._draw_service_time_s())
         finally:
-            self.counters.run_s += self._clock.monotonic() - began
-        wanted = _wanted_bytes(request)
-        if wanted is not None:
-            return Response(200, _TEXT, Pieces(wanted), wanted)
+            self.counters.run_s += self._clock.monotonic() - started_at
+        body_size = _requested_body_size(request)
+        if body_size is not None:
+            return Response(
+                200, _TEXT_HEADERS, GeneratedBody(body_size), body_size
+            )
         text = (
             f"{self._options.name} ran {request.method} {request.path} "
             f"({size} bytes)\n"
         )
-        return Response(200, _TEXT, text.encode())
+        return Response(200, _TEXT_HEADERS, text.encode())
 
-    def _service_s(self) -> float:
+    def _draw_service_time_s(self) -> float:
         mean = self._options.service_s
         if not mean:
             return 0.0
-        cold = 1 + (self._options.cold_factor - 1) * (1 - self.warm)
-        factor = self.faults.slow_factor * cold
+        warmup_factor = 1 + (self._options.cold_factor - 1) * (
+            1 - self.warmup_fraction
+        )
+        factor = self.faults.slow_factor * warmup_factor
         shape = self._options.service_shape
         return self._rng.gammavariate(shape, mean / shape) * factor
 
-    async def _probe(self, path: str) -> Response:
-        full = self._in_flight >= self._slots()
+    async def _handle_probe(self, path: str) -> Response:
+        is_full = self._in_flight >= self._slot_count()
         self.counters.probes += 1
-        self.counters.probes_into_full += full
+        self.counters.probes_into_full += is_full
         cost_s = self.faults.probe_s
         if cost_s is None:
             cost_s = self._options.probe_s
-        async with self._slot():
-            began = self._clock.monotonic()
+        async with self._hold_slot():
+            started_at = self._clock.monotonic()
             try:
                 await anyio.sleep(cost_s)
             finally:
-                self.counters.probe_s += self._clock.monotonic() - began
+                self.counters.probe_s += self._clock.monotonic() - started_at
         if path == HEALTH_PATH:
             state = self.faults.told_state or self.state
-            return _json({"state": state, "warm": round(self.warm, 3)})
-        told = self.faults.told_in_flight
-        in_flight = self._in_flight if told is None else told
-        return _json({"slots": self._options.slots, "in_flight": in_flight})
+            return _make_json_response(
+                {"state": state, "warm": round(self.warmup_fraction, 3)}
+            )
+        reported = self.faults.told_in_flight
+        in_flight = self._in_flight if reported is None else reported
+        return _make_json_response(
+            {"slots": self._options.slots, "in_flight": in_flight}
+        )
 
     def _set_faults(self, request: Request) -> Response:
         assert isinstance(request.body, bytes)
@@ -246,86 +265,86 @@
                     request.body, type=BackendFaults
                 )
         except msgspec.MsgspecError as exc:
-            return Response(400, _TEXT, f"{exc}\n".encode())
-        return _json(self.faults)
+            return Response(400, _TEXT_HEADERS, f"{exc}\n".encode())
+        return _make_json_response(self.faults)
 
-    def _told_counters(self) -> dict[str, object]:
-        now = {"in_flight": self._in_flight, "waiting": len(self._waiting)}
-        return self.counters.as_fields() | now
+    def _read_counters(self) -> dict[str, object]:
+        now = {"in_flight": self._in_flight, "waiting": len(self._queue)}
+        return self.counters.as_dict() | now
 
-    def _shed(self) -> Response:
+    def _make_shed_response(self) -> Response:
         self.counters.shed += 1
-        return Response(503, _SHED, b"shed without running\n")
+        return Response(503, _SHED_HEADERS, b"shed without running\n")
 
-    def _slots(self) -> int:
+    def _slot_count(self) -> int:
         return self.faults.slots or self._options.slots
 
-    def _has_room(self) -> bool:
-        if self._in_flight < self._slots():
+    def _has_capacity(self) -> bool:
+        if self._in_flight < self._slot_count():
             return True
-        return len(self._waiting) < self._options.queue_length
+        return len(self._queue) < self._options.queue_length
 
     @contextlib.asynccontextmanager
-    async def _slot(self) -> AsyncIterator[None]:
-        """Holds a slot; waits for one in order of arrival."""
-        await self._take_slot()
-        most = max(self.counters.max_in_flight, self._in_flight)
-        self.counters.max_in_flight = most
+    async def _hold_slot(self) -> AsyncIterator[None]:
+        """Holds a slot, which is granted in order of arrival."""
+        await self._acquire_slot()
+        max_in_flight = max(self.counters.max_in_flight, self._in_flight)
+        self.counters.max_in_flight = max_in_flight
         try:
             yield
         finally:
-            self._give_slot()
+            self._release_slot()
 
-    async def _take_slot(self) -> None:
-        if self._in_flight < self._slots():
+    async def _acquire_slot(self) -> None:
+        if self._in_flight < self._slot_count():
             self._in_flight += 1
             return
-        turn = anyio.Event()
-        self._waiting.append(turn)
+        granted = anyio.Event()
+        self._queue.append(granted)
         try:
-            await turn.wait()
+            await granted.wait()
         except BaseException:
-            if turn.is_set():
-                self._give_slot()
+            if granted.is_set():
+                self._release_slot()
             else:
-                self._waiting.remove(turn)
+                self._queue.remove(granted)
             raise
 
-    def _give_slot(self) -> None:
+    def _release_slot(self) -> None:
         self._in_flight -= 1
-        while self._waiting and self._in_flight < self._slots():
+        while self._queue and self._in_flight < self._slot_count():
             self._in_flight += 1
-            self._waiting.pop(0).set()
+            self._queue.pop(0).set()
         if not self._in_flight:
-            self._idle.set()
+            self._idle_event.set()
 
 
-class Pieces(BodyStream):
-    """An answer of `size` bytes, in pieces."""
+class GeneratedBody(BodyStream):
+    """A response body of `size` bytes, sent in chunks."""
 
     def __init__(self, size: int) -> None:
-        self._left = size
+        self._remaining_bytes = size
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
-        while self._left > 0:
-            piece = _PIECE[: self._left]
-            self._left -= len(piece)
-            yield piece
+        while self._remaining_bytes > 0:
+            chunk = _CHUNK[: self._remaining_bytes]
+            self._remaining_bytes -= len(chunk)
+            yield chunk
 
     def abort(self) -> None:
-        self._left = 0
+        self._remaining_bytes = 0
 
 
-async def _body_bytes(request: Request) -> int:
+async def _read_body_size(request: Request) -> int:
     if not isinstance(request.body, BodyStream):
         return len(request.body)
     size = 0
-    async for piece in request.body:
-        size += len(piece)
+    async for chunk in request.body:
+        size += len(chunk)
     return size
 
 
-def _wanted_bytes(request: Request) -> int | None:
+def _requested_body_size(request: Request) -> int | None:
     path = request.path.partition("?")[0]
     text = (
         get_header(request.headers, BYTES_FIELD)
@@ -334,15 +353,15 @@
     return int(text) if text.isdigit() else None
 
 
-def _timeout_s(request: Request) -> float | None:
+def _parse_timeout_s(request: Request) -> float | None:
     text = get_header(request.headers, "radishwind-timeout-ms")
     return int(text) / 1000 if text and text.isdigit() else None
 
 
-def _name(request: Request) -> str:
+def _request_key(request: Request) -> str:
     key = get_header(request.headers, "idempotency-key")
     return key or f"{request.method} {request.path}"
 
 
-def _json(value: object) -> Response:
-    return Response(200, _JSON, msgspec.json.encode(value))
+def _make_json_response(value: object) -> Response:
+    return Response(200, _JSON_HEADERS, msgspec.json.encode(value))
--- a/src/radishwind/standins/counters.py
+++ b/src/radishwind/standins/counters.py
@@ -1,26 +1,27 @@
-"""What the backend stand-in counts, so that tests and benches can check it."""
+"""Counters of the backend stand-in, for tests and benchmarks."""
 
 import collections
 from typing import Any
 
-_MOST_NAMES = 100_000
+_MAX_RUN_KEYS = 100_000
 
 
 class BackendCounters:
-    """Counts runs by request, and meters what probing costs.
+    """Counts runs by request and measures the cost of probes.
 
     Attributes:
-      runs: runs by `Idempotency-Key`, else by method and path; once started,
-        a run counts even if it is cancelled.
-      probes: health and load requests received.
-      probe_s: time that probes held a slot (s).
-      probes_into_full: probes that arrived while every slot was in use.
-      cancelled: runs stopped because their connection closed.
-      shed: requests refused without running.
-      late: runs stopped at their deadline.
-      failed: requests answered with an error by fail-fast.
-      max_in_flight: the most runs at once.
-      run_s: time that runs held a slot (s).
+      runs: the number of runs by `Idempotency-Key`, or by method and path if
+        there is none; a run that was started counts even if it is cancelled.
+      probes: the number of health and load probes received.
+      probe_s: the total time for which probes held a slot (s).
+      probes_into_full: the number of probes that arrived while every slot was
+        in use.
+      cancelled: the number of runs cancelled because their connection closed.
+      shed: the number of requests shed without running.
+      late: the number of runs cancelled at their deadline.
+      failed: the number of requests failed by `fail_fast`.
+      max_in_flight: the maximum number of slots in use at once.
+      run_s: the total time for which runs held a slot (s).
     """
 
     def __init__(self) -> None:
@@ -35,11 +36,14 @@
         self.max_in_flight = 0
         self.run_s = 0.0
 
-    def ran(self, name: str) -> None:
-        """Counts a run that starts."""
-        if name in self.runs or len(self.runs) < _MOST_NAMES:
-            self.runs[name] += 1
+    def record_run(self, key: str) -> None:
+        """Records the start of a run.
 
-    def as_fields(self) -> dict[str, Any]:
-        """Returns the counters by name, for JSON."""
+        Beyond `_MAX_RUN_KEYS` distinct keys, new keys are not counted.
+        """
+        if key in self.runs or len(self.runs) < _MAX_RUN_KEYS:
+            self.runs[key] += 1
+
+    def as_dict(self) -> dict[str, Any]:
+        """Returns the counters by name, ready for JSON."""
         return {**vars(self), "runs": dict(self.runs)}
--- a/src/radishwind/standins/daemon.py
+++ b/src/radishwind/standins/daemon.py
@@ -1,4 +1,4 @@
-"""Runs the backend stand-in as a process: serves, announces, drains."""
+"""Runs the backend stand-in as a process."""
 
 import dataclasses
 import random
@@ -23,10 +23,11 @@
     """A backend stand-in as a process.
 
     Attributes:
-      options: how it behaves.
-      listen: where it receives requests.
-      node: the admin listener of the node beside; `None` to announce nothing.
-      seed: seeds the service times.
+      options: the behavior of the stand-in.
+      listen: the address at which it listens.
+      node: the admin listener of the node on the same instance; `None` to
+        send no announcements.
+      seed: the seed of the service times.
     """
 
     options: BackendOptions
@@ -35,27 +36,27 @@
     seed: int
 
     async def run(self) -> None:
-        """Serves until SIGTERM, then drains and returns."""
+        """Serves until SIGTERM or SIGINT, then drains and returns."""
         backend = BackendStandin(
             self.options, random.Random(self.seed), SystemClock()
         )
         server = make_server(HttpLibrary.AIOHTTP)
         address = await server.start(backend.handle, self.listen)
         sender = make_sender(HttpLibrary.AIOHTTP, connections=1)
-        announcer = self._announcer(backend, sender, address)
+        announcer = self._make_announcer(backend, sender, address)
         async with anyio.create_task_group() as tasks:
             if announcer is not None:
                 tasks.start_soon(announcer.run)
-            await _stop_signal()
+            await _wait_for_stop_signal()
             backend.start_draining()
             if announcer is not None:
                 await announcer.announce()
-            await backend.drained()
+            await backend.wait_until_idle()
             tasks.cancel_scope.cancel()
         await server.close(1.0)
         await sender.close()
 
-    def _announcer(
+    def _make_announcer(
         self, backend: BackendStandin, sender: Sender, address: Address
     ) -> Announcer | None:
         if self.node is None:
@@ -70,7 +71,7 @@
         )
 
 
-async def _stop_signal() -> None:
+async def _wait_for_stop_signal() -> None:
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
             return
--- a/src/radishwind/standins/tests/test_backend.py
+++ b/src/radishwind/standins/tests/test_backend.py
@@ -13,7 +13,7 @@
 pytestmark = pytest.mark.anyio
 
 
-def make(**options):
+def make_backend(**options):
     fields = {"name": "t", "service_s": 0.0, "probe_s": 0.0} | options
     crashes = []
     backend = BackendStandin(
@@ -25,8 +25,8 @@
     return backend, crashes
 
 
-async def test_sheds_beyond_its_queue_and_stops_cancelled_work():
-    backend, _ = make(slots=1, queue_length=0, service_s=3600.0)
+async def test_sheds_when_queue_is_full_and_stops_cancelled_request():
+    backend, _ = make_backend(slots=1, queue_length=0, service_s=3600.0)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(backend.handle, Request("GET", "/a"))
         await anyio.wait_all_tasks_blocked()
@@ -37,11 +37,11 @@
     assert ("Radishwind-Shed", "1") in shed.headers
     assert backend.counters.runs == {"GET /a": 1}
     assert backend.counters.cancelled == 1
-    await backend.drained()
+    await backend.wait_until_idle()
 
 
-async def test_queued_request_runs_when_a_slot_comes_free():
-    backend, _ = make(slots=1)
+async def test_queued_request_runs_when_slot_becomes_free():
+    backend, _ = make_backend(slots=1)
     async with anyio.create_task_group() as tasks:
         for number in range(5):
             tasks.start_soon(backend.handle, Request("GET", f"/{number}"))
@@ -50,8 +50,8 @@
     assert backend.counters.max_in_flight == 1
 
 
-async def test_refuses_what_is_late_in_its_queue_and_stops_what_is_late():
-    backend, _ = make(slots=1, service_s=3600.0)
+async def test_sheds_queued_request_and_stops_running_one_at_deadline():
+    backend, _ = make_backend(slots=1, service_s=3600.0)
     late = Request("GET", "/", (("Radishwind-Timeout-Ms", "20"),))
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(backend.handle, Request("GET", "/first"))
@@ -64,10 +64,12 @@
     assert backend.counters.late == 1
 
 
-async def test_faults_are_switched_by_json_and_wrong_ones_are_refused():
-    backend, crashes = make()
+async def test_faults_are_set_by_json_and_malformed_ones_are_rejected():
+    backend, crashes = make_backend()
 
-    wrong = await backend.handle(Request("POST", "/standin/faults", (), b"{1"))
+    malformed = await backend.handle(
+        Request("POST", "/standin/faults", (), b"{1")
+    )
     body = b'{"fail_fast": true, "told_state": "ready", "draining": false}'
     await backend.handle(Request("POST", "/standin/faults", (), body))
     failed = await backend.handle(Request("GET", "/x"))
@@ -77,20 +79,20 @@
     backend.faults = BackendFaults()
     await backend.handle(Request("GET", "/standin-crash"))
 
-    assert wrong.status == 400
+    assert malformed.status == 400
     assert (failed.status, drained.status) == (500, 503)
     assert msgspec.json.decode(health.body)["state"] == "ready"
     assert crashes == [True]
 
 
-async def test_counters_meter_probes_into_full_slots():
-    backend, _ = make(slots=1, service_s=0.01)
+async def test_counts_probes_that_arrive_while_all_slots_are_in_use():
+    backend, _ = make_backend(slots=1, service_s=0.01)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(backend.handle, Request("GET", "/a"))
         await anyio.wait_all_tasks_blocked()
         tasks.start_soon(backend.handle, Request("GET", "/healthz"))
     await backend.handle(Request("GET", "/healthz"))
-    answer = await backend.handle(Request("GET", "/standin/counters"))
+    response = await backend.handle(Request("GET", "/standin/counters"))
 
-    counters = msgspec.json.decode(answer.body)
+    counters = msgspec.json.decode(response.body)
     assert (counters["probes"], counters["probes_into_full"]) == (2, 1)
