--- a/src/radishwind/standins/__init__.py
+++ b/src/radishwind/standins/__init__.py
@@ -1,5 +1,5 @@
-"""Small stand-ins for what lies outside: the store and a backend server.
+"""Stand-ins for external systems, such as the store and backend servers.
 
-They serve the quick start, the benches and the tests; nothing of the product
-depends on them.
+They are used by the quick start, the benchmarks and the tests. The product
+itself does not depend on them.
 """
--- a/src/radishwind/standins/load.py
+++ b/src/radishwind/standins/load.py
@@ -1,7 +1,7 @@
-"""A small sample load: open loop, seeded, for trying things out.
+"""A small, seeded open-loop load generator for trying things out.
 
-It is no bench: it tells what became of the requests, not how fast a node is.
-Each request starts at its own time, whatever became of those before.
+It reports the outcomes of requests and is not a benchmark of a node. Each
+request starts at its planned time, independently of earlier requests.
 """
 
 from collections.abc import Iterable
@@ -21,10 +21,10 @@
 from radishwind.http.types import read_body
 from radishwind.http.types import Request
 
-#: How long a connection may take (s).
+#: Connect timeout (s).
 _CONNECT_TIMEOUT_S = 1.0
 
-#: Reads for one booking, on average.
+#: The mean number of reads per booking.
 _READS_PER_BOOKING = 4
 _SPOTS = ("recco", "levanto", "varazze", "andora")
 
@@ -34,10 +34,10 @@
     """One request of the load.
 
     Attributes:
-      at_s: when it starts, from the start of the load (s).
-      entry: the caller listener it goes to.
-      service: the service it asks.
-      request: what is sent.
+      at_s: the time at which it starts, from the start of the load (s).
+      entry: the caller listener to which it is sent.
+      service: the requested service.
+      request: the request.
     """
 
     at_s: float
@@ -48,13 +48,14 @@
 
 @dataclasses.dataclass(slots=True)
 class LoadCounts:
-    """What became of the requests to one service.
+    """The outcomes of the requests to one service.
 
     Attributes:
-      requests: requests sent.
-      answered: answered by a server.
-      not_run: told "not run", or no connection was made.
-      unknown: told "unknown", or the connection broke.
+      requests: the number of requests sent.
+      answered: the number answered by a backend server.
+      not_run: the number reported as not run, or without a connection.
+      unknown: the number with an unknown outcome, either reported by a node
+        or because the connection broke.
     """
 
     requests: int = 0
@@ -66,13 +67,13 @@
 def plan_load(
     entries: Sequence[Address], per_s: float, length_s: float, seed: int
 ) -> list[PlannedRequest]:
-    """Returns a load of forecasts read and sessions booked.
+    """Plans a load of forecast reads and session bookings.
 
     Args:
-      entries: caller listeners, chosen from at random.
-      per_s: mean rate (requests/s); gaps are exponential.
-      length_s: how long requests start (s).
-      seed: seeds times and choices.
+      entries: the caller listeners; each request goes to a random one.
+      per_s: the mean rate of Poisson arrivals (requests/s).
+      length_s: the period within which requests start (s).
+      seed: the seed of the times and choices.
     """
     rng = random.Random(seed)
     plan: list[PlannedRequest] = []
@@ -80,9 +81,12 @@
     while at_s < length_s:
         entry = rng.choice(entries)
         if rng.randrange(_READS_PER_BOOKING + 1):
-            service, request = "bollettino", _read(rng.choice(_SPOTS))
+            service, request = "bollettino", _make_read(rng.choice(_SPOTS))
         else:
-            service, request = "prenota", _booking(f"load-{seed}-{len(plan)}")
+            service, request = (
+                "prenota",
+                _make_booking(f"load-{seed}-{len(plan)}"),
+            )
         plan.append(PlannedRequest(at_s, entry, service, request))
         at_s += rng.expovariate(per_s)
     return plan
@@ -91,7 +95,7 @@
 async def run_load(
     sender: Sender, plan: Iterable[PlannedRequest]
 ) -> dict[str, LoadCounts]:
-    """Sends each request at its time; returns the counts by service."""
+    """Sends each request at its planned time; returns counts by service."""
     counts: dict[str, LoadCounts] = {}
     start = anyio.current_time()
 
@@ -108,13 +112,15 @@
 
 
 def format_counts(counts: dict[str, LoadCounts]) -> str:
-    """Returns the counts as text, a line a service."""
-    form = "{:<12} {:>9} {:>9} {:>9} {:>9}"
+    """Formats the counts as a table with one line for each service."""
+    row_format = "{:<12} {:>9} {:>9} {:>9} {:>9}"
     lines = [
-        form.format("service", "requests", "answered", "not run", "unknown")
+        row_format.format(
+            "service", "requests", "answered", "not run", "unknown"
+        )
     ]
     lines += [
-        form.format(
+        row_format.format(
             service,
             count.requests,
             count.answered,
@@ -140,24 +146,24 @@
     except SendError:
         count.unknown += 1
         return
-    _count_answer(response.headers, count)
+    _count_outcome(response.headers, count)
 
 
-def _count_answer(headers: Headers, count: LoadCounts) -> None:
-    told = get_header(headers, OUTCOME_FIELD.lower())
-    if told is None:
+def _count_outcome(headers: Headers, count: LoadCounts) -> None:
+    outcome = get_header(headers, OUTCOME_FIELD.lower())
+    if outcome is None:
         count.answered += 1
-    elif told == "not-run":
+    elif outcome == "not-run":
         count.not_run += 1
     else:
         count.unknown += 1
 
 
-def _read(spot: str) -> Request:
+def _make_read(spot: str) -> Request:
     return Request("GET", f"/bollettino/spots/{spot}")
 
 
-def _booking(key: str) -> Request:
+def _make_booking(key: str) -> Request:
     body = b"seats=2"
     fields = (("Idempotency-Key", key), ("Content-Type", "text/plain"))
     return Request("POST", "/prenota/sessions", fields, body, len(body))
