--- a/tests/proofs/conftest.py
+++ b/tests/proofs/conftest.py
@@ -1,4 +1,4 @@
-"""Steps that several features share."""
+"""Fixtures and step definitions shared by several features."""
 
 import dataclasses
 
@@ -8,69 +8,80 @@
 from pytest_bdd import then
 from pytest_bdd import when
 
-from tests.proofs.golden import Golden
-from tests.proofs.plays import broken_by
-from tests.proofs.plays import KEYED
-from tests.proofs.plays import play
-from tests.proofs.plays import STRONG
-from tests.proofs.plays import WEAK
-from tests.proofs.plays import Weak
+from tests.proofs.golden import GoldenFiles
+from tests.proofs.sessions import find_violations
+from tests.proofs.sessions import KEYED_BOOKING
+from tests.proofs.sessions import run_session
+from tests.proofs.sessions import UNWEAKENED
+from tests.proofs.sessions import WEAK_VARIANTS
+from tests.proofs.sessions import WeakVariant
 
 
 @dataclasses.dataclass
-class Story:
-    """What one scenario has seen so far.
+class ScenarioState:
+    """State that the steps of one scenario share.
 
     Attributes:
-      name: of its session, for the golden file.
-      weak: the variant under test.
-      lines: the record of its session.
-      broken: promises seen broken.
-      wanted: what a weak variant must break.
+      name: name of the session; its golden file is named after it.
+      variant: code variant under test.
+      lines: recorded lines of the session.
+      violations: promises found broken, as sentences.
+      expected_violation: text that a violation caused by the weak variant
+        must contain.
     """
 
     name: str = ""
-    weak: Weak = STRONG
+    variant: WeakVariant = UNWEAKENED
     lines: list[str] = dataclasses.field(default_factory=list)
-    broken: list[str] = dataclasses.field(default_factory=list)
-    wanted: str = ""
+    violations: list[str] = dataclasses.field(default_factory=list)
+    expected_violation: str = ""
 
 
 @pytest.fixture
-def story():
-    return Story()
+def scenario_state():
+    return ScenarioState()
 
 
 @pytest.fixture
 def golden(request):
-    return Golden(request.config.getoption("--refresh-golden"))
+    return GoldenFiles(request.config.getoption("--refresh-golden"))
 
 
 @given(parsers.parse('the weak variant "{variant}"'))
-def weak_variant(story, variant):
-    story.weak = WEAK[variant]
+def weak_variant(scenario_state, variant):
+    scenario_state.variant = WEAK_VARIANTS[variant]
 
 
 @when(parsers.re(r"(?P<what>a \w+.*) is sent while (?P<failure>.*)"))
-def sent_while(story, what, failure):
-    story.name = f"{what} {failure}"
-    stage = play(what, (failure,), story.weak)
-    story.lines, story.broken = stage.lines, stage.broken
+def sent_while(scenario_state, what, failure):
+    scenario_state.name = f"{what} {failure}"
+    testbed = run_session(what, (failure,), scenario_state.variant)
+    scenario_state.lines, scenario_state.violations = (
+        testbed.lines,
+        testbed.violations,
+    )
 
 
 @when("it is sent again at each entry node")
-def sent_again(story):
-    """The play of a booking with a key does so at its end."""
-    assert story.name.startswith(KEYED)
-    ends = [line.split("to ")[-1] for line in story.lines if "sends" in line]
-    assert ends[-2:] == ["entry-a", "entry-b"]
+def sent_again(scenario_state):
+    """Checks that the session ended with a repeat at each entry node.
+
+    `run_keyed` sends these repeats itself.
+    """
+    assert scenario_state.name.startswith(KEYED_BOOKING)
+    entries = [
+        line.split("to ")[-1]
+        for line in scenario_state.lines
+        if "sends" in line
+    ]
+    assert entries[-2:] == ["entry-a", "entry-b"]
 
 
 @when(
     parsers.re(r"every pair of failures hits (?P<what>a [^\"]*?)"),
 )
-def every_pair(story, what):
-    story.broken = broken_by(what, story.weak)
+def every_pair(scenario_state, what):
+    scenario_state.violations = find_violations(what, scenario_state.variant)
 
 
 @when(
@@ -78,22 +89,27 @@
         r"every pair of failures hits (?P<what>.*) until one \"(?P<seen>.*)\""
     )
 )
-def pairs_until(story, what, seen):
-    story.wanted = seen
-    story.broken = broken_by(what, story.weak, seen)
+def pairs_until(scenario_state, what, seen):
+    scenario_state.expected_violation = seen
+    scenario_state.violations = find_violations(
+        what, scenario_state.variant, seen
+    )
 
 
 @then("no promise is broken")
-def nothing_broken(story):
-    assert not story.broken
+def nothing_broken(scenario_state):
+    assert not scenario_state.violations
 
 
 @then("the weak variant is caught")
-def caught(story):
-    assert story.wanted
-    assert any(story.wanted in text for text in story.broken)
+def caught(scenario_state):
+    assert scenario_state.expected_violation
+    assert any(
+        scenario_state.expected_violation in text
+        for text in scenario_state.violations
+    )
 
 
 @then("the session is the one on record")
-def on_record(story, golden):
-    golden.check(story.name, story.lines)
+def on_record(scenario_state, golden):
+    golden.check(scenario_state.name, scenario_state.lines)
--- a/tests/proofs/failures.py
+++ b/tests/proofs/failures.py
@@ -1,7 +1,8 @@
-"""The failures that may hit one sending, by what they are called.
+"""Failures that can be injected into one request, by their names in features.
 
-Each takes the stage, the entry node and the sending, and sees that the failure
-happens while the sending is under way.
+Each failure is a function of the testbed, the name of the entry node and the
+function that sends the request. It calls that function and injects the failure
+while the request is in progress.
 """
 
 from collections.abc import Awaitable
@@ -13,183 +14,192 @@
 from radishwind.http import ExchangeBrokenError
 from radishwind.http import Request
 from radishwind.http import Response
-from tests.proofs.stage import FAILED
-from tests.proofs.stage import LAPSED_S
-from tests.proofs.stage import LATE_S
-from tests.proofs.stage import quiet
-from tests.proofs.stage import SHED
-from tests.proofs.stage import Stage
-from tests.proofs.stage import Step
-from tests.proofs.stage import Wire
+from tests.proofs.session_testbed import AFTER_DEADLINE_S
+from tests.proofs.session_testbed import AFTER_LEASE_S
+from tests.proofs.session_testbed import FAILED
+from tests.proofs.session_testbed import FaultyChannel
+from tests.proofs.session_testbed import run_until_idle
+from tests.proofs.session_testbed import SessionTestbed
+from tests.proofs.session_testbed import SHED
+from tests.proofs.session_testbed import Step
 from tests.support.in_process_sender import Fault
 
 Send = Callable[[], Awaitable[None]]
-Failure = Callable[[Stage, str, Send], Awaitable[None]]
+Failure = Callable[[SessionTestbed, str, Send], Awaitable[None]]
 
 
 @contextlib.contextmanager
-def _always(wires: list[Wire], step: Step):
-    for wire in wires:
-        wire.always = step
+def _default_step(channels: list[FaultyChannel], step: Step):
+    for channel in channels:
+        channel.default_step = step
     yield
-    for wire in wires:
-        wire.always = None
+    for channel in channels:
+        channel.default_step = None
 
 
-async def _straggle(wire: Wire, request: Request) -> Response:
-    """Runs it, and answers when the deadline has passed."""
-    await wire.deliver(request)
-    wire.stage.cluster.clock.advance(LATE_S)
-    wire.note("answers too late")
+async def _straggle(channel: FaultyChannel, request: Request) -> Response:
+    """Runs the request, but responds only after its deadline."""
+    await channel.forward(request)
+    channel.testbed.cluster.clock.advance(AFTER_DEADLINE_S)
+    channel.record("answers too late")
     raise TimeoutError
 
 
-async def _answer_another(wire: Wire, request: Request) -> Response:
-    """Gives the answer that belonged to the request before."""
-    before = wire.last
-    response = await wire.deliver(request)
-    if before is None:
+async def _answer_another(channel: FaultyChannel, request: Request) -> Response:
+    """Returns the response to the previous request instead."""
+    previous = channel.last_response
+    response = await channel.forward(request)
+    if previous is None:
         return response
-    wire.note("an earlier answer arrives instead")
-    return before
+    channel.record("an earlier answer arrives instead")
+    return previous
 
 
-async def _slow(wire: Wire, request: Request) -> Response:
-    wire.stage.cluster.clock.advance(0.5)
-    return await wire.deliver(request)
+async def _slow(channel: FaultyChannel, request: Request) -> Response:
+    channel.testbed.cluster.clock.advance(0.5)
+    return await channel.forward(request)
 
 
-async def _crash(wire: Wire, request: Request) -> Response:
-    """Ends the server under the request; it is gone from then on."""
-    await wire.deliver(request)
-    wire.note("crashes")
-    wire.always = Fault.REFUSED
+async def _crash(channel: FaultyChannel, request: Request) -> Response:
+    """Crashes the server during the request; it refuses connections after."""
+    await channel.forward(request)
+    channel.record("crashes")
+    channel.default_step = Fault.REFUSED
     raise ExchangeBrokenError("crashed")
 
 
-async def _domain_goes(wire: Wire, request: Request) -> Response:
-    """Ends every server once one has run the request."""
-    await wire.deliver(request)
-    wire.note("goes down with the others")
-    for server in wire.stage.servers:
-        server.always = Fault.REFUSED
+async def _domain_goes(channel: FaultyChannel, request: Request) -> Response:
+    """Crashes every server once one of them has run the request."""
+    await channel.forward(request)
+    channel.record("goes down with the others")
+    for server in channel.testbed.servers:
+        server.default_step = Fault.REFUSED
     raise ExchangeBrokenError("crashed")
 
 
-async def nothing(stage: Stage, entry: str, send: Send) -> None:
+async def no_failure(testbed: SessionTestbed, entry: str, send: Send) -> None:
     await send()
 
 
-def _at_servers(step: Step) -> Failure:
-    async def hit(stage: Stage, entry: str, send: Send) -> None:
-        with _always(stage.servers, step):
+def _fail_servers(step: Step) -> Failure:
+    async def hit(testbed: SessionTestbed, entry: str, send: Send) -> None:
+        with _default_step(testbed.servers, step):
             await send()
 
     return hit
 
 
-def _at_nodes(step: Step) -> Failure:
-    """Hits the first message to any node; another attempt may pass."""
+def _fail_first_node_message(step: Step) -> Failure:
+    """Fails the first message to any node; later attempts pass."""
 
-    async def hit(stage: Stage, entry: str, send: Send) -> None:
-        async def once(wire: Wire, request: Request) -> Response:
-            for each in stage.nodes:
-                each.always = None
-            wire.steps.insert(0, step)
-            return await wire.handle(request)
+    async def hit(testbed: SessionTestbed, entry: str, send: Send) -> None:
+        async def once(channel: FaultyChannel, request: Request) -> Response:
+            for node in testbed.nodes:
+                node.default_step = None
+            channel.steps.insert(0, step)
+            return await channel.handle(request)
 
-        with _always(stage.nodes, once):
+        with _default_step(testbed.nodes, once):
             await send()
 
     return hit
 
 
-def _at_store(step: Step, only_paths: str = "") -> Failure:
-    async def hit(stage: Stage, entry: str, send: Send) -> None:
-        stage.store.only_paths = only_paths
-        with _always([stage.store], step):
+def _fail_store(step: Step, path_filter: str = "") -> Failure:
+    async def hit(testbed: SessionTestbed, entry: str, send: Send) -> None:
+        testbed.store.path_filter = path_filter
+        with _default_step([testbed.store], step):
             await send()
-        stage.store.only_paths = ""
+        testbed.store.path_filter = ""
 
     return hit
 
 
-async def lost_write(stage: Stage, entry: str, send: Send) -> None:
-    """The claim is written, and neither that nor a look is answered."""
-    stage.store.only_paths = "/v3/kv"
-    stage.store.steps = [Fault.RESPONSE_LOST, Fault.REFUSED]
+async def lost_write(testbed: SessionTestbed, entry: str, send: Send) -> None:
+    """Writes the claim; loses its response and refuses the read after it."""
+    testbed.store.path_filter = "/v3/kv"
+    testbed.store.steps = [Fault.RESPONSE_LOST, Fault.REFUSED]
     await send()
-    stage.store.steps, stage.store.only_paths = [], ""
+    testbed.store.steps, testbed.store.path_filter = [], ""
 
 
-async def kill_entry(stage: Stage, entry: str, send: Send) -> None:
+async def kill_entry(testbed: SessionTestbed, entry: str, send: Send) -> None:
     """Kills the entry node while a server runs the request."""
 
-    async def hang(wire: Wire, request: Request) -> Response:
-        await wire.deliver(request)
+    async def hang(channel: FaultyChannel, request: Request) -> Response:
+        await channel.forward(request)
         await anyio.sleep_forever()
         raise AssertionError
 
-    with _always(stage.servers, hang):
+    with _default_step(testbed.servers, hang):
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(send)
-            await quiet()
+            await run_until_idle()
             tasks.cancel_scope.cancel()
-            stage.note(entry, "is killed, and started anew")
-            stage.entries[entry].crash()
-            await quiet()
-    stage.start(entry)
-    await quiet()
+            testbed.record(entry, "is killed, and started anew")
+            testbed.entries[entry].crash()
+            await run_until_idle()
+    testbed.start(entry)
+    await run_until_idle()
 
 
-def _freeze(seconds: float, meanwhile: bool = False) -> Failure:
+def _freeze_entry(seconds: float, meanwhile: bool = False) -> Failure:
     """Freezes the entry node between its claim and its first attempt."""
 
-    async def hit(stage: Stage, entry: str, send: Send) -> None:
-        node = stage.entries[entry]
+    async def hit(testbed: SessionTestbed, entry: str, send: Send) -> None:
+        node = testbed.entries[entry]
         resume = node.sender.resumed = anyio.Event()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(send)
-            await quiet()
-            stage.note(entry, "is frozen")
-            stage.cluster.clock.advance(seconds)
+            await run_until_idle()
+            testbed.record(entry, "is frozen")
+            testbed.cluster.clock.advance(seconds)
             if meanwhile:
                 other = "entry-b" if entry == "entry-a" else "entry-a"
-                await stage.send(other, "k", b"tavola")
-            stage.note(entry, "goes on")
+                await testbed.send(other, "k", b"tavola")
+            testbed.record(entry, "goes on")
             node.sender.resumed = None
             resume.set()
 
     return hit
 
 
-async def crash(stage: Stage, entry: str, send: Send) -> None:
-    """Crashes each server that runs it; they are started anew after."""
-    with _always(stage.servers, _crash):
+async def crash_servers(
+    testbed: SessionTestbed, entry: str, send: Send
+) -> None:
+    """Crashes each server that runs the request; all are restarted after."""
+    with _default_step(testbed.servers, _crash):
         await send()
 
 
-#: After it a key may be used anew; so it comes first, and with a key only.
-LAPSE = "the lease lapses and its holder goes on"
+#: A key may be reused after its lease has expired, so this failure is only
+#: injected first, and only into requests with a key.
+LEASE_LAPSE = "the lease lapses and its holder goes on"
 
 FAILURES: dict[str, Failure] = {
-    "nothing fails": nothing,
-    "the target's node is killed before": _at_nodes(Fault.REFUSED),
-    "the connection is cut before it is handled": _at_nodes(Fault.REQUEST_LOST),
-    "the connection is cut after it was handled": _at_nodes(
+    "nothing fails": no_failure,
+    "the target's node is killed before": _fail_first_node_message(
+        Fault.REFUSED
+    ),
+    "the connection is cut before it is handled": _fail_first_node_message(
+        Fault.REQUEST_LOST
+    ),
+    "the connection is cut after it was handled": _fail_first_node_message(
         Fault.RESPONSE_LOST
     ),
-    "the server's connection is cut": _at_servers(Fault.RESPONSE_LOST),
+    "the server's connection is cut": _fail_servers(Fault.RESPONSE_LOST),
     "the entry node is killed meanwhile": kill_entry,
-    "the entry node freezes past the deadline": _freeze(LATE_S),
-    "the server is a straggler": _at_servers(_straggle),
-    "the server fails fast": _at_servers(FAILED),
-    "the server drains": _at_servers(SHED),
-    "the store is down": _at_store(Fault.REFUSED),
-    "the store is slow": _at_store(_slow),
+    "the entry node freezes past the deadline": _freeze_entry(AFTER_DEADLINE_S),
+    "the server is a straggler": _fail_servers(_straggle),
+    "the server fails fast": _fail_servers(FAILED),
+    "the server drains": _fail_servers(SHED),
+    "the store is down": _fail_store(Fault.REFUSED),
+    "the store is slow": _fail_store(_slow),
     "a write takes effect without an answer": lost_write,
-    LAPSE: _freeze(LAPSED_S, True),
-    "it crashes each server": crash,
-    "its failure domain goes down": _at_servers(_domain_goes),
-    "an answer to another arrives late": _at_nodes(_answer_another),
+    LEASE_LAPSE: _freeze_entry(AFTER_LEASE_S, True),
+    "it crashes each server": crash_servers,
+    "its failure domain goes down": _fail_servers(_domain_goes),
+    "an answer to another arrives late": _fail_first_node_message(
+        _answer_another
+    ),
 }
--- a/tests/proofs/golden.py
+++ b/tests/proofs/golden.py
@@ -1,52 +1,57 @@
-"""Compares the record of a session with its golden file.
+"""Compares the recorded lines of a session with its golden file.
 
-A record has one line a message or decision, without ports, ids or times that
-vary. `scripts/test tests/proofs --refresh-golden` writes the files anew.
+A session has one line for each message or decision, without ports, ids or times
+that vary between runs. `scripts/test tests/proofs --refresh-golden` rewrites
+the files.
 """
 
 from collections.abc import Sequence
 import difflib
 import pathlib
 
-GOLDEN = pathlib.Path(__file__).parents[1] / "golden"
+GOLDEN_DIR = pathlib.Path(__file__).parents[1] / "golden"
 
 
-def file_name(words: str) -> str:
+def golden_file_name(session_name: str) -> str:
     """Returns the name of the golden file of a session."""
-    kept = "".join(c if c.isalnum() else "-" for c in words.lower())
-    return kept.strip("-") + ".txt"
+    lowered = session_name.lower()
+    slug = "".join(c if c.isalnum() else "-" for c in lowered)
+    return slug.strip("-") + ".txt"
 
 
-def difference(
-    words: str, lines: Sequence[str], refresh: bool, golden: pathlib.Path
+def golden_diff(
+    session_name: str,
+    lines: Sequence[str],
+    refresh: bool,
+    directory: pathlib.Path,
 ) -> str:
-    """Returns how a session differs from its golden file; empty if not.
+    """Returns the difference of a session from its golden file; empty if none.
 
     Args:
-      words: name the session.
-      lines: its record.
-      refresh: whether to write the file instead.
-      golden: where the files are.
+      session_name: name of the session.
+      lines: recorded lines of the session.
+      refresh: whether to write the file instead of comparing it.
+      directory: directory of the golden files.
     """
-    path = golden / file_name(words)
+    path = directory / golden_file_name(session_name)
     if refresh:
         path.write_text("".join(f"{line}\n" for line in lines))
         return ""
     if not path.is_file():
         return f"{path.name} is missing; make it with --refresh-golden"
-    kept = path.read_text().splitlines()
+    expected = path.read_text().splitlines()
     return "\n".join(
-        difflib.unified_diff(kept, lines, path.name, "now", lineterm="")
+        difflib.unified_diff(expected, lines, path.name, "now", lineterm="")
     )
 
 
-class Golden:
-    """The golden files, refreshed or compared as the run was asked to."""
+class GoldenFiles:
+    """Compares sessions with the golden files, or rewrites the files."""
 
     def __init__(self, refresh: bool) -> None:
         self._refresh = refresh
 
-    def check(self, words: str, lines: Sequence[str]) -> None:
-        """Fails with a diff where the session is not the recorded one."""
-        told = difference(words, lines, self._refresh, GOLDEN)
-        assert not told, told
+    def check(self, session_name: str, lines: Sequence[str]) -> None:
+        """Fails with a diff if the session differs from its golden file."""
+        diff = golden_diff(session_name, lines, self._refresh, GOLDEN_DIR)
+        assert not diff, diff
--- a/tests/proofs/test_configuration.py
+++ b/tests/proofs/test_configuration.py
@@ -1,4 +1,9 @@
-"""Operators and nodes over the real acceptor, adopter and messages."""
+"""Configuration changes through the real acceptor, adopter and messages.
+
+Guards against a node that goes back to an older revision, and against racing
+operators whose changes overwrite each other, while the store fails, nodes
+freeze or restart, or responses are delayed.
+"""
 
 import random
 from unittest import mock
@@ -34,16 +39,24 @@
 ROUNDS = 6
 
 
-class AdoptsAnything(Adopter):
-    """Weak: puts in force what it was told last."""
+class AcceptsAnyRevision(Adopter):
+    """Weak: adopts any snapshot without comparing revisions."""
 
     def adopt(self, snapshot: Snapshot) -> bool:
         self.snapshot = snapshot
         return True
 
 
-class Fleet:
-    """Nodes that learn in an order drawn from a seed, and two operators."""
+class SimulatedFleet:
+    """Nodes that pull in an order drawn from a seed, and two operators.
+
+    Attributes:
+      frozen: nodes that don't pull.
+      delayed: snapshots still on their way, with their nodes.
+      accepted: revision and change id of each accepted change.
+      results: result of each operator's change.
+      reverted: whether a node went back to an older revision.
+    """
 
     def __init__(self, adopter: type[Adopter]) -> None:
         self.rng = random.Random(7)
@@ -57,9 +70,9 @@
         self.nodes = [adopter() for _ in range(NODES)]
         self.frozen: set[int] = set()
         self.failures: tuple[str, str] = ("", "")
-        self.late: list[tuple[int, Snapshot]] = []
+        self.delayed: list[tuple[int, Snapshot]] = []
         self.accepted: list[tuple[int, str]] = []
-        self.told: list[str] = []
+        self.results: list[str] = []
         self.lines: list[str] = []
         self.reverted = False
 
@@ -69,7 +82,7 @@
     async def run(self) -> None:
         await self.testbed.apply(inventory())
         for number in range(ROUNDS):
-            self.note("both operators", "change revision " + self._newest())
+            self.record("both operators", "change revision " + self._newest())
             await self._race(number)
             if self.fails("store is down"):
                 self.testbed.standin.set_faults(StoreFaults(down="refuse"))
@@ -77,8 +90,8 @@
                 third = range(NODES // 3)
                 self.frozen = set(third) if number % 2 else set()
             for _ in range(3 * NODES):
-                await self._learn(self.rng.randrange(NODES))
-            self._deliver_late()
+                await self._sync_node(self.rng.randrange(NODES))
+            self._deliver_delayed()
             if self.fails("are new"):
                 start = number * 4 % NODES
                 for index in range(start, start + 4):
@@ -87,10 +100,10 @@
         self.frozen.clear()
         for _ in range(4):
             for number in range(NODES):
-                await self._learn(number)
-        self._deliver_late()
+                await self._sync_node(number)
+        self._deliver_delayed()
 
-    def note(self, who: str, text: str) -> None:
+    def record(self, who: str, text: str) -> None:
         self.lines.append(f"{who:15} {text}")
 
     def _newest(self) -> str:
@@ -110,7 +123,7 @@
 
     async def _lose_answer(self, request):
         await self.testbed.standin.handle(request)
-        self.note("store", "swaps or refuses, and its answer is lost")
+        self.record("store", "swaps or refuses, and its answer is lost")
         raise ExchangeBrokenError("answer lost")
 
     async def _change(self, operator: str, number: int) -> None:
@@ -119,30 +132,30 @@
         try:
             record = await testbed.apply(inventory(slots=slots), operator)
         except ChangeConflictError:
-            told = "refused: the other came first"
+            result = "refused: the other came first"
         except ChangeUnsettledError:
-            told = "to be settled by reading"
+            result = "to be settled by reading"
         except StoreError:
-            told = "not accepted"
+            result = "not accepted"
         else:
-            told = f"accepted as revision {record.revision}"
-        self.told.append(told)
-        self.note(operator, told)
+            result = f"accepted as revision {record.revision}"
+        self.results.append(result)
+        self.record(operator, result)
 
-    async def _learn(self, number: int) -> None:
+    async def _sync_node(self, number: int) -> None:
         if number in self.frozen:
             return
         held = self.nodes[number].snapshot
-        found = await self._found(held)
-        if found is None:
+        snapshot = await self._fetch_newer(held)
+        if snapshot is None:
             return
         if self.fails("arrive late") and self.rng.random() < 0.5:
-            self.late.append((number, found))
+            self.delayed.append((number, snapshot))
             return
-        self._adopt(number, found)
+        self._adopt(number, snapshot)
 
-    async def _found(self, held: Snapshot) -> Snapshot | None:
-        """Returns what the store or a peer holds beyond `held`."""
+    async def _fetch_newer(self, held: Snapshot) -> Snapshot | None:
+        """Returns a newer snapshot from the store or a peer, if any."""
         if self.rng.random() < 0.3:
             try:
                 root, _ = await self.testbed.repository.read_newest()
@@ -159,16 +172,16 @@
             return None
         return SnapshotBuilder(held, reply).build()
 
-    def _deliver_late(self) -> None:
-        self.rng.shuffle(self.late)
-        while self.late:
-            self._adopt(*self.late.pop())
+    def _deliver_delayed(self) -> None:
+        self.rng.shuffle(self.delayed)
+        while self.delayed:
+            self._adopt(*self.delayed.pop())
 
-    def _adopt(self, number: int, found: Snapshot) -> None:
+    def _adopt(self, number: int, snapshot: Snapshot) -> None:
         node = self.nodes[number]
         before = node.snapshot.revision
-        if node.adopt(found):
-            self.note(f"node {number}", f"has revision {found.revision}")
+        if node.adopt(snapshot):
+            self.record(f"node {number}", f"has revision {snapshot.revision}")
         self.reverted |= node.snapshot.revision < before
 
 
@@ -177,14 +190,14 @@
     target_fixture="fleet",
 )
 def learning():
-    return Fleet(Adopter)
+    return SimulatedFleet(Adopter)
 
 
 @given(
     "12 nodes that adopt whatever they are told last", target_fixture="fleet"
 )
 def adopting_anything():
-    return Fleet(AdoptsAnything)
+    return SimulatedFleet(AcceptsAnyRevision)
 
 
 @given("a store whose conditions always hold", target_fixture="store_patch")
@@ -197,20 +210,20 @@
 @when(
     parsers.parse("two operators race six times while {first} and {second}"),
 )
-def race(story, fleet, first, second):
+def race(scenario_state, fleet, first, second):
     fleet.failures = (first, second)
     anyio.run(fleet.run)
-    story.name = f"operators race while {first}"
-    story.lines = fleet.lines
+    scenario_state.name = f"operators race while {first}"
+    scenario_state.lines = fleet.lines
 
 
 @then("one of the two is accepted each time, or is told that it is not")
 def one_accepted(fleet):
-    rounds = [fleet.told[n : n + 2] for n in range(0, 2 * ROUNDS, 2)]
-    for told in rounds:
-        accepted = [text for text in told if text.startswith("accepted")]
+    rounds = [fleet.results[n : n + 2] for n in range(0, 2 * ROUNDS, 2)]
+    for results in rounds:
+        accepted = [text for text in results if text.startswith("accepted")]
         assert len(accepted) <= 1
-        assert len(accepted) == 1 or any("settled" in t for t in told)
+        assert len(accepted) == 1 or any("settled" in t for t in results)
     assert [revision for revision, _ in fleet.accepted] == list(
         range(2, ROUNDS + 2)
     )
@@ -235,7 +248,8 @@
 
 @then("both of the two were accepted at some time")
 def both_accepted(fleet):
-    rounds = [fleet.told[n : n + 2] for n in range(0, 2 * ROUNDS, 2)]
+    rounds = [fleet.results[n : n + 2] for n in range(0, 2 * ROUNDS, 2)]
     assert any(
-        all(text.startswith("accepted") for text in told) for told in rounds
+        all(text.startswith("accepted") for text in results)
+        for results in rounds
     )
--- a/tests/proofs/test_measuring.py
+++ b/tests/proofs/test_measuring.py
@@ -1,4 +1,8 @@
-"""The cost of probes, over the real prober, budget, health and admission."""
+"""Cost of probes, through the real prober, budget, health and admission.
+
+Guards against probes that use more than their share of slot time, or that are
+sent to a full server.
+"""
 
 from unittest import mock
 
@@ -35,14 +39,14 @@
 
 
 class NoBudget(ProbeBudget):
-    """Weak: probes whenever it would help."""
+    """Weak: allows every probe."""
 
     def allows(self, now: float) -> bool:
         return True
 
 
-class Measured:
-    """A prober and a server in a named trouble."""
+class ProbeScenario:
+    """A prober and a server with a named fault."""
 
     def __init__(self) -> None:
         self.clock, self.sender = ManualClock(), InProcessSender()
@@ -62,42 +66,44 @@
         )
         self.prober.set_budget_share(SHARE)
         self._announce(0)
-        self.trouble = ""
+        self.fault = ""
         self.joined_full = False
         self.cost_s = 0.0
         self.lines: list[str] = []
 
     def _announce(self, number: int) -> None:
-        told = Announcement(
+        announcement = Announcement(
             "a",
             str(SERVER),
             instance=str(number),
             uptime_s=0.0,
             health_path="/healthz",
         )
-        self.parts.server.accept_announcement(told, self.clock.monotonic())
+        self.parts.server.accept_announcement(
+            announcement, self.clock.monotonic()
+        )
 
     async def _handle(self, request) -> Response:
         self.joined_full |= self.parts.admission.in_flight > SLOTS
-        slow = "slow" in self.trouble or "no answer" in self.trouble
+        slow = "slow" in self.fault or "no answer" in self.fault
         cost_s = PROBE_TIMEOUT_S if slow else 0.006
         self.cost_s += cost_s
         at = self.clock.monotonic() - 100.0
         self.lines.append(f"{at:6.2f} s  node a  probes, {cost_s} s")
         self.clock.advance(cost_s)
-        if "no answer" in self.trouble:
+        if "no answer" in self.fault:
             raise TimeoutError
-        if "cut" in self.trouble:
+        if "cut" in self.fault:
             raise ExchangeBrokenError("cut")
-        if "no connection" in self.trouble:
+        if "no connection" in self.fault:
             raise ConnectFailedError("refused")
-        if "fails fast" in self.trouble:
+        if "fails fast" in self.fault:
             return Response(500, (), b"failed fast")
-        state = "draining" if "drains" in self.trouble else "ready"
+        state = "draining" if "drains" in self.fault else "ready"
         return Response(200, (), msgspec.json.encode({"state": state}))
 
     async def run(self, seconds: float) -> None:
-        tickets = SLOTS if "busy" in self.trouble else 0
+        tickets = SLOTS if "busy" in self.fault else 0
         for _ in range(tickets):
             now = self.clock.monotonic()
             self.parts.admission.offer(
@@ -107,7 +113,7 @@
         number = 0
         while self.clock.monotonic() < end:
             number += 1
-            if "anew" in self.trouble:
+            if "anew" in self.fault:
                 self._announce(number)
             await self.prober.tick()
             self.clock.advance(POLL_INTERVAL_S)
@@ -125,22 +131,22 @@
 
 @given("a server of 9 slots with a probe share of 0.01")
 def server():
-    """The scenario's constants."""
+    """Checks the constants that the scenario names."""
     assert (SLOTS, SHARE) == (9, 0.01)
 
 
 @when(
-    parsers.parse("the prober runs for {seconds:d} s while {trouble}"),
+    parsers.parse("the prober runs for {seconds:d} s while {fault}"),
     target_fixture="measured",
 )
-def probing(story, prober_budget, seconds, trouble):
+def probing(scenario_state, prober_budget, seconds, fault):
     budget = prober_budget["budget"]
     with mock.patch.object(prober_module, "ProbeBudget", budget):
-        measured = Measured()
-    measured.trouble = trouble
+        measured = ProbeScenario()
+    measured.fault = fault
     anyio.run(measured.run, float(seconds))
-    story.name = f"probing while {trouble}"
-    story.lines = measured.lines
+    scenario_state.name = f"probing while {fault}"
+    scenario_state.lines = measured.lines
     measured.allowed_s = SHARE * SLOTS * (seconds + 1) + PROBE_TIMEOUT_S
     return measured
 
@@ -148,7 +154,7 @@
 @then("probes cost no more than their share of slot time")
 def within(measured):
     assert measured.cost_s <= measured.allowed_s
-    assert bool(measured.cost_s) is ("busy" not in measured.trouble)
+    assert bool(measured.cost_s) is ("busy" not in measured.fault)
 
 
 @then("probes cost more than their share of slot time")
--- a/tests/proofs/test_sessions.py
+++ b/tests/proofs/test_sessions.py
@@ -1,4 +1,8 @@
-"""Sessions of callers: at most once, the truth of "not run", whole answers."""
+"""Sessions of callers under injected failures.
+
+Guards against requests that run twice, not-run reports for requests that ran,
+and responses that reach the caller of another request.
+"""
 
 import anyio
 import pytest
@@ -11,29 +15,29 @@
 from radishwind.http import make_sender
 from radishwind.http import Request
 from radishwind.http.types import Address
-from tests.proofs.golden import difference
+from tests.proofs.golden import golden_diff
 
 scenarios("at_most_once.feature", "not_run.feature", "whole_answers.feature")
 
 
 class LateServer:
-    """Answers the first request late, on a connection that it keeps."""
+    """Responds late to the first request and keeps its connection open."""
 
     def __init__(self) -> None:
-        self.first_asked = anyio.Event()
-        self.late = anyio.Event()
+        self.first_received = anyio.Event()
+        self.release = anyio.Event()
 
     async def serve(self, stream) -> None:
         async with stream:
             while True:
                 try:
-                    asked = await stream.receive()
+                    request = await stream.receive()
                 except (anyio.EndOfStream, anyio.BrokenResourceError):
                     return
-                path = asked.split(b" ")[1]
+                path = request.split(b" ")[1]
                 if path == b"/first":
-                    self.first_asked.set()
-                    await self.late.wait()
+                    self.first_received.set()
+                    await self.release.wait()
                 head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n"
                 try:
                     await stream.send(head % len(path) + path)
@@ -41,13 +45,13 @@
                     return
 
 
-class OneConnection:
-    """Weak: sends on one connection, whatever is still to come on it."""
+class SharedConnection:
+    """Weak: reuses a connection on which a response is still outstanding."""
 
     def __init__(self) -> None:
         self._stream = None
 
-    async def ask(self, address: Address, path: str) -> bytes:
+    async def fetch(self, address: Address, path: str) -> bytes:
         if self._stream is None:
             self._stream = await anyio.connect_tcp(*address)
         await self._stream.send(f"GET {path} HTTP/1.1\r\n\r\n".encode())
@@ -59,13 +63,13 @@
         await self._stream.aclose()
 
 
-class Kept:
-    """The real sender, of one connection at a time."""
+class PooledSender:
+    """The real sender, limited to one connection at a time."""
 
     def __init__(self) -> None:
         self._sender = make_sender(HttpLibrary.AIOHTTP, 1)
 
-    async def ask(self, address: Address, path: str) -> bytes:
+    async def fetch(self, address: Address, path: str) -> bytes:
         request = Request("GET", path)
         response = await self._sender.send(address, request, 5.0)
         assert isinstance(response.body, bytes)
@@ -77,35 +81,35 @@
 
 @pytest.fixture
 def sender():
-    return {"make": Kept}
+    return {"make": PooledSender}
 
 
 @given("a server that answers late, on a connection that is kept")
 def late_server():
-    """The server is made where it runs."""
+    """Does nothing: `two_callers` starts the server in its event loop."""
 
 
 @given('the weak variant "connection reused after a late answer"')
 def reusing(sender):
-    sender["make"] = OneConnection
+    sender["make"] = SharedConnection
 
 
 @when("one caller gives up and another asks", target_fixture="answer")
 def two_callers(sender):
     async def main() -> bytes:
-        server, made = LateServer(), sender["make"]()
+        server, client = LateServer(), sender["make"]()
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         address = Address("127.0.0.1", port)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(listener.serve, server.serve)
             async with anyio.create_task_group() as first:
-                first.start_soon(made.ask, address, "/first")
-                await server.first_asked.wait()
+                first.start_soon(client.fetch, address, "/first")
+                await server.first_received.wait()
                 first.cancel_scope.cancel()
-            server.late.set()
-            answer = await made.ask(address, "/second")
-            await made.close()
+            server.release.set()
+            answer = await client.fetch(address, "/second")
+            await client.close()
             tasks.cancel_scope.cancel()
         return answer
 
@@ -118,13 +122,13 @@
 
 
 @then("the other caller gets the answer of the first")
-def answer_of_first(answer):
+def first_answer(answer):
     assert answer == b"/first"
 
 
 def test_missing_golden_file_is_a_failure(tmp_path):
-    assert "missing" in difference("a", ["x"], False, tmp_path)
+    assert "missing" in golden_diff("a", ["x"], False, tmp_path)
     assert not list(tmp_path.iterdir())
-    assert not difference("a", ["x"], True, tmp_path)
-    assert not difference("a", ["x"], False, tmp_path)
-    assert "+y" in difference("a", ["y"], False, tmp_path)
+    assert not golden_diff("a", ["x"], True, tmp_path)
+    assert not golden_diff("a", ["x"], False, tmp_path)
+    assert "+y" in golden_diff("a", ["y"], False, tmp_path)
