--- a/src/radishwind/http/aiohttp_sender.py
+++ b/src/radishwind/http/aiohttp_sender.py
@@ -1,4 +1,4 @@
-"""`Sender` by aiohttp's client."""
+"""`Sender` based on the client of aiohttp."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -26,7 +26,7 @@
 
 
 class _ResponseStream(BodyStream):
-    """The body of an answer that is still arriving."""
+    """The body of a response that is being received."""
 
     def __init__(self, response: aiohttp.ClientResponse) -> None:
         self._response = response
@@ -40,7 +40,9 @@
                 yield piece
             finished = True
         except (aiohttp.ClientError, OSError) as exc:
-            raise ExchangeBrokenError(f"answer cut: {exc}") from exc
+            raise ExchangeBrokenError(
+                f"connection lost within the response: {exc}"
+            ) from exc
         finally:
             if not finished:
                 self._response.close()
@@ -50,16 +52,16 @@
 
 
 class AiohttpSender(Sender):
-    """Sends by aiohttp; see `Sender` for what it promises."""
+    """Sends requests with aiohttp; see `Sender`."""
 
     def __init__(
         self, connections: int, keepalive_s: float = KEEPALIVE_S
     ) -> None:
-        """Makes a sender.
+        """Creates a sender.
 
         Args:
-          connections: connections to one address at most.
-          keepalive_s: idle connections are closed after this time (s).
+          connections: maximum number of connections to one address.
+          keepalive_s: time after which idle connections are closed (s).
         """
         self._connections = connections
         self._keepalive_s = keepalive_s
@@ -74,9 +76,9 @@
             limit_per_host=self._connections,
             keepalive_timeout=self._keepalive_s,
             use_dns_cache=False,
-            socket_factory=_watched_socket,
+            socket_factory=_make_socket,
         )
-        # aiohttp has no public way to name the protocol of a connection.
+        # aiohttp has no public way to set the protocol class.
         connector._factory = functools.partial(  # type: ignore[assignment]
             StrictResponseHandler, loop=asyncio.get_running_loop()
         )
@@ -89,8 +91,8 @@
                 total=None, sock_connect=connect_timeout_s
             ),
         )
-        # aiohttp sends GET, PUT and DELETE again by itself when a kept
-        # connection dies under them. Whether to send again is ours to decide.
+        # aiohttp by itself resends GET, PUT and DELETE when a reused connection
+        # breaks. Retries are decided by the retry policy instead.
         session._retry_connection = False
         self._sessions[connect_timeout_s] = session
         return session
@@ -117,15 +119,15 @@
             raise ConnectFailedError(f"{address}: {exc}") from exc
         except (TimeoutError, aiohttp.ClientError, OSError) as exc:
             raise ExchangeBrokenError(f"{address}: {exc!r}") from exc
-        return await _received(response)
+        return await _read_response(response)
 
     async def close(self) -> None:
         for session in self._sessions.values():
             await session.close()
 
 
-def _watched_socket(addr_info: aiohttp.AddrInfoType) -> socket.socket:
-    """Returns a socket that notices by itself when its other end is silent."""
+def _make_socket(addr_info: aiohttp.AddrInfoType) -> socket.socket:
+    """Creates a socket that detects a dead peer."""
     family, kind, proto, _, _ = addr_info
     sock = socket.socket(family=family, type=kind, proto=proto)
     sock.setblocking(False)
@@ -139,7 +141,7 @@
     return body or None
 
 
-async def _received(response: aiohttp.ClientResponse) -> Response:
+async def _read_response(response: aiohttp.ClientResponse) -> Response:
     fields = [
         (key.decode("ascii"), value.decode("utf-8", "surrogateescape"))
         for key, value in response.raw_headers
@@ -154,7 +156,9 @@
         body = await response.read()
     except (aiohttp.ClientError, OSError) as exc:
         response.close()
-        raise ExchangeBrokenError(f"answer cut: {exc!r}") from exc
+        raise ExchangeBrokenError(
+            f"connection lost within the response: {exc!r}"
+        ) from exc
     except BaseException:
         response.close()
         raise
--- a/src/radishwind/http/aiohttp_server.py
+++ b/src/radishwind/http/aiohttp_server.py
@@ -1,4 +1,4 @@
-"""`Server` by aiohttp's low-level web server."""
+"""`Server` based on the low-level web server of aiohttp."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -33,20 +33,20 @@
 
 
 class _RequestStream(BodyStream):
-    """The body of a request that is still arriving."""
+    """The body of a request that is being received."""
 
     def __init__(self, request: web.BaseRequest, limits: ServerLimits) -> None:
         self._request = request
         self._limits = limits
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
-        taken = 0
+        received_bytes = 0
         while True:
             piece = await self._read()
             if not piece:
                 return
-            taken += len(piece)
-            if taken > self._limits.max_body_bytes:
+            received_bytes += len(piece)
+            if received_bytes > self._limits.max_body_bytes:
                 raise body_too_large_error(self._limits)
             yield piece
 
@@ -57,7 +57,9 @@
         except TimeoutError as exc:
             raise sender_too_slow_error(self._limits) from exc
         except (RequestPayloadError, OSError) as exc:
-            raise ExchangeBrokenError(f"request cut: {exc!r}") from exc
+            raise ExchangeBrokenError(
+                f"connection lost within the request: {exc!r}"
+            ) from exc
 
     def abort(self) -> None:
         transport = self._request.transport
@@ -65,8 +67,8 @@
             transport.abort()
 
 
-class _Continued(BodyStream):
-    """A body whose beginning was read already."""
+class _PrefixedStream(BodyStream):
+    """A body stream whose beginning was already read."""
 
     def __init__(self, beginning: bytes, rest: BodyStream) -> None:
         self._beginning = beginning
@@ -82,7 +84,7 @@
 
 
 class _Protocol(PipelinedProtocol):
-    """Answers what cannot be parsed with a numbered error."""
+    """Responds to malformed requests with a numbered result code."""
 
     __slots__ = ()
 
@@ -100,14 +102,14 @@
             code, detail = ResultCode.INTERNAL_ERROR, "The node failed."
             outcome = "unknown"
         response = make_problem_response(code, status, detail, outcome)
-        out = _whole(response)
-        if not self.runs_ahead:
+        out = _make_response(response)
+        if not self.early_count:
             out.force_close()
         return out
 
 
 class _WebServer(web.Server):
-    """Makes our protocol, and closes connections above the limit."""
+    """Creates `_Protocol` and closes connections above the limit."""
 
     def __init__(
         self,
@@ -141,8 +143,8 @@
         )
 
     def _is_crowded(self) -> bool:
-        most = self._limits.max_connections * self._limits.crowded_fraction
-        return len(self.connections) > most
+        threshold = self._limits.max_connections * self._limits.crowded_fraction
+        return len(self.connections) > threshold
 
     def connection_made(  # type: ignore[override]
         self, handler: PipelinedProtocol, transport: asyncio.Transport
@@ -153,19 +155,19 @@
 
 
 class AiohttpServer(Server):
-    """Receives by aiohttp; see `Server` for what it promises."""
+    """Receives requests with aiohttp; see `Server`."""
 
     def __init__(
         self,
         limits: ServerLimits,
         may_run_in_parallel: MayRunInParallel | None = None,
     ) -> None:
-        """Makes a listener.
+        """Creates a listener.
 
         Args:
-          limits: what it takes.
-          may_run_in_parallel: decides which pipelined requests run before their
-            turn; by default none do.
+          limits: limits of connections and requests.
+          may_run_in_parallel: whether a pipelined request may run before the
+            ones ahead of it are answered; by default none may.
         """
         self._limits = limits
         self._may_run_in_parallel = may_run_in_parallel or _never
@@ -204,18 +206,20 @@
     request: web.BaseRequest, limits: ServerLimits
 ) -> web.StreamResponse:
     try:
-        received = await _received(request, limits)
+        received = await _read_request(request, limits)
     except RequestRejectedError as exc:
-        return _rejected(exc)
+        return _rejection(exc)
     connection = request.protocol
     assert isinstance(connection, PipelinedProtocol)
-    response = await connection.answer(received)
+    response = await connection.respond(received)
     if isinstance(response.body, BodyStream):
         return await _stream(request, response, response.body)
-    return _whole(response, request.method == "HEAD")
+    return _make_response(response, request.method == "HEAD")
 
 
-async def _received(request: web.BaseRequest, limits: ServerLimits) -> Request:
+async def _read_request(
+    request: web.BaseRequest, limits: ServerLimits
+) -> Request:
     length = request.content_length
     if length is not None and length > limits.max_body_bytes:
         raise body_too_large_error(limits)
@@ -229,9 +233,9 @@
     if not request.body_exists:
         length = 0
     elif length is not None and length <= SMALL_BODY_BYTES:
-        body = await _small_body(request, limits)
+        body = await _read_small_body(request, limits)
     elif length is None:
-        body, length = await _untold_body(request, limits)
+        body, length = await _read_unsized_body(request, limits)
     else:
         body = _RequestStream(request, limits)
     return Request(
@@ -244,13 +248,13 @@
     )
 
 
-async def _untold_body(
+async def _read_unsized_body(
     request: web.BaseRequest, limits: ServerLimits
 ) -> tuple[bytes | BodyStream, int | None]:
-    """Returns a body of unknown length, whole where it is small.
+    """Returns a body of unknown length, buffered if it is small.
 
-    Only a whole one can be sent a second time. Of a larger one the beginning
-    goes before the rest.
+    Only a buffered body can be sent again. A larger one is streamed after the
+    part already read.
     """
     stream = _RequestStream(request, limits)
     pieces: list[bytes] = []
@@ -260,13 +264,17 @@
             pieces.append(piece)
             size += len(piece)
             if size > SMALL_BODY_BYTES:
-                return _Continued(b"".join(pieces), stream), None
+                return _PrefixedStream(b"".join(pieces), stream), None
     except ExchangeBrokenError as exc:
-        raise RequestRejectedError("expected a whole body, got a part") from exc
+        raise RequestRejectedError(
+            "expected a complete body, got a part of it"
+        ) from exc
     return b"".join(pieces), size
 
 
-async def _small_body(request: web.BaseRequest, limits: ServerLimits) -> bytes:
+async def _read_small_body(
+    request: web.BaseRequest, limits: ServerLimits
+) -> bytes:
     content = request.content
     if content.is_eof() or content.total_bytes == request.content_length:
         return await content.read(-1)
@@ -276,17 +284,19 @@
     except TimeoutError as exc:
         raise sender_too_slow_error(limits) from exc
     except (RequestPayloadError, OSError) as exc:
-        raise RequestRejectedError("expected a whole body, got a part") from exc
+        raise RequestRejectedError(
+            "expected a complete body, got a part of it"
+        ) from exc
 
 
-def _rejected(exc: RequestRejectedError) -> web.Response:
+def _rejection(exc: RequestRejectedError) -> web.Response:
     response = rejection_response(exc)
-    out = _whole(response)
+    out = _make_response(response)
     out.force_close()
     return out
 
 
-def _whole(response: Response, head: bool = False) -> web.Response:
+def _make_response(response: Response, head: bool = False) -> web.Response:
     headers = CIMultiDict(response.headers)
     if not head:
         headers.popall("Content-Length", None)
@@ -309,7 +319,8 @@
             await out.write(piece)
         await out.write_eof()
     except BaseException as exc:
-        # A cut answer cuts the caller's connection: it must not end neatly.
+        # The connection to the caller is aborted, so that the caller does not
+        # mistake a partial response for a complete one.
         body.abort()
         with contextlib.suppress(AttributeError):
             request.transport.abort()  # type: ignore[union-attr]
--- a/src/radishwind/http/httpx_sender.py
+++ b/src/radishwind/http/httpx_sender.py
@@ -1,4 +1,4 @@
-"""`Sender` by httpx."""
+"""`Sender` based on httpx."""
 
 from collections.abc import AsyncIterator
 
@@ -20,7 +20,7 @@
 
 
 class _ResponseStream(BodyStream):
-    """The body of an answer that is still arriving."""
+    """The body of a response that is being received."""
 
     def __init__(self, response: httpx.Response) -> None:
         self._response = response
@@ -33,7 +33,9 @@
                     break
                 yield piece
         except httpx.HTTPError as exc:
-            raise ExchangeBrokenError(f"answer cut: {exc!r}") from exc
+            raise ExchangeBrokenError(
+                f"connection lost within the response: {exc!r}"
+            ) from exc
         finally:
             with anyio.CancelScope(shield=True):
                 await self._response.aclose()
@@ -43,7 +45,7 @@
 
 
 class HttpxSender(Sender):
-    """Sends by httpx; see `Sender` for what it promises."""
+    """Sends requests with httpx; see `Sender`."""
 
     def __init__(self, connections: int) -> None:
         self._client = httpx.AsyncClient(
@@ -71,7 +73,7 @@
             raise ConnectFailedError(f"{address}: {exc!r}") from exc
         except httpx.HTTPError as exc:
             raise ExchangeBrokenError(f"{address}: {exc!r}") from exc
-        return await _received(response)
+        return await _read_response(response)
 
     async def close(self) -> None:
         await self._client.aclose()
@@ -83,7 +85,7 @@
     return body or None
 
 
-async def _received(response: httpx.Response) -> Response:
+async def _read_response(response: httpx.Response) -> Response:
     headers = tuple(response.headers.multi_items())
     text = response.headers.get("content-length", "")
     length = int(text) if text.isdigit() else None
--- a/src/radishwind/http/hypercorn_server.py
+++ b/src/radishwind/http/hypercorn_server.py
@@ -1,4 +1,4 @@
-"""`Server` by hypercorn, through ASGI."""
+"""`Server` based on hypercorn, through ASGI."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Awaitable
@@ -28,7 +28,7 @@
 
 
 class _RequestStream(BodyStream):
-    """The body of a request that is still arriving."""
+    """The body of a request that is being received."""
 
     def __init__(self, receive: _Receive) -> None:
         self._receive = receive
@@ -37,17 +37,17 @@
         while True:
             message = await self._receive()
             if message["type"] != "http.request":
-                raise ExchangeBrokenError("request cut")
+                raise ExchangeBrokenError("connection lost within the request")
             yield message.get("body", b"")
             if not message.get("more_body", False):
                 return
 
     def abort(self) -> None:
-        """Nothing to do: hypercorn ends what is left unread."""
+        """Does nothing: hypercorn ends a body that is not read."""
 
 
 class HypercornServer(Server):
-    """Receives by hypercorn; see `Server` for what it promises."""
+    """Receives requests with hypercorn; see `Server`."""
 
     def __init__(self, limits: ServerLimits) -> None:
         self._limits = limits
@@ -101,7 +101,7 @@
 async def _exchange(
     handler: Handler, scope: dict[str, Any], receive: _Receive, send: _Send
 ) -> None:
-    response = await handler(await _received(scope, receive))
+    response = await handler(await _read_request(scope, receive))
     headers = [
         (key.lower().encode(), value.encode("utf-8", "surrogateescape"))
         for key, value in response.headers
@@ -137,7 +137,7 @@
     await send({"type": "http.response.body", "body": b""})
 
 
-async def _received(scope: dict[str, Any], receive: _Receive) -> Request:
+async def _read_request(scope: dict[str, Any], receive: _Receive) -> Request:
     headers = tuple(
         (key.decode("ascii"), value.decode("utf-8", "surrogateescape"))
         for key, value in scope["headers"]
--- a/src/radishwind/http/pipelined_protocol.py
+++ b/src/radishwind/http/pipelined_protocol.py
@@ -1,17 +1,18 @@
-"""Runs pipelined requests before their turn and answers them in order.
+"""Runs pipelined requests of aiohttp in parallel and responds in order.
 
-A caller may send further requests on a connection before the first one is
-answered. The library below reads them, and hands each to the handler once the
-one before it is answered. `PipelinedProtocol` runs those that may run more than
-once at the same time; each answer waits for its turn on the connection.
+A caller may pipeline requests, that is, send further ones before the first is
+answered. aiohttp parses them but passes each to the handler only after the one
+before it is answered. `PipelinedProtocol` starts those early that may safely
+run more than once; the responses are written in the order of the requests.
 
-An answer that closes the connection is the last one: what stands behind it was
-not read, and its sender sends it again. So such an answer waits for the ones
-that already run behind it, and nothing is read after it.
+A response with `Connection: close` is the last one: requests behind it are not
+processed, and their sender has to send them again. Therefore, while requests
+behind such a response are already running, the field moves to the last of
+their responses, and nothing is read any more.
 
-The library has no public way to look at requests that wait on a connection, so
-`_messages` of its protocol is read here and nowhere else; the tests beside send
-through sockets and fail if it changes.
+aiohttp has no public interface to the requests queued on a connection, so the
+attribute `_messages` of its protocol is read here and nowhere else; the tests
+of this package send through sockets and fail if it changes.
 """
 
 import asyncio
@@ -35,20 +36,21 @@
 
 
 class PipelinedProtocol(RequestHandler):
-    """A connection whose pipelined requests may run at once.
+    """A connection whose pipelined requests may run in parallel.
 
     Attributes:
-      has_announced_close: whether its last answer said that it closes.
+      has_announced_close: whether no further request is processed; the last
+        response says `Connection: close`.
     """
 
     __slots__ = (
-        "_ahead",
+        "_close_timer",
+        "_early_tasks",
         "_handler",
-        "_in_turn",
         "_is_crowded",
         "_limits",
-        "_linger",
         "_may_run_in_parallel",
+        "_next_request",
         "has_announced_close",
     )
 
@@ -62,49 +64,49 @@
         is_crowded: Callable[[], bool],
         **options: Any,
     ) -> None:
-        """Makes the protocol of one connection.
+        """Creates the protocol of one connection.
 
         Args:
-          manager: the library's server.
+          manager: the server of aiohttp.
           handler: answers requests.
           limits: of the listener.
-          may_run_in_parallel: decides which requests need not wait.
-          is_crowded: returns whether the listener has connections enough, so
-            that each answer is the last one on its connection.
-          **options: of the library's protocol.
+          may_run_in_parallel: whether a pipelined request may run before the
+            ones ahead of it are answered.
+          is_crowded: returns whether the listener has so many connections that
+            each response closes its connection.
+          **options: of the protocol of aiohttp.
         """
         super().__init__(manager, **options)
         self._handler = handler
         self._limits = limits
         self._may_run_in_parallel = may_run_in_parallel
         self._is_crowded = is_crowded
-        # Requests that began before their turn, in the order of their turns:
-        # always the first ones that wait.
-        self._ahead: collections.deque[asyncio.Task[Response]] = (
+        # Requests started early, in order: always the first of those queued.
+        self._early_tasks: collections.deque[asyncio.Task[Response]] = (
             collections.deque()
         )
-        # The request whose turn it is.
-        self._in_turn: Request | None = None
-        self._linger: asyncio.TimerHandle | None = None
+        # The request whose response is next.
+        self._next_request: Request | None = None
+        self._close_timer: asyncio.TimerHandle | None = None
         self.has_announced_close = False
 
     @property
-    def runs_ahead(self) -> int:
-        """Requests that began before their turn."""
-        return len(self._ahead)
+    def early_count(self) -> int:
+        """Number of requests that were started early."""
+        return len(self._early_tasks)
 
     def data_received(self, data: bytes) -> None:
         if self.has_announced_close:
             return
         super().data_received(data)
-        if self._messages and self._in_turn is not None:
-            self.start_ahead()
+        if self._messages and self._next_request is not None:
+            self.start_early()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        for task in self._ahead:
-            _give_up(task)
-        if self._linger is not None:
-            self._linger.cancel()
+        for task in self._early_tasks:
+            _cancel(task)
+        if self._close_timer is not None:
+            self._close_timer.cancel()
         super().connection_lost(exc)
 
     async def finish_response(
@@ -114,35 +116,38 @@
         start_time: float | None,
     ) -> tuple[web.StreamResponse, bool]:
         finished = await super().finish_response(request, resp, start_time)
-        if self.has_announced_close and not self._ahead:
-            # The caller closes; closing first could reset what it still reads.
+        if self.has_announced_close and not self._early_tasks:
+            # The caller closes first: closing here could reset the connection
+            # while the caller still reads the response.
             loop = asyncio.get_running_loop()
-            self._linger = loop.call_later(
+            self._close_timer = loop.call_later(
                 self._limits.linger_s, self.force_close
             )
         return finished
 
-    async def answer(self, received: Request) -> Response:
-        """Returns the answer to the request whose turn it is."""
-        self._in_turn = received
+    async def respond(self, received: Request) -> Response:
+        """Returns the response to the request that is next in order."""
+        self._next_request = received
         try:
-            if self._ahead:
-                return self._in_order(await self._ahead.popleft())
+            if self._early_tasks:
+                return self._with_connection_field(
+                    await self._early_tasks.popleft()
+                )
             if self._messages:
-                self.start_ahead()
-            return self._in_order(await self._handler(received))
+                self.start_early()
+            return self._with_connection_field(await self._handler(received))
         finally:
-            self._in_turn = None
+            self._next_request = None
 
-    def start_ahead(self) -> None:
-        """Begins the waiting requests that need not wait for their turn."""
-        if self._in_turn is None or not self._limits.max_pipelined:
+    def start_early(self) -> None:
+        """Starts the queued requests that may run in parallel."""
+        if self._next_request is None or not self._limits.max_pipelined:
             return
-        if not self._ahead and not self._is_read(self._in_turn):
+        if not self._early_tasks and not self._may_overlap(self._next_request):
             return
-        for message, payload in list(self._messages)[len(self._ahead) :]:
+        for message, payload in list(self._messages)[len(self._early_tasks) :]:
             if (
-                len(self._ahead) >= self._limits.max_pipelined
+                len(self._early_tasks) >= self._limits.max_pipelined
                 or self.has_announced_close
             ):
                 return
@@ -152,14 +157,14 @@
                 return
             if message.should_close or message.upgrade:
                 return
-            request = read_head(message, self._in_turn.remote)
-            if not self._is_read(request):
+            request = make_request(message, self._next_request.remote)
+            if not self._may_overlap(request):
                 return
             task = asyncio.get_running_loop().create_task(self._run(request))
-            self._ahead.append(task)
+            self._early_tasks.append(task)
 
-    def _is_read(self, request: Request) -> bool:
-        """Returns whether others may run beside `request`."""
+    def _may_overlap(self, request: Request) -> bool:
+        """Returns whether other requests may run at the same time."""
         if request.method not in _BODILESS_METHODS:
             return False
         return self._may_run_in_parallel(request)
@@ -167,32 +172,32 @@
     async def _run(self, request: Request) -> Response:
         return await self._handler(request)
 
-    def _in_order(self, response: Response) -> Response:
-        """Returns the answer whose turn it is; only the last one closes."""
-        closes = [x for x in response.headers if _closes(*x)]
+    def _with_connection_field(self, response: Response) -> Response:
+        """Returns the response; only the last one says `Connection: close`."""
+        closes = [x for x in response.headers if _is_close(*x)]
         if (
             not closes
             and not self.has_announced_close
             and not self._is_crowded()
         ):
             return response
-        kept = tuple(x for x in response.headers if not _closes(*x))
-        self.stop_reading()
-        if not self._ahead:
+        kept = tuple(x for x in response.headers if not _is_close(*x))
+        self.announce_close()
+        if not self._early_tasks:
             kept += (("Connection", "close"),)
         return Response(
             response.status, kept, response.body, response.body_bytes
         )
 
-    def stop_reading(self) -> None:
-        """Reads no further request; what waits and has not begun is dropped."""
+    def announce_close(self) -> None:
+        """Stops reading requests; drops queued ones that have not started."""
         self.has_announced_close = True
-        while len(self._messages) > len(self._ahead):
+        while len(self._messages) > len(self._early_tasks):
             self._messages.pop()
 
 
-def read_head(message: RawRequestMessage, remote: str) -> Request:
-    """Returns the request of `message`, which has no body."""
+def make_request(message: RawRequestMessage, remote: str) -> Request:
+    """Creates the request from `message`, which has no body."""
     return Request(
         message.method,
         message.path,
@@ -206,11 +211,14 @@
     )
 
 
-def _give_up(task: asyncio.Task[Response]) -> None:
-    """Cancels a request; an answer nobody will read gives its slot back."""
+def _cancel(task: asyncio.Task[Response]) -> None:
+    """Cancels a request; aborts a response that will not be read.
+
+    Aborting its body releases the slot that the response holds.
+    """
     if not task.cancel() and not task.cancelled() and not task.exception():
         abort_body(task.result().body)
 
 
-def _closes(name: str, value: str) -> bool:
+def _is_close(name: str, value: str) -> bool:
     return name.lower() == "connection" and value.lower() == "close"
