--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,6 +1,7 @@
-"""A randomized soak: real nodes as processes, faults from outside, promises.
+"""Randomized soak test: node processes under load and injected faults.
 
 `python -m tests.soak --seed 1 --length-s 30` starts nodes as processes on
-stand-ins of the platform, lets faults come in series that overlap, and checks
-what callers and servers saw. `seeds.txt` keeps each seed that ever failed.
+stand-ins of the platform, injects overlapping series of faults, and checks the
+guarantees of the nodes against what callers and servers recorded. `seeds.txt`
+lists each seed that has ever failed.
 """
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays seeds one after the other: `python -m tests.soak --help`."""
+"""Runs the soak test for consecutive seeds: `python -m tests.soak --help`."""
 
 import asyncio
 import pathlib
@@ -9,7 +9,7 @@
 
 import typer
 
-from tests.soak.play import play
+from tests.soak.run_soak import run_soak
 
 
 def main(
@@ -19,26 +19,27 @@
     logs: str = typer.Option("", help="Where logs of failed seeds stay."),
 ) -> None:
     """Ends with 1 if a promise was broken; prints the seed and what it was."""
-    first = seed or random.SystemRandom().randrange(1, 1 << 20)
-    failed = 0
-    for number in range(first, first + count):
-        began = time.monotonic()
-        folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{number}-"))
+    first_seed = seed or random.SystemRandom().randrange(1, 1 << 20)
+    failed_count = 0
+    for current_seed in range(first_seed, first_seed + count):
+        started_at = time.monotonic()
+        folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{current_seed}-"))
         if logs:
-            folder = pathlib.Path(logs) / str(number)
+            folder = pathlib.Path(logs) / str(current_seed)
             folder.mkdir(parents=True, exist_ok=True)
-        broken = asyncio.run(play(number, length_s, folder))
-        took_s = time.monotonic() - began
+        violations = asyncio.run(run_soak(current_seed, length_s, folder))
+        took_s = time.monotonic() - started_at
         print(
-            f"seed {number}: {len(broken)} broken, {took_s:.0f} s", flush=True
+            f"seed {current_seed}: {len(violations)} broken, {took_s:.0f} s",
+            flush=True,
         )
-        for line in broken:
-            print(f"  BROKEN {line}")
-        if broken:
-            failed += 1
+        for violation in violations:
+            print(f"  BROKEN {violation}")
+        if violations:
+            failed_count += 1
             print(f"  logs: {folder}")
-    print(f"{count - failed} passed, {failed} failed")
-    sys.exit(bool(failed))
+    print(f"{count - failed_count} passed, {failed_count} failed")
+    sys.exit(bool(failed_count))
 
 
 if __name__ == "__main__":
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep sending, and what they were told."""
+"""Callers that send requests continuously and check the responses."""
 
 import asyncio
 import collections
@@ -10,95 +10,121 @@
 
 from radishwind.standins.platform_fleet import HOST
 from radishwind.standins.platform_fleet import Instance
-from tests.soak.accounts import Accounts
+from tests.soak.account_keys import AccountKeys
 
-#: Statuses by which a node says that the request has not run and never will.
+#: Response statuses that guarantee that the request has not run and never will.
 NOT_RUN = frozenset({408, 421, 429, 503})
 
 
 @dataclasses.dataclass(slots=True)
-class Told:
-    """What callers were told.
+class CallerResults:
+    """The responses that callers received.
 
     Attributes:
-      accounts: whose keys the requests carry; `None` for none.
-      not_run: names of requests that have not run, by what they were told.
-      faults: promises seen broken at once.
-      statuses: answers by status; 0 for none.
+      accounts: source of the keys that requests carry; `None` for no keys.
+      not_run: IDs of the requests that were reported as not run.
+      violations: guarantees that a response violated by itself.
+      statuses: number of responses by status; 0 stands for no response.
     """
 
-    accounts: Accounts | None = None
+    accounts: AccountKeys | None = None
     not_run: set[str] = dataclasses.field(default_factory=set)
-    faults: list[str] = dataclasses.field(default_factory=list)
+    violations: list[str] = dataclasses.field(default_factory=list)
     statuses: collections.Counter[int] = dataclasses.field(
         default_factory=collections.Counter
     )
 
 
-async def call_for(
-    instance: Instance, seed: int, per_s: float, told: Told, done: asyncio.Event
+async def send_load(
+    instance: Instance,
+    seed: int,
+    per_s: float,
+    results: CallerResults,
+    stop: asyncio.Event,
 ) -> None:
-    """Sends requests to the node of `instance` over kept connections."""
+    """Sends requests to the node of `instance` over persistent connections.
+
+    Args:
+      instance: instance whose node receives the requests.
+      seed: seed of the services and send times.
+      per_s: mean rate of the requests (1/s); the intervals are exponential.
+      results: records the responses.
+      stop: ends the load when set.
+    """
     rng = random.Random(seed)
     timeout = aiohttp.ClientTimeout(total=1.5)
     async with (
         aiohttp.ClientSession(timeout=timeout) as session,
         asyncio.TaskGroup() as tasks,
     ):
-        while not done.is_set():
+        while not stop.is_set():
             service = rng.choice(("library", "sessions"))
-            tasks.create_task(ask(session, instance, service, told))
+            tasks.create_task(send_request(session, instance, service, results))
             await asyncio.sleep(rng.expovariate(per_s))
 
 
-async def ask(
+async def send_request(
     session: aiohttp.ClientSession,
     instance: Instance,
     service: str,
-    told: Told,
+    results: CallerResults,
     account: str = "",
 ) -> int:
-    """Sends one request and checks the answer; returns its status.
+    """Sends one request, checks the response and returns its status.
 
     Args:
-      session: sends it.
-      instance: whose node it goes to.
-      service: what it asks for.
-      told: takes what it is told.
-      account: whose key it carries; any account's by default.
+      session: HTTP client session.
+      instance: instance whose node receives the request.
+      service: requested service.
+      results: records the response.
+      account: account whose key the request carries; a random one by default.
+
+    Returns:
+      The status of the response; 0 if none arrived.
     """
-    name = uuid.uuid4().hex[:16]
-    headers = {"Host": HOST, "Attempt-Id": name, "Timeout-Ms": "1500"}
-    if told.accounts is not None:
+    request_id = uuid.uuid4().hex[:16]
+    headers = {"Host": HOST, "Attempt-Id": request_id, "Timeout-Ms": "1500"}
+    if results.accounts is not None:
         headers["Tenant"] = "forged"
-        headers["Authorization"] = told.accounts.authorize(name, account)
-    # The library sends a request again by itself where it is idempotent.
+        headers["Authorization"] = results.accounts.authorize(
+            request_id, account
+        )
+    # aiohttp retries requests with idempotent methods by itself, so use POST.
     method = "POST"
     url = f"http://{instance.caller_address}/{service}/x"
     status = 0
     try:
-        async with session.request(method, url, headers=headers) as answer:
-            body = await answer.read()
-            status = answer.status
-            _check(told, name, answer, body)
+        async with session.request(method, url, headers=headers) as response:
+            body = await response.read()
+            status = response.status
+            _check_response(results, request_id, response, body)
     except (aiohttp.ClientError, TimeoutError):
-        # No answer promises nothing; `statuses` counts it.
+        # Without a response nothing is guaranteed; `statuses` counts it as 0.
         status = 0
-    told.statuses[status] += 1
+    results.statuses[status] += 1
     return status
 
 
-def _check(
-    told: Told, name: str, answer: aiohttp.ClientResponse, body: bytes
+def _check_response(
+    results: CallerResults,
+    request_id: str,
+    response: aiohttp.ClientResponse,
+    body: bytes,
 ) -> None:
-    signature = answer.headers.get("Response-Signature", "")
-    if answer.status in NOT_RUN:
-        told.not_run.add(name)
-    if answer.status == 404:
-        told.faults.append(f"{name}: 404 for a route that always was")
-    if signature and not signature.endswith(f".{name}"):
-        told.faults.append(f"{name}: signed for another: {signature}")
-    if answer.status != 200:
+    signature = response.headers.get("Response-Signature", "")
+    if response.status in NOT_RUN:
+        results.not_run.add(request_id)
+    if response.status == 404:
+        results.violations.append(
+            f"{request_id}: 404 for a route that always was"
+        )
+    if signature and not signature.endswith(f".{request_id}"):
+        results.violations.append(
+            f"{request_id}: signed for another: {signature}"
+        )
+    if response.status != 200:
         return
-    if not signature or body != f"done {name}".encode():
-        told.faults.append(f"{name}: 200 with {signature!r} and {body!r}")
+    if not signature or body != f"done {request_id}".encode():
+        results.violations.append(
+            f"{request_id}: 200 with {signature!r} and {body!r}"
+        )
--- a/tests/soak/stage.py
+++ b/tests/soak/deployment.py
@@ -1,4 +1,4 @@
-"""The deployment of a soak: nodes as processes, each link through a proxy."""
+"""The deployment under test: node processes with a proxy in each link."""
 
 import asyncio
 import dataclasses
@@ -15,8 +15,8 @@
 from radishwind.standins.platform_fleet import route
 from radishwind.standins.platform_server import PlatformServerStandin
 from radishwind.standins.platform_server import ServerOptions
-from tests.soak.accounts import Accounts
-from tests.soak.proxy import LoopbackProxy
+from tests.soak.account_keys import AccountKeys
+from tests.soak.loopback_proxy import LoopbackProxy
 
 PLACES = tuple(
     Place(f"{domain}-{number}", f"127.0.{host}.{number}", domain, service)
@@ -24,18 +24,18 @@
     for number, service in ((1, "library"), (2, "library"), (3, "sessions"))
 )
 
-#: Which exits of a node are those asked for: as planned, or by SIGKILL.
-_KILLED = -signal.SIGKILL
+#: Exit code of a node ended by SIGKILL, which is expected, as is 0.
+_KILLED_EXIT_CODE = -signal.SIGKILL
 
 
 @dataclasses.dataclass(slots=True)
-class Links:
-    """The proxies around one instance.
+class InstanceLinks:
+    """The proxies in the links of one instance.
 
     Attributes:
-      store: between its node and the store.
-      server: between its node and the server beside.
-      peers: between other nodes and it.
+      store: proxy between its node and the store.
+      server: proxy between its node and its backend server.
+      peers: proxy between other nodes and its node.
     """
 
     store: LoopbackProxy
@@ -46,56 +46,76 @@
         return (self.store, self.server, self.peers)
 
 
-class Stage:
-    """Instances with their links; remembers every server that ever ran."""
+class Deployment:
+    """Instances and the proxies in their links.
+
+    Attributes:
+      rng: random source of delays and of the seeds of new servers.
+      accounts: client accounts; `None` for a deployment without accounts.
+      fleet: instances and the store stand-in.
+      links: proxies by instance name.
+      servers: every server that has run, with those that were replaced.
+      unexpected_exits: descriptions of nodes that ended with a wrong exit code.
+      reserved: names of the instances whose processes a fault controls.
+    """
 
     def __init__(
         self,
         folder: pathlib.Path,
         rng: random.Random,
-        accounts: Accounts | None = None,
+        accounts: AccountKeys | None = None,
     ) -> None:
         self.rng = rng
         self.accounts = accounts
         bounds = accounts.bounds if accounts else ()
-        self.fleet = Fleet(list(PLACES), folder, self._wire, bounds)
-        self.links: dict[str, Links] = {}
+        self.fleet = Fleet(list(PLACES), folder, self._insert_proxies, bounds)
+        self.links: dict[str, InstanceLinks] = {}
         self.servers: list[PlatformServerStandin] = []
-        self.crashes: list[str] = []
-        self.busy: set[str] = set()
+        self.unexpected_exits: list[str] = []
+        self.reserved: set[str] = set()
 
-    async def _wire(self, instance: Instance) -> None:
-        """Puts a proxy into each link before the settings are written."""
+    async def _insert_proxies(self, instance: Instance) -> None:
+        """Inserts a proxy into each link before the settings are written."""
         port = instance.caller_address.port + 6
         host = instance.place.host
-        pairs = (
+        upstreams = (
             self.fleet.store_address,
             instance.server_address,
             instance.peer_address,
         )
         proxies = [
-            LoopbackProxy(Address(host, port + 1 + n), upstream, self.rng)
-            for n, upstream in enumerate(pairs)
+            LoopbackProxy(Address(host, port + 1 + number), upstream, self.rng)
+            for number, upstream in enumerate(upstreams)
         ]
         for proxy in proxies:
             await proxy.start()
-        self.links[instance.place.name] = Links(*proxies)
+        self.links[instance.place.name] = InstanceLinks(*proxies)
         instance.configured_store_address = Address(host, port + 1)
         instance.configured_server_address = Address(host, port + 2)
         instance.configured_peer_address = Address(host, port + 3)
 
     async def start(self, seed: int) -> None:
-        """Starts servers and nodes."""
+        """Starts the servers and nodes."""
         self.configure()
         await self.fleet.start(seed, work_s=0.02, heartbeat_s=0.4)
         self.servers += [i.server for i in self.instances() if i.server]
 
-    def configure(self, **library: object) -> int:
-        """Writes the routes, `library` as told, and the accounts in force."""
+    def configure(self, **library_options: object) -> int:
+        """Writes the routes and the current accounts to the store.
+
+        Args:
+          library_options: options of the route to the service `library`.
+
+        Returns:
+          The version of the configuration.
+        """
         if self.accounts is not None:
-            self.fleet.accounts = self.accounts.as_written()
+            self.fleet.accounts = self.accounts.to_operator_config()
         return self.fleet.configure(
-            [route("library", "safe", **library), route("sessions", "unsafe")]
+            [
+                route("library", "safe", **library_options),
+                route("sessions", "unsafe"),
+            ]
         )
 
     def instances(self) -> tuple[Instance, ...]:
@@ -116,19 +136,25 @@
         assert instance.server is not None
         self.servers.append(instance.server)
 
-    async def leave(self, instance: Instance, *, says_draining: bool) -> None:
-        """Lets the server of `instance` leave as planned, and start again."""
+    async def restart_server_gracefully(
+        self, instance: Instance, *, announces_draining: bool
+    ) -> None:
+        """Stops the server of `instance` gracefully and starts a new one.
+
+        The server announces its leave by a heartbeat that says it is draining
+        or by deregistration, and stops some seconds later.
+        """
         server = instance.server
         assert server is not None
-        server.draining = says_draining
+        server.draining = announces_draining
         async with aiohttp.ClientSession() as session:
             for _ in range(10):
-                call = (
+                send_notice = (
                     server.send_heartbeat
-                    if says_draining
+                    if announces_draining
                     else server.deregister
                 )
-                if await call(session):
+                if await send_notice(session):
                     server.leave_acknowledged_at = (
                         asyncio.get_running_loop().time()
                     )
@@ -140,14 +166,21 @@
         await asyncio.sleep(0.5)
         await self.restart_server(instance)
 
-    async def stop_node(self, instance: Instance, number: int) -> None:
-        """Ends a node by a signal and starts it again."""
-        instance.signal_node(signal.Signals(number))
-        code = await instance.node_ended()
-        # Before its interpreter runs a line of ours, a signal is its default.
-        unbegun = code == -number and not instance.has_logged_since_start
-        if code not in (0, _KILLED) and not unbegun:
-            self.crashes.append(f"{instance.place.name} ended with {code}")
+    async def restart_node(self, instance: Instance, stop_signal: int) -> None:
+        """Ends the node of `instance` by a signal and starts it again."""
+        instance.signal_node(signal.Signals(stop_signal))
+        exit_code = await instance.node_ended()
+        # Until the interpreter runs our code, a signal has its default action.
+        ended_before_code_ran = (
+            exit_code == -stop_signal and not instance.has_logged_since_start
+        )
+        if (
+            exit_code not in (0, _KILLED_EXIT_CODE)
+            and not ended_before_code_ran
+        ):
+            self.unexpected_exits.append(
+                f"{instance.place.name} ended with {exit_code}"
+            )
         await asyncio.sleep(self.rng.random())
         await instance.start_node()
 
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a soak: drawn by the seed, in series, one over another."""
+"""Fault injection: concurrent series of faults, chosen by the seed."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -10,125 +10,150 @@
 from radishwind.standins.platform_fleet import Instance
 from radishwind.standins.platform_server import ServerFaults
 from radishwind.standins.platform_store import StoreFaults
-from tests.soak.proxy import Mode
-from tests.soak.stage import Stage
+from tests.soak.deployment import Deployment
+from tests.soak.loopback_proxy import LinkMode
 
-#: Series of faults that run beside each other.
-SERIES = 3
+#: Number of concurrent series of faults.
+SERIES_COUNT = 3
 
-_ANSWERS = ("reset", "cut", "unframed-reset", "extra", "other", "lost")
-_Fault: TypeAlias = Callable[[Stage, random.Random], Awaitable[str]]
+_RESPONSE_FAULTS = ("reset", "cut", "unframed-reset", "extra", "other", "lost")
+_FaultInjector: TypeAlias = Callable[
+    [Deployment, random.Random], Awaitable[str]
+]
 
 
-async def inject(stage: Stage, seed: int, length_s: float) -> None:
-    """Injects faults for a time, and takes all of them back."""
+async def inject(deployment: Deployment, seed: int, length_s: float) -> None:
+    """Injects faults for `length_s` seconds, then clears all of them."""
     try:
         async with asyncio.timeout(length_s), asyncio.TaskGroup() as tasks:
-            for number in range(SERIES):
+            for number in range(SERIES_COUNT):
                 rng = random.Random(seed * 100 + number)
-                tasks.create_task(_series(stage, rng))
+                tasks.create_task(_inject_series(deployment, rng))
     except TimeoutError:
         pass
-    await _calm(stage)
+    await _clear_faults(deployment)
 
 
-async def _series(stage: Stage, rng: random.Random) -> None:
+async def _inject_series(deployment: Deployment, rng: random.Random) -> None:
     while True:
         fault = rng.choice(_FAULTS)
-        began = asyncio.get_running_loop().time()
-        what = await asyncio.shield(asyncio.ensure_future(fault(stage, rng)))
-        took_s = asyncio.get_running_loop().time() - began
-        print(f"{began:.2f} {fault.__name__} {what} {took_s:.2f}s", flush=True)
+        started_at = asyncio.get_running_loop().time()
+        description = await asyncio.shield(
+            asyncio.ensure_future(fault(deployment, rng))
+        )
+        took_s = asyncio.get_running_loop().time() - started_at
+        print(
+            f"{started_at:.2f} {fault.__name__} {description} {took_s:.2f}s",
+            flush=True,
+        )
         await asyncio.sleep(0.6 * rng.random())
 
 
-async def _calm(stage: Stage) -> None:
-    """Takes back what lasts, and waits for what runs on an instance."""
-    stage.fleet.store.faults = StoreFaults()
-    for links in stage.links.values():
+async def _clear_faults(deployment: Deployment) -> None:
+    """Clears all faults.
+
+    Those of the servers are cleared last, after the faults that restart servers
+    have ended.
+    """
+    deployment.fleet.store.faults = StoreFaults()
+    for links in deployment.links.values():
         for proxy in links.all():
-            proxy.mode = Mode.OPEN
+            proxy.mode = LinkMode.OPEN
     async with asyncio.timeout(30):
-        while stage.busy:  # noqa: ASYNC110
+        while deployment.reserved:  # noqa: ASYNC110
             await asyncio.sleep(0.05)
-    for instance in stage.instances():
+    for instance in deployment.instances():
         if instance.server is not None:
             instance.server.faults = ServerFaults()
 
 
-def _free(stage: Stage, rng: random.Random) -> Instance | None:
-    """Returns an instance on which no other fault ends processes."""
-    free = [i for i in stage.instances() if i.place.name not in stage.busy]
-    if len(free) < 3:
+def _choose_unreserved(
+    deployment: Deployment, rng: random.Random
+) -> Instance | None:
+    """Returns a random instance whose processes no other fault controls.
+
+    Returns `None` if fewer than three are left, so that at least two instances
+    keep running.
+    """
+    unreserved = [
+        i
+        for i in deployment.instances()
+        if i.place.name not in deployment.reserved
+    ]
+    if len(unreserved) < 3:
         return None
-    return rng.choice(free)
+    return rng.choice(unreserved)
 
 
-async def _alone(
-    stage: Stage,
+async def _inject_exclusively(
+    deployment: Deployment,
     rng: random.Random,
     fault: Callable[[Instance], Awaitable[None]],
 ) -> str:
-    instance = _free(stage, rng)
+    instance = _choose_unreserved(deployment, rng)
     if instance is None:
         return "nothing"
-    stage.busy.add(instance.place.name)
+    deployment.reserved.add(instance.place.name)
     try:
         await fault(instance)
     finally:
-        stage.busy.discard(instance.place.name)
+        deployment.reserved.discard(instance.place.name)
     return instance.place.name
 
 
-async def kill_node(stage: Stage, rng: random.Random) -> str:
-    return await _alone(
-        stage, rng, lambda i: stage.stop_node(i, signal.SIGKILL)
+async def kill_node(deployment: Deployment, rng: random.Random) -> str:
+    return await _inject_exclusively(
+        deployment, rng, lambda i: deployment.restart_node(i, signal.SIGKILL)
     )
 
 
-async def stop_node(stage: Stage, rng: random.Random) -> str:
-    return await _alone(
-        stage, rng, lambda i: stage.stop_node(i, signal.SIGTERM)
+async def stop_node(deployment: Deployment, rng: random.Random) -> str:
+    return await _inject_exclusively(
+        deployment, rng, lambda i: deployment.restart_node(i, signal.SIGTERM)
     )
 
 
-async def pause_node(stage: Stage, rng: random.Random) -> str:
+async def pause_node(deployment: Deployment, rng: random.Random) -> str:
     async def pause(instance: Instance) -> None:
         instance.signal_node(signal.SIGSTOP)
         await asyncio.sleep(0.2 + 1.5 * rng.random())
         instance.signal_node(signal.SIGCONT)
 
-    return await _alone(stage, rng, pause)
+    return await _inject_exclusively(deployment, rng, pause)
 
 
-async def reload_node(stage: Stage, rng: random.Random) -> str:
-    instance = rng.choice(stage.instances())
-    if instance.place.name not in stage.busy:
+async def reload_node(deployment: Deployment, rng: random.Random) -> str:
+    instance = rng.choice(deployment.instances())
+    if instance.place.name not in deployment.reserved:
         instance.signal_node(signal.SIGHUP)
     return instance.place.name
 
 
-async def crash_server(stage: Stage, rng: random.Random) -> str:
+async def crash_server(deployment: Deployment, rng: random.Random) -> str:
     async def crash(instance: Instance) -> None:
         await instance.crash_server()
         await asyncio.sleep(1.5 * rng.random())
-        await stage.restart_server(instance)
+        await deployment.restart_server(instance)
 
-    return await _alone(stage, rng, crash)
+    return await _inject_exclusively(deployment, rng, crash)
 
 
-async def drain_server(stage: Stage, rng: random.Random) -> str:
-    says = rng.random() < 0.6
-    return await _alone(
-        stage, rng, lambda i: stage.leave(i, says_draining=says)
+async def drain_server(deployment: Deployment, rng: random.Random) -> str:
+    announces_draining = rng.random() < 0.6
+    return await _inject_exclusively(
+        deployment,
+        rng,
+        lambda i: deployment.restart_server_gracefully(
+            i, announces_draining=announces_draining
+        ),
     )
 
 
-async def spoil_server(stage: Stage, rng: random.Random) -> str:
-    server = rng.choice(stage.instances()).server
+async def spoil_server(deployment: Deployment, rng: random.Random) -> str:
+    server = rng.choice(deployment.instances()).server
     faults = rng.choice(
         (
-            ServerFaults(answer=rng.choice(_ANSWERS), share=0.3),
+            ServerFaults(answer=rng.choice(_RESPONSE_FAULTS), share=0.3),
             ServerFaults(fail=0.5),
             ServerFaults(shed=0.5),
             ServerFaults(slow=6.0),
@@ -143,12 +168,14 @@
     return str(faults)
 
 
-async def harm_store(stage: Stage, rng: random.Random) -> str:
-    store = stage.fleet.store
+async def harm_store(deployment: Deployment, rng: random.Random) -> str:
+    store = deployment.fleet.store
     faults = rng.choice(
         (
             *(StoreFaults(down=how) for how in ("busy", "many", "silent")),
-            StoreFaults(down="reset", only=(stage.instances()[0].place.host,)),
+            StoreFaults(
+                down="reset", only=(deployment.instances()[0].place.host,)
+            ),
             StoreFaults(delay_ms=300.0),
             StoreFaults(lose_answers=5, late_s=1.0),
         )
@@ -161,30 +188,30 @@
     return str(faults)
 
 
-async def harm_link(stage: Stage, rng: random.Random) -> str:
-    name = rng.choice(sorted(stage.links))
-    proxy = rng.choice(stage.links[name].all())
-    proxy.mode = mode = rng.choice(list(Mode)[1:])
+async def harm_link(deployment: Deployment, rng: random.Random) -> str:
+    name = rng.choice(sorted(deployment.links))
+    proxy = rng.choice(deployment.links[name].all())
+    proxy.mode = mode = rng.choice(list(LinkMode)[1:])
     await asyncio.sleep(0.3 + 2 * rng.random())
-    proxy.mode = Mode.OPEN
+    proxy.mode = LinkMode.OPEN
     return f"{name} {mode.value}"
 
 
-async def change_routes(stage: Stage, rng: random.Random) -> str:
+async def change_routes(deployment: Deployment, rng: random.Random) -> str:
     timeout_ms = rng.choice((800, 1000, 1500))
-    return str(stage.configure(**{"timeout-ms": timeout_ms}))
+    return str(deployment.configure(**{"timeout-ms": timeout_ms}))
 
 
-async def change_keys(stage: Stage, rng: random.Random) -> str:
-    if stage.accounts is None:
+async def change_keys(deployment: Deployment, rng: random.Random) -> str:
+    if deployment.accounts is None:
         return "no accounts"
-    name = stage.accounts.give_another_key(rng)
-    version = stage.configure()
-    stage.accounts.took_old_keys(asyncio.get_running_loop().time())
+    name = deployment.accounts.replace_key(rng)
+    version = deployment.configure()
+    deployment.accounts.record_revocation(asyncio.get_running_loop().time())
     return f"{name} {version}"
 
 
-_FAULTS: tuple[_Fault, ...] = (
+_FAULTS: tuple[_FaultInjector, ...] = (
     kill_node,
     stop_node,
     pause_node,
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,8 +1,8 @@
-"""A short play of the soak; longer ones are started by hand."""
+"""Short runs of the soak test; longer ones are started by hand."""
 
 import pytest
 
-from tests.soak.play import play
+from tests.soak.run_soak import run_soak
 
 pytestmark = [pytest.mark.anyio, pytest.mark.processes]
 
@@ -10,5 +10,5 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 103])
-async def test_promises_hold_while_faults_come(seed, tmp_path):
-    assert await play(seed, LENGTH_S, tmp_path) == []
+async def test_guarantees_hold_under_faults(seed, tmp_path):
+    assert await run_soak(seed, LENGTH_S, tmp_path) == []
