--- a/src/radishwind/http/tests/test_differential.py
+++ b/src/radishwind/http/tests/test_differential.py
@@ -1,8 +1,9 @@
-"""No bytes are read as other requests than a strict parser reads in them.
+"""The listener parses the same requests from any bytes as h11 does.
 
-What two parsers read differently is how requests get smuggled. So every request
-that the listener takes must be the one that h11 reads at the same place; where
-h11 refuses, the listener may not go on. Refusing more than h11 is fine.
+Requests that two parsers interpret differently permit request smuggling. So
+each request that the listener accepts must be the one that h11 reads at that
+position; where h11 rejects the bytes, the listener must not continue.
+Rejecting more than h11 is allowed.
 """
 
 import asyncio
@@ -26,7 +27,7 @@
 
 
 class Transport(asyncio.Transport):
-    """Keeps what is written; closes when told to."""
+    """Records what is written and whether it was closed."""
 
     def __init__(self):
         super().__init__()
@@ -54,12 +55,12 @@
         pass
 
 
-def taken(raw, splits=()):
-    """Returns the requests that the listener takes, and if it refused."""
-    return asyncio.run(_taken(raw, splits))
+def parse_requests(raw, splits=()):
+    """Returns the requests that were accepted, and whether any was rejected."""
+    return asyncio.run(_parse(raw, splits))
 
 
-async def _taken(raw, splits):
+async def _parse(raw, splits):
     handled = []
 
     async def handle(request):
@@ -90,13 +91,13 @@
     return handled, b" 400 " in transport.written
 
 
-#: More than one space behind the method: RFC 9112 allows to take it, nothing of
-#: it goes on, and h11 refuses it.
+#: More than one space after the method: RFC 9112 allows accepting it, it is not
+#: forwarded, and h11 rejects it.
 WIDE = re.compile(rb"(?m)^([A-Z]+) +(?=[/*h])")
 
 
 def read_by_h11(raw):
-    """Returns the requests that h11 reads, to the first that it refuses."""
+    """Returns the requests that h11 reads before the first it rejects."""
     raw = WIDE.sub(rb"\1 ", raw)
     conn = h11.Connection(h11.SERVER)
     read = []
@@ -214,22 +215,22 @@
 
 
 def check(raw, splits):
-    requests, _refused = taken(raw, splits)
+    requests, _refused = parse_requests(raw, splits)
     oracle = read_by_h11(raw)
     assert requests == oracle[: len(requests)], (raw, requests, oracle)
-    assert taken(raw, ())[0] == requests
+    assert parse_requests(raw, ())[0] == requests
 
 
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(messages(), st.lists(st.integers(0, 2000), max_size=6))
 @example(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nhello", [3])
-def test_no_grammatical_bytes_are_read_as_other_requests(raw, splits):
+def test_grammatical_bytes_are_parsed_as_by_h11(raw, splits):
     check(raw, splits)
 
 
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(mutated(), st.lists(st.integers(0, 2000), max_size=6))
-def test_no_mutated_bytes_are_read_as_other_requests(raw, splits):
+def test_mutated_bytes_are_parsed_as_by_h11(raw, splits):
     check(raw, splits)
 
 
@@ -240,8 +241,8 @@
 
 
 @pytest.mark.parametrize("place", range(len(WHOLE)))
-def test_where_the_bytes_are_split_changes_nothing(place):
-    requests, refused = taken(WHOLE, (place,))
+def test_split_of_the_bytes_does_not_matter(place):
+    requests, refused = parse_requests(WHOLE, (place,))
 
     assert requests == [("POST", "/a", b"hello"), ("GET", "/b", b"")]
     assert not refused
@@ -271,8 +272,8 @@
         b"CONNECT h:1 HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\n",
     ],
 )
-def test_what_receivers_could_read_differently_is_refused(raw):
-    requests, refused = taken(raw)
+def test_ambiguous_requests_are_rejected(raw):
+    requests, refused = parse_requests(raw)
 
     assert requests == []
     assert refused
--- a/src/radishwind/http/tests/test_malformed_responses.py
+++ b/src/radishwind/http/tests/test_malformed_responses.py
@@ -1,4 +1,4 @@
-"""What a connection that misbehaves may never be taken for."""
+"""Servers that reset connections or send unsolicited bytes."""
 
 import asyncio
 import socket
@@ -19,7 +19,7 @@
 
 @pytest.fixture(params=[HttptoolsSender, AiohttpSender], autouse=True)
 def library(request):
-    """Holds each library to the same."""
+    """Runs each test with each library."""
     RawServer.sender_type = request.param
 
 
@@ -27,7 +27,7 @@
 
 
 class RawServer:
-    """Answers by a script of bytes; counts the requests it read."""
+    """Responds with scripted bytes; records the methods it received."""
 
     sender_type = HttptoolsSender
 
@@ -64,7 +64,7 @@
 
 
 def reset(writer):
-    """Closes the connection of `writer` by a reset."""
+    """Resets the connection of `writer`."""
     sock = writer.get_extra_info("socket")
     linger = struct.pack("ii", 1, 0)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("method", ["GET", "PUT", "DELETE", "POST"])
-async def test_a_kept_connection_that_dies_gets_no_second_sending(method):
+async def test_request_is_not_resent_when_a_reused_connection_breaks(method):
     async def script(count, writer):
         if count == 1:
             writer.write(ANSWER % count)
@@ -88,7 +88,7 @@
         assert server.requests == [method, method]
 
 
-async def test_an_answer_without_a_length_ends_with_its_connection():
+async def test_response_without_a_length_ends_with_its_connection():
     async def script(count, writer):
         writer.write(b"HTTP/1.1 200 OK\r\n\r\nwhole")
         await writer.drain()
@@ -99,7 +99,7 @@
         assert await read_body(response.body) == b"whole"
 
 
-async def test_an_answer_without_a_length_that_is_reset_is_not_complete():
+async def test_response_without_a_length_is_broken_by_a_reset():
     ready = asyncio.Event()
 
     async def script(count, writer):
@@ -116,7 +116,7 @@
                 await read_body(response.body)
 
 
-async def test_bytes_behind_an_answer_are_not_the_answer_to_the_next():
+async def test_bytes_after_a_response_are_not_the_next_response():
     async def script(count, writer):
         writer.write(ANSWER % count)
         if count == 1:
@@ -129,7 +129,7 @@
         assert dict(response.headers)["Id"] == "2"
 
 
-async def test_bytes_while_no_request_waits_close_the_connection():
+async def test_unsolicited_bytes_close_the_connection():
     late = asyncio.Event()
     sent = asyncio.Event()
 
--- a/src/radishwind/http/tests/test_pipelining.py
+++ b/src/radishwind/http/tests/test_pipelining.py
@@ -18,7 +18,7 @@
 
 @pytest.fixture(params=[HttptoolsServer, AiohttpServer], autouse=True)
 def library(request):
-    """Holds each library to the same."""
+    """Runs each test with each library."""
     Service.library = request.param
 
 
@@ -51,7 +51,7 @@
 
 
 class Service:
-    """Answers each request once the test lets it."""
+    """Answers each request once the test releases it."""
 
     library = HttptoolsServer
 
@@ -60,12 +60,12 @@
         self.cancelled = []
         self.closes = set()
         self._gates = {}
-        self._news = anyio.Event()
+        self._changed = anyio.Event()
 
     def gate(self, path):
         return self._gates.setdefault(path, anyio.Event())
 
-    def let(self, *paths):
+    def release(self, *paths):
         for path in paths:
             self.gate(path).set()
 
@@ -88,12 +88,12 @@
     async def until(self, check):
         with anyio.fail_after(WITHIN_S):
             while not check(self):
-                await self._news.wait()
+                await self._changed.wait()
 
     def _note(self, where, path):
         where.append(path)
-        self._news.set()
-        self._news = anyio.Event()
+        self._changed.set()
+        self._changed = anyio.Event()
 
 
 def may_run_in_parallel(request):
@@ -134,21 +134,21 @@
     return got
 
 
-async def test_reads_run_at_once_and_are_answered_in_order():
+async def test_reads_run_in_parallel_and_are_answered_in_order():
     async with connected() as (service, stream):
         await stream.send(read(b"/1") + read(b"/2"))
         await stream.send(read(b"/3"))
 
         await service.until(lambda s: s.began == ["/1", "/2", "/3"])
-        service.let("/3", "/2")
+        service.release("/3", "/2")
         await anyio.wait_all_tasks_blocked()
-        service.let("/1")
+        service.release("/1")
 
         got = await received(stream, b"</3>")
         assert got.index(b"</1>") < got.index(b"</2>") < got.index(b"</3>")
 
 
-async def test_no_more_than_the_limit_run_ahead():
+async def test_number_of_requests_started_early_is_limited():
     async with connected() as (service, stream):
         await stream.send(b"".join(read(b"/%d" % i) for i in range(9)))
 
@@ -156,7 +156,7 @@
         await anyio.wait_all_tasks_blocked()
         assert service.began == ["/0", "/1", "/2", "/3"]
 
-        service.let(*(f"/{i}" for i in range(9)))
+        service.release(*(f"/{i}" for i in range(9)))
         got = await received(stream, b"</8>")
         order = [got.index(b"</%d>" % i) for i in range(9)]
         assert order == sorted(order)
@@ -165,48 +165,48 @@
 @pytest.mark.parametrize(
     "behind", [read(b"/once") + read(b"/2"), write(b"/write") + read(b"/2")]
 )
-async def test_what_runs_once_waits_for_its_turn_and_holds_up_the_rest(behind):
+async def test_unsafe_request_waits_and_delays_those_behind_it(behind):
     async with connected() as (service, stream):
         await stream.send(read(b"/1") + behind)
         await service.until(lambda s: s.began == ["/1"])
         await anyio.wait_all_tasks_blocked()
         assert service.began == ["/1"]
 
-        service.let("/1")
+        service.release("/1")
         await service.until(lambda s: len(s.began) == 2)
         await anyio.wait_all_tasks_blocked()
         assert len(service.began) == 2
 
-        service.let("/once", "/write", "/2")
+        service.release("/once", "/write", "/2")
         await received(stream, b"</2>")
 
 
-async def test_a_failed_and_a_streamed_one_keep_their_places():
+async def test_failed_and_streamed_responses_keep_their_order():
     async with connected() as (service, stream):
         await stream.send(
             read(b"/1") + read(b"/fails") + read(b"/stream") + read(b"/4")
         )
         await service.until(lambda s: len(s.began) == 4)
-        service.let("/4", "/stream", "/fails")
+        service.release("/4", "/stream", "/fails")
         await anyio.wait_all_tasks_blocked()
-        service.let("/1")
+        service.release("/1")
 
         got = await received(stream, b"</4>")
         places = [got.index(x) for x in (b"</1>", b" 500 ", b"piece", b"</4>")]
         assert places == sorted(places)
 
 
-async def test_an_answer_that_closes_waits_for_what_runs_behind_it():
+async def test_close_is_deferred_to_the_last_running_request():
     async with connected() as (service, stream):
         service.closes = {"/1"}
         await stream.send(read(b"/1") + read(b"/2"))
         await service.until(lambda s: s.began == ["/1", "/2"])
-        service.let("/1")
+        service.release("/1")
         first = await received(stream, b"</1>")
         assert b"close" not in first
 
         await stream.send(read(b"/3"))
-        service.let("/2", "/3")
+        service.release("/2", "/3")
 
         got = await rest(stream)
         assert b"</2>" in got
@@ -214,11 +214,11 @@
         assert service.began == ["/1", "/2"]
 
 
-async def test_nothing_is_read_behind_an_answer_that_closed():
+async def test_no_request_is_read_after_a_closing_response():
     async with connected() as (service, stream):
         service.closes = {"/once-1"}
         await stream.send(read(b"/once-1") + read(b"/2"))
-        service.let("/once-1", "/2", "/3")
+        service.release("/once-1", "/2", "/3")
         got = await received(stream, b"</once-1>")
         assert b"Connection: close" in got
 
@@ -229,13 +229,13 @@
         assert service.began == ["/once-1"]
 
 
-async def test_nothing_runs_behind_one_that_asks_to_close():
+async def test_no_request_runs_behind_a_closing_request():
     async with connected() as (service, stream):
         closing = read(b"/2", b"Connection: close\r\n")
         await stream.send(read(b"/1") + closing)
         await service.until(lambda s: s.began == ["/1"])
         await stream.send(read(b"/3"))
-        service.let("/1", "/2", "/3")
+        service.release("/1", "/2", "/3")
 
         got = await rest(stream)
 
@@ -243,7 +243,7 @@
         assert service.began == ["/1", "/2"]
 
 
-async def test_all_are_cancelled_when_the_caller_leaves():
+async def test_requests_are_cancelled_when_the_caller_disconnects():
     async with connected() as (service, stream):
         await stream.send(read(b"/1") + read(b"/2") + read(b"/3"))
         await service.until(lambda s: len(s.began) == 3)
@@ -253,22 +253,22 @@
         await service.until(lambda s: len(s.cancelled) == 3)
 
 
-async def test_a_malformed_one_is_told_in_its_place():
+async def test_malformed_request_is_answered_in_order():
     async with connected() as (service, stream):
         await stream.send(read(b"/1"))
         await service.until(lambda s: s.began == ["/1"])
         await stream.send(b"GET / HTTP/9.9\r\n\r\n")
-        service.let("/1")
+        service.release("/1")
 
         got = await rest(stream)
 
         assert got.index(b"</1>") < got.index(b" 400 ")
 
 
-async def test_a_crowded_listener_keeps_no_connection_idle():
+async def test_crowded_listener_closes_idle_connections():
     limits = ServerLimits(max_connections=8, crowded_fraction=0.5, linger_s=0.2)
     service = Service()
-    service.let("/1")
+    service.release("/1")
     server = Service.library(limits, may_run_in_parallel)
     address = await server.start(service.handle, Address("127.0.0.1", 0))
     async with contextlib.AsyncExitStack() as stack:
@@ -298,11 +298,11 @@
     await server.close(0.0)
 
 
-async def test_a_stream_that_never_got_its_turn_is_aborted():
+async def test_unsent_streamed_response_is_aborted():
     async with connected() as (service, stream):
         await stream.send(read(b"/1") + read(b"/stream"))
         await service.until(lambda s: s.began == ["/1", "/stream"])
-        service.let("/stream")
+        service.release("/stream")
         await anyio.wait_all_tasks_blocked()
 
         await stream.aclose()
--- a/src/radishwind/http/tests/test_sanitization.py
+++ b/src/radishwind/http/tests/test_sanitization.py
@@ -1,4 +1,4 @@
-"""What is removed from messages and what is refused."""
+"""Validation of requests and removal of fields that are not forwarded."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 from radishwind.node.caller_listener import sanitize_request
 
 
-def test_hop_by_hop_fields_and_those_they_name_are_removed():
+def test_hop_by_hop_fields_and_those_listed_are_removed():
     headers = (
         ("Host", "a"),
         ("Connection", "close, X-Mine, Host"),
@@ -22,7 +22,7 @@
     assert strip_hop_by_hop_fields(headers) == (("Host", "a"), ("X-Yours", "2"))
 
 
-def test_every_connection_field_counts():
+def test_all_connection_fields_are_evaluated():
     headers = (("Connection", "A"), ("connection", "B"), ("A", ""), ("B", ""))
 
     assert strip_hop_by_hop_fields(headers) == ()
@@ -32,7 +32,7 @@
     "path",
     ["/a/../b", "/a/%2e%2E/b", "/..", "/a/.", "*", "a", "/a b", "/\xe9", ""],
 )
-def test_paths_that_servers_may_read_differently_are_refused(path):
+def test_ambiguous_paths_are_rejected(path):
     with pytest.raises(RequestRejectedError):
         to_origin_form(path)
 
@@ -51,7 +51,7 @@
         Request("GET", "/", (("X", "\udce9"),)),
     ],
 )
-def test_ambiguous_requests_are_refused(request_):
+def test_ambiguous_requests_are_rejected(request_):
     with pytest.raises(RequestRejectedError):
         validate_request(request_)
 
--- a/src/radishwind/http/tests/test_senders.py
+++ b/src/radishwind/http/tests/test_senders.py
@@ -1,4 +1,4 @@
-"""What senders promise: never twice, never a connection in doubt again."""
+"""Senders never resend a request or reuse a connection in doubt."""
 
 import contextlib
 
@@ -25,7 +25,7 @@
 
 
 class RawServer:
-    """Answers by a script of bytes; counts requests and connections."""
+    """Responds with scripted bytes; counts requests and connections."""
 
     def __init__(self, script):
         self.script = script
@@ -66,13 +66,13 @@
         await sender.close()
 
 
-async def whole_answer(sender, address):
+async def send_and_read(sender, address):
     response = await sender.send(address, Request("GET", "/"), 1.0)
     return await read_body(response.body)
 
 
 @pytest.mark.parametrize("method", ["GET", "PUT", "DELETE", "POST"])
-async def test_a_kept_connection_that_dies_is_not_sent_to_again(
+async def test_request_is_not_resent_when_a_reused_connection_breaks(
     library, method
 ):
     async with (
@@ -88,7 +88,7 @@
         assert len(server.requests) == 2
 
 
-async def test_no_connection_is_told_apart_from_a_broken_one(library):
+async def test_failed_connect_is_distinct_from_a_broken_exchange(library):
     async with raw_server([]) as (_, address):
         pass
     async with sending(library) as sender:
@@ -106,7 +106,9 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
     ],
 )
-async def test_a_cut_or_malformed_answer_is_broken(library, answer):
+async def test_partial_or_malformed_response_breaks_the_exchange(
+    library, answer
+):
     class Cut(RawServer):
         async def serve(self, stream):
             async with stream:
@@ -120,11 +122,11 @@
         tasks.start_soon(listener.serve, cut.serve)
         async with sending(library) as sender:
             with pytest.raises(ExchangeBrokenError):
-                await whole_answer(sender, Address("127.0.0.1", port))
+                await send_and_read(sender, Address("127.0.0.1", port))
         tasks.cancel_scope.cancel()
 
 
-async def test_a_cancelled_exchange_gives_its_connection_up(library):
+async def test_connection_of_a_cancelled_exchange_is_not_reused(library):
     async with (
         raw_server([b"", OK]) as (server, address),
         sending(library) as sender,
@@ -138,7 +140,7 @@
         assert server.connections == 2
 
 
-async def test_an_aborted_answer_gives_its_connection_up(library):
+async def test_connection_of_an_aborted_response_is_not_reused(library):
     head = b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n"
     async with (
         raw_server([head + b"x" * 70_000, OK]) as (server, address),
@@ -154,7 +156,7 @@
 
 
 @pytest.mark.parametrize("length", [0, 10, 100_000])
-async def test_an_answer_to_head_has_a_length_and_no_body(library, length):
+async def test_response_to_head_has_a_length_and_no_body(library, length):
     async def handle(request):
         fields = (("Content-Length", str(length)),)
         return Response(200, fields, b"", length)
--- a/src/radishwind/http/tests/test_server_edges.py
+++ b/src/radishwind/http/tests/test_server_edges.py
@@ -1,4 +1,4 @@
-"""What a listener does with callers that break the rules, over sockets."""
+"""Listeners and callers that violate the protocol, over sockets."""
 
 import contextlib
 
@@ -28,7 +28,7 @@
 
 
 class CutStream(BodyStream):
-    """Breaks off after one piece."""
+    """Fails after one piece."""
 
     async def __aiter__(self):
         yield b"x" * 100
@@ -38,8 +38,8 @@
         pass
 
 
-class Whole(BodyStream):
-    """Comes in two pieces."""
+class TwoPieces(BodyStream):
+    """Yields two pieces."""
 
     async def __aiter__(self):
         yield b"a whole "
@@ -68,7 +68,7 @@
     params=[HttpLibrary.HTTPTOOLS, HttpLibrary.AIOHTTP], autouse=True
 )
 def library(request):
-    """Holds each library to the same."""
+    """Runs each test with each library."""
     Chosen.library = request.param
 
 
@@ -85,7 +85,8 @@
 async def exchange(address, raw, leave=False):
     """Sends `raw` and returns all that comes back until the server closes.
 
-    With `leave` the sending side is ended first, as by a caller that is gone.
+    With `leave` the sending side is closed first, as by a caller that has
+    disconnected.
     """
     stream = await anyio.connect_tcp(*address)
     async with stream:
@@ -100,7 +101,7 @@
         return got
 
 
-async def test_malformed_request_gets_a_numbered_error_and_others_go_on():
+async def test_malformed_request_gets_a_result_code_and_others_are_served():
     async with listening() as address:
         answer = await exchange(address, b"GET / HTTP/9.9\r\n\r\n")
 
@@ -111,7 +112,7 @@
         assert good.endswith(b"/on ")
 
 
-async def test_a_fault_of_ours_is_told_as_unknown():
+async def test_failed_handler_has_an_unknown_outcome():
     async with listening() as address:
         raw = b"GET /fails HTTP/1.1\r\nHost: a\r\n\r\n"
 
@@ -121,7 +122,7 @@
         assert b"Radishwind-Outcome: unknown" in answer
 
 
-async def test_a_cut_answer_does_not_end_neatly():
+async def test_partial_response_breaks_the_exchange():
     async with listening() as address:
         sender = make_sender(Chosen.library, 4)
         response = await sender.send(address, Request("GET", "/cut"), 1.0)
@@ -140,7 +141,7 @@
         (b"X: " + b"y" * 9000 + b"\r\n\r\n", b"2001"),
     ],
 )
-async def test_bodies_and_fields_beyond_the_rules_are_refused(head, code):
+async def test_invalid_and_oversized_bodies_and_fields_are_rejected(head, code):
     async with listening() as address:
         raw = b"POST /x HTTP/1.1\r\nHost: a\r\n" + head
 
@@ -150,9 +151,9 @@
         assert b"Radishwind-Code: " + code in answer
 
 
-async def test_an_old_caller_gets_no_chunks_and_the_end_of_its_connection():
+async def test_http_1_0_caller_gets_no_chunks_and_its_connection_is_closed():
     async def handle(request):
-        return Response(200, (), Whole())
+        return Response(200, (), TwoPieces())
 
     server = make_server(Chosen.library, LIMITS)
     address = await server.start(handle, Address("127.0.0.1", 0))
@@ -165,7 +166,7 @@
     assert body == b"a whole body"
 
 
-async def test_the_whole_body_of_a_request_that_closes_is_read():
+async def test_complete_body_of_a_closing_request_is_read():
     async with listening() as address:
         size = 150_000
         head = b"POST /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n"
@@ -176,7 +177,7 @@
     assert answer.endswith(b"/x " + b"." * size)
 
 
-async def test_a_body_that_pauses_too_long_is_refused_and_told():
+async def test_body_that_pauses_too_long_is_rejected():
     limits = ServerLimits(body_timeout_s=0.1, linger_s=0.1)
     server = make_server(Chosen.library, limits)
     address = await server.start(echo, Address("127.0.0.1", 0))
@@ -189,7 +190,7 @@
     assert b"Radishwind-Code: 2005" in answer
 
 
-async def test_a_request_cut_within_its_body_is_not_handled():
+async def test_request_with_a_partial_body_is_not_handled():
     async with listening() as address:
         raw = b"POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nshort"
 
@@ -198,7 +199,7 @@
     assert answer == b""
 
 
-async def test_the_length_told_for_head_is_the_servers():
+async def test_response_to_head_keeps_the_length_of_the_server():
     async with listening() as address:
         raw = GOOD.replace(b"GET", b"HEAD")
 
@@ -240,7 +241,7 @@
 
 
 @pytest.mark.parametrize("one", list(HttpLibrary))
-async def test_all_libraries_carry_a_streamed_body_whole(one):
+async def test_all_libraries_transfer_a_streamed_body(one):
     body = b"abc" * 50_000
     server = make_server(one, LIMITS)
     address = await server.start(echo, Address("127.0.0.1", 0))
@@ -278,7 +279,7 @@
         max_size=8,
     )
 )
-def test_no_bytes_end_the_listener(pieces):
+def test_arbitrary_bytes_do_not_stop_the_listener(pieces):
     async def run():
         async with listening() as address:
             await exchange(address, b"".join(pieces), leave=True)
--- a/src/radishwind/http/tests/test_streaming.py
+++ b/src/radishwind/http/tests/test_streaming.py
@@ -1,4 +1,4 @@
-"""Pieces of a body arrive as they are sent, by either library."""
+"""Pieces of a streamed body arrive without delay, with each library."""
 
 from collections.abc import AsyncIterator
 
@@ -22,7 +22,7 @@
 
 
 class SlowBody(BodyStream):
-    """Sends one piece, and the next once the first has arrived."""
+    """Yields one piece, and the next once the first has arrived."""
 
     def __init__(self, arrived: anyio.Event) -> None:
         self._arrived = arrived
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("sending", HttpLibrary)
 @pytest.mark.parametrize("serving", HttpLibrary)
-async def test_a_small_piece_is_not_held_back(sending, serving):
+async def test_small_piece_is_sent_at_once(sending, serving):
     arrived = anyio.Event()
 
     async def handle(request):
--- a/src/radishwind/http/tests/test_uploads.py
+++ b/src/radishwind/http/tests/test_uploads.py
@@ -1,4 +1,4 @@
-"""A large body is asked for only once somebody reads it."""
+"""A large body is requested by 100 (Continue) only once it is read."""
 
 import contextlib
 
@@ -29,17 +29,17 @@
 
 
 class Handler:
-    """Refuses some unread, and reads others."""
+    """Refuses some requests without reading their body."""
 
     def __init__(self):
-        self.at_hand = []
+        self.resendable = []
 
     async def handle(self, request):
-        self.at_hand.append(is_resendable(request.body))
+        self.resendable.append(is_resendable(request.body))
         if request.path == "/refused":
             return Response(429, (), b"no", 2)
         size = len(await read_body(request.body))
-        self.at_hand.append(is_resendable(request.body))
+        self.resendable.append(is_resendable(request.body))
         return Response(200, (), str(size).encode())
 
 
@@ -54,7 +54,7 @@
         await server.close(0.0)
 
 
-async def test_a_refused_body_is_never_asked_for():
+async def test_body_of_a_refused_request_is_not_requested():
     async with (
         listening() as (address, handler),
         await anyio.connect_tcp(*address) as stream,
@@ -64,10 +64,10 @@
             answer = await stream.receive()
 
     assert answer.startswith(b"HTTP/1.1 429")
-    assert handler.at_hand == [True]
+    assert handler.resendable == [True]
 
 
-async def test_a_body_that_is_read_is_asked_for_first():
+async def test_body_that_is_read_is_requested_first():
     async with (
         listening() as (address, handler),
         await anyio.connect_tcp(*address) as stream,
@@ -80,10 +80,10 @@
 
     assert first == b"HTTP/1.1 100 Continue\r\n\r\n"
     assert second.endswith(b"100000")
-    assert handler.at_hand == [True, False]
+    assert handler.resendable == [True, False]
 
 
-async def test_a_body_without_that_field_is_read_as_before():
+async def test_body_without_expect_field_is_read():
     async with listening() as (address, _):
         sender = HttptoolsSender(1)
         body = b"x" * SIZE
