--- a/src/radishwind/standins/platform_day.py
+++ b/src/radishwind/standins/platform_day.py
@@ -101,7 +101,7 @@
 
 
 def _has_stop_begun(end: float) -> bool:
-    """Returns whether the planned stop of the node has started."""
+    """Returns whether the node is stopping and callers use other nodes."""
     return time.monotonic() > end - LOAD_DURATION_S + _NODE_STOP_S
 
 
@@ -109,7 +109,7 @@
     fleet: Fleet, instance: Instance, service: str, counts: ResponseCounts
 ) -> None:
     method = "POST" if service == "sessions" else "GET"
-    started = time.monotonic()
+    started_at = time.monotonic()
     response = await fleet.ask(instance, f"/{service}/x", method)
     if response.status == 503:
         counts.retried += 1
@@ -117,7 +117,7 @@
         response = await fleet.ask(instance, f"/{service}/x", method)
     counts.statuses[response.status] += 1
     if response.status == 200:
-        counts.times_ms.append((time.monotonic() - started) * 1000)
+        counts.times_ms.append((time.monotonic() - started_at) * 1000)
 
 
 async def _drain_server(instance: Instance) -> None:
--- a/src/radishwind/standins/platform_fleet.py
+++ b/src/radishwind/standins/platform_fleet.py
@@ -39,6 +39,7 @@
 #: Time within which a node must become ready (s).
 READY_WITHIN_S = 20.0
 
+#: Interval between readiness checks (s).
 _POLL_INTERVAL_S = 0.05
 
 
@@ -204,7 +205,7 @@
         self._runner = None
 
     def signal_node(self, number: signal.Signals) -> None:
-        """Sends a signal to the node process if it is still running."""
+        """Sends a signal to the node process started here, if it still runs."""
         if self._process is not None and self._process.returncode is None:
             self._process.send_signal(number)
 
