--- a/src/radishwind/http/tests/test_server_edges.py
+++ b/src/radishwind/http/tests/test_server_edges.py
@@ -122,7 +122,7 @@
         assert b"Radishwind-Outcome: unknown" in answer
 
 
-async def test_partial_response_breaks_the_exchange():
+async def test_a_cut_answer_does_not_end_neatly():
     async with listening() as address:
         sender = make_sender(Chosen.library, 4)
         response = await sender.send(address, Request("GET", "/cut"), 1.0)
