--- a/tests/support/quota_ways.py
+++ b/tests/support/quota_ways.py
@@ -18,14 +18,14 @@
 from tests.support.quota_net import QuotaNetwork
 from tests.support.quota_net import schedule_requests
 
-#: Duration of the usual load, and begin and duration of a surge of some
-#: accounts and of a network partition in it.
+#: Duration of the base load, and start and duration of a surge of some accounts
+#: and of a network partition during it.
 DURATION_S = 20.0
-SURGE_FROM_S, SURGE_S = 10.0, 6.5
-CUT_FROM_S, CUT_S = 12.0, 5.0
+SURGE_START_S, SURGE_S = 10.0, 6.5
+PARTITION_START_S, PARTITION_S = 12.0, 5.0
 
-#: Loads by name: number of accounts that surge, their rate over the usual one,
-#: and whether a third of the nodes is cut off.
+#: Loads by name: number of accounts that surge, ratio of their rate to the base
+#: rate, and whether a third of the nodes is partitioned off.
 LOADS = {
     "calm": (0, 1, False),
     "three largest 5 times": (3, 5, False),
@@ -38,7 +38,7 @@
 
 
 class EqualParts(QuotaGate):
-    """Gives each node an equal part of rate and depth, without messages."""
+    """Gives each node a fixed, equal share of a quota's rate and burst."""
 
     def __init__(self, network):
         self._network = network
@@ -55,20 +55,21 @@
         return None if admitted else 1.0
 
     def refund(self, account, admitted_at, now):
-        """Does nothing; refunds are not compared here."""
+        """Does nothing, since the simulation does not compare refunds."""
 
 
-def simulate(way, load_name, *, node_count, homed, seed=1):
-    """Returns a network after one load.
+def simulate(way, load_name, *, node_count, nodes_per_account, seed=1):
+    """Simulates one load; returns the network after it.
 
     Args:
       way: one of `WAYS`.
       load_name: key of `LOADS`.
       node_count: number of nodes.
-      homed: number of nodes that receive an account's requests; 0 for all.
+      nodes_per_account: number of nodes that receive an account's requests; 0
+        for all.
       seed: seed of the random source.
     """
-    surging, factor, cut = LOADS[load_name]
+    surging, factor, is_partitioned = LOADS[load_name]
     accounts, rates = power_law_accounts()
     network = QuotaNetwork(accounts, node_count, seed=seed)
     if way == "lending ahead":
@@ -82,31 +83,33 @@
             node.tick = node.flush = lambda: None
         network.events = []
     names = list(network.nodes)
-    homes = (
-        {a: network.rng.sample(names, homed) for a in rates} if homed else {}
+    receivers = (
+        {a: network.rng.sample(names, nodes_per_account) for a in rates}
+        if nodes_per_account
+        else {}
     )
-    nodes_of = homes.get if homed else None
+    nodes_of = receivers.get if nodes_per_account else None
     network.sent = network.bytes_sent = 0
     start = network.now
     schedule_requests(network, rates, start + DURATION_S, nodes_of)
-    network.run_until(start + SURGE_FROM_S)
+    network.run_until(start + SURGE_START_S)
     surge = {a.name: rates[a.name] * (factor - 1) for a in accounts[:surging]}
     schedule_requests(network, surge, network.now + SURGE_S, nodes_of)
-    network.run_until(start + CUT_FROM_S)
-    if cut:
+    network.run_until(start + PARTITION_START_S)
+    if is_partitioned:
         network.cut(names[::3])
-    network.run_until(start + CUT_FROM_S + CUT_S)
-    if cut:
+    network.run_until(start + PARTITION_START_S + PARTITION_S)
+    if is_partitioned:
         network.heal()
     network.run_until(start + DURATION_S)
     return network
 
 
 def cells(network):
-    """Returns the results of a run as text.
+    """Returns the results of a run as the cells of a table row.
 
-    These are the largest window over its bound, the fraction of false refusals,
-    and the messages and bytes of a node and second.
+    These are the ratio of the largest window to its bound, the fraction of
+    false refusals, and the messages and bytes per node and second.
     """
     worst = max(network.worst_ratio(a.name) for a in network.accounts)
     node_seconds = DURATION_S * network.node_count
@@ -125,18 +128,26 @@
     seed = parser.parse_args().seed
     print("| load | callers at | way | worst | refused | messages | bytes |")
     for name in LOADS:
-        for homed in (0, 3):
+        for nodes_per_account in (0, 3):
             for way in WAYS:
                 network = simulate(
-                    way, name, node_count=58, homed=homed, seed=seed
+                    way,
+                    name,
+                    node_count=58,
+                    nodes_per_account=nodes_per_account,
+                    seed=seed,
+                )
+                where = (
+                    f"{nodes_per_account} nodes"
+                    if nodes_per_account
+                    else "all nodes"
                 )
-                where = f"{homed} nodes" if homed else "all nodes"
                 print("|", name, "|", where, "|", way, "|",
                       " | ".join(cells(network)), "|", flush=True)  # fmt: skip
     for count in (12, 58, 300, 1100):
         for name in ("calm", "largest 10 times"):
             network = simulate(
-                WAYS[-1], name, node_count=count, homed=0, seed=seed
+                WAYS[-1], name, node_count=count, nodes_per_account=0, seed=seed
             )
             print("|", name, "|", f"all of {count}", "|", WAYS[-1], "|",
                   " | ".join(cells(network)), "|", flush=True)  # fmt: skip
