--- a/bench/footprint.py
+++ b/bench/footprint.py
@@ -21,11 +21,11 @@
 from typing import Any
 
 from tests.support.processes import fetch
+from tests.support.processes import find_free_ports
 from tests.support.processes import Fleet
-from tests.support.processes import free_ports
-from tests.support.processes import LIMIT_S
 from tests.support.processes import Process
 from tests.support.processes import SRC
+from tests.support.processes import WAIT_LIMIT_S
 from tests.support.processes import wait_until
 import uvloop
 
@@ -56,7 +56,7 @@
     """Returns the time from the start of a node to its first status (s)."""
     began = time.monotonic()
     fleet.start_node(target, target.rpartition("-")[0], "a")
-    while time.monotonic() - began < LIMIT_S:
+    while time.monotonic() - began < WAIT_LIMIT_S:
         try:
             fleet.status(target)
         except OSError:
@@ -120,7 +120,7 @@
 def _memories(
     fleet: Fleet, options: argparse.Namespace
 ) -> list[dict[str, Any]]:
-    port = free_ports(1)[0]
+    port = find_free_ports(1)[0]
     bare = _Python(
         *("-m", "bench.data_path", "--listen", f"127.0.0.1:{port}"),
         *("--server", f"127.0.0.1:{fleet.ports['echo-1'][0]}"),
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""What tests share: processes on loopback and waits on conditions."""
+"""Helpers shared by tests: processes, simulations and configurations."""
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -1,6 +1,6 @@
-"""Starts the real processes on loopback and waits on conditions.
+"""Runs `radishwind` processes on loopback and waits for conditions.
 
-Every wait is bounded and on a condition; nothing sleeps for a guessed time.
+Each wait polls a condition and has a time limit; there are no fixed sleeps.
 """
 
 from collections.abc import Callable
@@ -22,27 +22,27 @@
 
 SRC = str(pathlib.Path(__file__).resolve().parents[2] / "src")
 
-#: The most a condition may take (s); far above what any of them needs.
-LIMIT_S = 30.0
-_STEP_S = 0.05
+#: Default time limit of a wait, far above the time that any condition takes.
+WAIT_LIMIT_S = 30.0
+_POLL_INTERVAL_S = 0.05
 
-#: Below the usual start of the range for outgoing connections (32768).
-_PORTS = (10_000, 32_000)
+#: Lies below the usual range of ephemeral ports, which starts at 32768.
+_PORT_RANGE = (10_000, 32_000)
 _SYSTEM_RANDOM = random.SystemRandom()
 _returned_ports: set[int] = set()
 
 
-def free_ports(count: int) -> list[int]:
-    """Returns ports of 127.0.0.1 that were free a moment ago.
+def find_free_ports(count: int) -> list[int]:
+    """Returns ports of 127.0.0.1 that were free when checked.
 
-    They lie below the range that outgoing connections take theirs from, so that
-    none of those can take one before its process listens; and none is returned
-    twice, since whoever got it first may not listen yet.
+    They lie below the range of ephemeral ports, so that no outgoing connection
+    can occupy one before its process listens. No port is returned twice, since
+    the process that it was first returned for may not listen yet.
     """
     ports: list[int] = []
     with contextlib.ExitStack() as stack:
         while len(ports) < count:
-            port = _SYSTEM_RANDOM.randrange(*_PORTS)
+            port = _SYSTEM_RANDOM.randrange(*_PORT_RANGE)
             if port in _returned_ports:
                 continue
             sock = stack.enter_context(socket.socket())
@@ -56,9 +56,22 @@
 
 
 def wait_until(
-    condition: Callable[[], Any], what: str, limit_s: float = LIMIT_S
+    condition: Callable[[], Any],
+    description: str,
+    limit_s: float = WAIT_LIMIT_S,
 ) -> Any:
-    """Returns the first true value of `condition`; fails after `limit_s`."""
+    """Polls `condition` until it returns a true value, and returns that value.
+
+    An `OSError`, such as a refused connection, counts as a false value.
+
+    Args:
+      condition: polled function.
+      description: what is waited for, for the error message.
+      limit_s: time limit (s).
+
+    Raises:
+      AssertionError: the condition did not hold within the time limit.
+    """
     pause = threading.Event()
     end = time.monotonic() + limit_s
     while time.monotonic() < end:
@@ -66,8 +79,10 @@
             value = condition()
             if value:
                 return value
-        pause.wait(_STEP_S)
-    raise AssertionError(f"gave up waiting for {what}")
+        pause.wait(_POLL_INTERVAL_S)
+    raise AssertionError(
+        f"timed out after {limit_s:g} s waiting for {description}"
+    )
 
 
 def fetch(
@@ -76,14 +91,14 @@
     body: bytes | None = None,
     headers: dict[str, str] | None = None,
 ) -> tuple[int, dict[str, str], bytes]:
-    """Returns status, header (names in lower case) and body of an exchange."""
+    """Sends a request; returns status, header (lower-case names) and body."""
     request = urllib.request.Request(
         url, data=body, method=method, headers=headers or {}
     )
     try:
-        with urllib.request.urlopen(request, timeout=LIMIT_S) as answer:
-            fields = {k.lower(): v for k, v in answer.headers.items()}
-            return answer.status, fields, answer.read()
+        with urllib.request.urlopen(request, timeout=WAIT_LIMIT_S) as response:
+            fields = {k.lower(): v for k, v in response.headers.items()}
+            return response.status, fields, response.read()
     except urllib.error.HTTPError as exc:
         with exc:
             fields = {k.lower(): v for k, v in exc.headers.items()}
@@ -91,23 +106,23 @@
 
 
 def command(*arguments: str) -> tuple[int, str, str]:
-    """Runs a `radishwind` command; returns exit code, output and errors."""
-    done = subprocess.run(
+    """Runs a `radishwind` command; returns exit code, stdout and stderr."""
+    completed = subprocess.run(
         [sys.executable, "-m", "radishwind", *arguments],
         env={**os.environ, "PYTHONPATH": SRC},
         capture_output=True,
         text=True,
-        timeout=2 * LIMIT_S,
+        timeout=2 * WAIT_LIMIT_S,
         check=False,
     )
-    return done.returncode, done.stdout, done.stderr
+    return completed.returncode, completed.stdout, completed.stderr
 
 
 class Process:
-    """One `radishwind` process; it is ended by its id and by nothing else."""
+    """A `radishwind` process, which is only ever signaled by its process ID."""
 
     def __init__(self, *arguments: str, **environ: str) -> None:
-        # A file, since nobody reads along and a full pipe would stop it.
+        # A file, since a pipe that is not read would fill up and block it.
         self._log = tempfile.TemporaryFile()  # noqa: SIM115
         self._popen = subprocess.Popen(
             [sys.executable, "-m", "radishwind", *arguments],
@@ -115,11 +130,11 @@
             stderr=self._log,
         )
 
-    def send(self, number: signal.Signals) -> None:
-        self._popen.send_signal(number)
+    def send(self, signal_number: signal.Signals) -> None:
+        self._popen.send_signal(signal_number)
 
     def wait(self) -> int:
-        return self._popen.wait(LIMIT_S)
+        return self._popen.wait(WAIT_LIMIT_S)
 
     def running(self) -> bool:
         return self._popen.poll() is None
@@ -128,24 +143,24 @@
         return self._popen.pid
 
     def cpu_s(self) -> float:
-        """Returns the processor time used so far (s)."""
+        """Returns the CPU time used so far (s), in user and kernel mode."""
         stat = pathlib.Path(f"/proc/{self.pid()}/stat").read_text()
         fields = stat.rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def resident_bytes(self) -> int:
-        """Returns the resident memory (bytes)."""
+        """Returns the resident set size (bytes)."""
         statm = pathlib.Path(f"/proc/{self.pid()}/statm").read_text()
         return int(statm.split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
     def peak_resident_bytes(self) -> int:
-        """Returns the most resident memory since the start (bytes)."""
+        """Returns the peak resident set size since the start (bytes)."""
         status = pathlib.Path(f"/proc/{self.pid()}/status").read_text()
         (line,) = (x for x in status.splitlines() if x.startswith("VmHWM:"))
         return int(line.split()[1]) * 1024
 
     def end(self) -> None:
-        """Kills the process if it still runs."""
+        """Kills the process if it is still running, and deletes its log."""
         if self.running():
             self.send(signal.SIGCONT)
             self._popen.kill()
@@ -159,10 +174,18 @@
 
 
 class Fleet:
-    """A store stand-in, and pairs of a backend stand-in and its node."""
+    """A store stand-in, and backend stand-ins with their nodes.
+
+    Attributes:
+      store_port: port of the store.
+      store: address of the store, as HOST:PORT.
+      processes: processes by name: `store`, `backend TARGET`, `node TARGET`.
+      ports: by target, the ports of its backend, and of the caller, peer and
+        admin listeners of its node.
+    """
 
     def __init__(self) -> None:
-        self.store_port = free_ports(1)[0]
+        self.store_port = find_free_ports(1)[0]
         self.store = f"127.0.0.1:{self.store_port}"
         self.processes: dict[str, Process] = {}
         self.ports: dict[str, list[int]] = {}
@@ -174,7 +197,7 @@
         )
 
     def start_backend(self, target: str, *options: str) -> None:
-        ports = self.ports.setdefault(target, free_ports(4))
+        ports = self.ports.setdefault(target, find_free_ports(4))
         self.processes[f"backend {target}"] = Process(
             *("standin", "backend", "--name", target),
             *("--listen", f"127.0.0.1:{ports[0]}"),
@@ -185,7 +208,7 @@
     def start_node(
         self, target: str, service: str, domain: str, *options: str
     ) -> None:
-        ports = self.ports.setdefault(target, free_ports(4))
+        ports = self.ports.setdefault(target, find_free_ports(4))
         self.processes[f"node {target}"] = Process(
             *("node", "--target", target, "--service", service),
             *("--failure-domain", domain, "--store", self.store),
@@ -210,7 +233,10 @@
         return status
 
     def apply(self, kind: str, file: pathlib.Path) -> None:
-        """Runs `radishwind KIND apply`, again until the store answers."""
+        """Runs `radishwind KIND apply` repeatedly until it is accepted.
+
+        The first runs may fail, since the store may not answer yet.
+        """
 
         def accepted() -> bool:
             process = Process(kind, "apply", "--store", self.store, str(file))
