--- a/tests/proofs/golden.py
+++ b/tests/proofs/golden.py
@@ -14,8 +14,7 @@
 
 def golden_file_name(session_name: str) -> str:
     """Returns the name of the golden file of a session."""
-    lowered = session_name.lower()
-    slug = "".join(c if c.isalnum() else "-" for c in lowered)
+    slug = "".join(c if c.isalnum() else "-" for c in session_name.lower())
     return slug.strip("-") + ".txt"
 
 
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -1,4 +1,9 @@
-"""What issue 3 says the product shows: commands, large bodies, log lines."""
+"""Commands, large bodies, log lines and documentation of the product.
+
+Guards what issue 3 asks: errors of one line with their exit code, bodies that
+pass in bounded memory, logs without secrets, and metrics and pages that are
+documented.
+"""
 
 import json
 import os
@@ -51,7 +56,7 @@
 
 
 def test_completion_is_a_script_of_the_shell():
-    # The command looks for the shell that it was called from.
+    # The command detects the shell that it was called from.
     line = f"{sys.executable} -m radishwind --show-completion bash; exit $?"
     done = subprocess.run(
         ["bash", "-c", line],
@@ -145,7 +150,7 @@
     assert max(grown) < 10 * MEGABYTE
 
 
-def test_the_sample_load_tells_what_became_of_its_requests(fleet):
+def test_sample_load_prints_the_outcomes_of_its_requests(fleet):
     entry = fleet.caller_url("prenota-1").removeprefix("http://")
 
     code, out, _ = command(
@@ -162,7 +167,7 @@
 def test_log_lines_have_a_part_and_hold_no_secret(fleet):
     entry = fleet.caller_url("prenota-1")
     fields = {"Idempotency-Key": BOOKING_KEY}
-    # The same key for another request: an error that could repeat the key.
+    # The same key with another body is an error whose text could quote the key.
     answers = [
         fetch(entry + "/prenota/sessions", "POST", body, fields)
         for body in (BODY, b"another")
@@ -192,10 +197,12 @@
 
 
 def test_every_metric_is_documented(fleet):
-    told = json.loads(fetch(fleet.admin_url("prenota-1") + "/v1/metrics")[2])
+    resources = json.loads(
+        fetch(fleet.admin_url("prenota-1") + "/v1/metrics")[2]
+    )
     metrics = {
         (metric["name"], metric["unit"])
-        for resource in told["resource_metrics"]
+        for resource in resources["resource_metrics"]
         for scope in resource["scope_metrics"]
         for metric in scope["metrics"]
     }
--- a/tests/test_proofs_page.py
+++ b/tests/test_proofs_page.py
@@ -1,4 +1,8 @@
-"""The page of proofs names tests that exist, for each promise and failure."""
+"""Checks that docs/proofs.md names existing tests.
+
+Guards against a promise or failure without a test, and against references to
+tests or scenarios that were renamed or removed.
+"""
 
 import ast
 import pathlib
@@ -8,8 +12,8 @@
 
 ROOT = pathlib.Path(__file__).parents[1]
 PAGE = (ROOT / "docs/proofs.md").read_text()
-PROMISES = 7
-WEAK = "weak variants"
+PROMISE_COUNT = 7
+WEAK_VARIANTS = "weak variants"
 FAILURES = [
     "kill",
     "cut connection",
@@ -25,18 +29,18 @@
     "request that crashes servers",
     "late or out-of-order answers",
     "failures in pairs",
-    WEAK,
+    WEAK_VARIANTS,
 ]
 
 
-def sections(page):
-    """Returns the rows of each promise: failure and cell."""
-    found = {}
+def parse_promises(page):
+    """Returns the rows of each promise, as pairs of failure and cell."""
+    rows_by_promise = {}
     for part in page.split("\n## ")[1:]:
         title, _, text = part.partition("\n")
         rows = re.findall(r"^\| ([^|]+) \| ([^|]+) \|$", text, re.MULTILINE)
-        found[title] = [row for row in rows if row[0] != "failure"]
-    return found
+        rows_by_promise[title] = [row for row in rows if row[0] != "failure"]
+    return rows_by_promise
 
 
 def _has_test(path, name):
@@ -53,45 +57,51 @@
     if not file.is_file():
         return False
     parts = re.split(r"Scenario(?: Outline)?: ", file.read_text())[1:]
-    found = [p for p in parts if p.splitlines()[0].strip() == name]
-    if not found or not example:
-        return bool(found)
-    return bool(re.search(rf"\| {re.escape(example)} +\|", found[0]))
+    scenarios = [p for p in parts if p.splitlines()[0].strip() == name]
+    if not scenarios or not example:
+        return bool(scenarios)
+    return bool(re.search(rf"\| {re.escape(example)} +\|", scenarios[0]))
 
 
 def exists(reference):
-    """Returns whether a test is named that exists."""
+    """Returns whether the test or scenario of a reference exists."""
     if "::" in reference:
         return _has_test(*reference.split("::"))
     match = re.fullmatch(r"(\S+\.feature): (.*?)(?: \[(.*)\])?", reference)
     return bool(match) and _has_scenario(*match.groups())
 
 
-def faults(title, rows):
-    """Returns what is wrong with the rows of one promise."""
+def find_faults(title, rows):
+    """Returns the faults in the rows of one promise, as sentences."""
     names = [name for name, _ in rows]
-    found = [] if names == FAILURES else [f"{title}: rows {names}"]
+    faults = [] if names == FAILURES else [f"{title}: rows {names}"]
     for name, cell in rows:
         references = re.findall(r"`([^`]+)`", cell)
-        found += [f"{title}: no {r}" for r in references if not exists(r)]
-        excused = re.match(r"not proved: .{10}", cell) and name != WEAK
+        faults += [f"{title}: no {r}" for r in references if not exists(r)]
+        excused = re.match(r"not proved: .{10}", cell) and name != WEAK_VARIANTS
         if not references and not excused:
-            found.append(f"{title}: {name} has neither test nor reason")
-    if not any("`" in cell for name, cell in rows if name != WEAK):
-        found.append(f"{title}: no proof at all")
-    return found
+            faults.append(f"{title}: {name} has neither test nor reason")
+    if not any("`" in cell for name, cell in rows if name != WEAK_VARIANTS):
+        faults.append(f"{title}: no proof at all")
+    return faults
 
 
-def all_faults(found):
-    return [f for title, rows in found.items() for f in faults(title, rows)]
+def find_all_faults(rows_by_promise):
+    return [
+        fault
+        for title, rows in rows_by_promise.items()
+        for fault in find_faults(title, rows)
+    ]
 
 
 def test_each_promise_names_tests_that_exist():
-    found = sections(PAGE)
+    rows_by_promise = parse_promises(PAGE)
 
-    assert len(found) == PROMISES
+    assert len(rows_by_promise) == PROMISE_COUNT
     assert [
-        f for title, rows in found.items() for f in faults(title, rows)
+        fault
+        for title, rows in rows_by_promise.items()
+        for fault in find_faults(title, rows)
     ] == []
 
 
@@ -108,6 +118,6 @@
 )
 def test_a_page_that_names_what_does_not_exist_is_refused(old, new):
     assert old in PAGE
-    found = sections(PAGE.replace(old, new))
+    rows_by_promise = parse_promises(PAGE.replace(old, new))
 
-    assert all_faults(found)
+    assert find_all_faults(rows_by_promise)
