--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,8 @@
-"""Three kinds of failed request, each from its id to its cause by the logs."""
+"""The explain command finds the cause of a failed request in the logs.
+
+Each test makes a request fail in another way (refused, unknown, late) and
+checks that the log lines found by its id name the cause.
+"""
 
 import asyncio
 import json
@@ -10,10 +14,10 @@
 from radishwind.standins.platform_server import ServerFaults
 from radishwind.telemetry.explain import explain_request
 from tests.support.processes import command
+from tests.test_platform_processes import is_served
 from tests.test_platform_processes import PLACES
 from tests.test_platform_processes import ROUTES
-from tests.test_platform_processes import served
-from tests.test_platform_processes import until
+from tests.test_platform_processes import wait_for
 
 pytestmark = [pytest.mark.anyio, pytest.mark.processes]
 
@@ -25,27 +29,29 @@
         await running.start(7, spell_s=0.0)
         for instance in running.instances.values():
             for path in ("/library/x", "/sessions/x"):
-                await until(lambda i=instance, p=path: served(running, i, p))
+                await wait_for(
+                    lambda i=instance, p=path: is_served(running, i, p)
+                )
         yield running
 
 
-def logs(fleet):
+def log_paths(fleet):
     return [i.log_path for i in fleet.instances.values()]
 
 
-async def told_of(fleet, request_id):
-    """Waits for the line of the request; returns all lines around it."""
-    found = []
+async def wait_until_explained(fleet, request_id):
+    """Waits until the request is logged; returns its line and related ones."""
+    lines = []
 
-    async def is_told():
-        found[:] = explain_request(request_id, logs(fleet))
-        return bool(found)
+    async def is_logged():
+        lines[:] = explain_request(request_id, log_paths(fleet))
+        return bool(lines)
 
-    await until(is_told)
-    return found
+    await wait_for(is_logged)
+    return lines
 
 
-def own_line(lines, request_id):
+def find_request_line(lines, request_id):
     return next(x for x in lines if x.fields.get("request") == request_id)
 
 
@@ -59,10 +65,10 @@
         )
         return answer.status == 503
 
-    await until(refused)
-    lines = await told_of(fleet, "ref-1")
+    await wait_for(refused)
+    lines = await wait_until_explained(fleet, "ref-1")
 
-    assert own_line(lines, "ref-1").fields["code"] in range(3000, 4000)
+    assert find_request_line(lines, "ref-1").fields["code"] in range(3000, 4000)
     assert any("accepts no connections" in x.text for x in lines) or any(
         "a-2 is draining" in x.text for x in lines
     )
@@ -76,7 +82,7 @@
     )
 
     assert answer.status == 502
-    own = own_line(await told_of(fleet, "cut-1"), "cut-1")
+    own = find_request_line(await wait_until_explained(fleet, "cut-1"), "cut-1")
     assert own.fields["code"] == 4001
     assert own.fields["steps"].startswith("a-2 (")
     assert own.fields["steps"].endswith("RW-4001")
@@ -86,42 +92,44 @@
     fleet.instances["a-2"].server.faults = ServerFaults(slow=30.0)
 
     async def late():
-        """Returns the lines of late requests that met the told pace."""
+        """Returns the lines of late requests that list the server's pace."""
         await fleet.ask(
             fleet.instances["b-1"], "/sessions/x", request_id="late-1"
         )
         return [
             line
-            for line in explain_request("late-1", logs(fleet))
+            for line in explain_request("late-1", log_paths(fleet))
             if line.fields.get("aim_left_ms", 1) < 0
             and "pace=30" in line.fields["steps"]
         ]
 
-    await until(late)
+    await wait_for(late)
     assert (await late())[-1].fields["code"] == 200
 
 
-async def test_the_command_tells_rows_and_json(fleet):
+async def test_command_prints_rows_and_json(fleet):
     fleet.instances["a-2"].server.faults = ServerFaults(answer="unsigned")
     await fleet.ask(
         fleet.instances["a-1"], "/sessions/x", "POST", request_id="cmd-1"
     )
-    await told_of(fleet, "cmd-1")
-    paths = [str(path) for path in logs(fleet)]
+    await wait_until_explained(fleet, "cmd-1")
+    paths = [str(path) for path in log_paths(fleet)]
 
     code, rows, _ = await asyncio.to_thread(command, "explain", "cmd-1", *paths)
     assert code == 0
     assert "request=cmd-1" in rows
-    _, told, _ = await asyncio.to_thread(
+    _, output, _ = await asyncio.to_thread(
         command, "explain", "cmd-1", *paths, "--json"
     )
-    assert any(x["fields"].get("request") == "cmd-1" for x in json.loads(told))
+    assert any(
+        x["fields"].get("request") == "cmd-1" for x in json.loads(output)
+    )
     code, _, err = await asyncio.to_thread(command, "explain", "none", *paths)
     assert code == 65
     assert "got none" in err
 
 
-async def test_a_line_tells_start_and_stop(fleet):
+async def test_start_and_stop_are_logged(fleet):
     stopped = fleet.instances["b-1"]
     stopped.signal_node(signal.SIGTERM)
     await stopped.node_ended()
--- a/tests/test_keyed_calls.py
+++ b/tests/test_keyed_calls.py
@@ -1,4 +1,8 @@
-"""Keyed calls through real processes, with a node killed and a store gone."""
+"""Keyed calls through real processes.
+
+Guards against a repeated key that runs again, also after the node that handled
+it was killed, and against a store outage that is reported as not run.
+"""
 
 import pathlib
 import signal
@@ -37,14 +41,14 @@
     return fetch(url, "POST", body, {"Idempotency-Key": key})
 
 
-def _written(fleet: Fleet, target: str) -> bool:
+def _are_claims_written(fleet: Fleet, target: str) -> bool:
     return fleet.status(target)["claims_unwritten"] == 0
 
 
 def test_repeat_gets_the_recorded_answer_at_any_node(fleet):
     status, fields, body = _book(fleet, "bollettino-1", "k")
     assert (status, fields.get("radishwind-replayed")) == (200, None)
-    wait_until(lambda: _written(fleet, "bollettino-1"), "the result")
+    wait_until(lambda: _are_claims_written(fleet, "bollettino-1"), "the result")
 
     for target in ("bollettino-1", "prenota-1"):
         again = _book(fleet, target, "k")
@@ -54,9 +58,9 @@
     assert _book(fleet, "prenota-1", "k", b"altra")[0] == 422
 
 
-def test_result_outlives_a_killed_node_and_an_outage_is_told(fleet):
+def test_result_outlives_a_killed_node_and_an_outage_is_reported(fleet):
     body = _book(fleet, "bollettino-1", "k")[2]
-    wait_until(lambda: _written(fleet, "bollettino-1"), "the result")
+    wait_until(lambda: _are_claims_written(fleet, "bollettino-1"), "the result")
     fleet.processes["node bollettino-1"].send(signal.SIGKILL)
 
     assert _book(fleet, "prenota-1", "k")[2] == body
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -1,4 +1,8 @@
-"""Membership and the planned stop through separate processes."""
+"""Membership and the planned stop through separate processes.
+
+Guards against membership that depends on the store, a paused node that stays
+dead, requests that fail during a planned stop, and nodes with a wrong key.
+"""
 
 import concurrent.futures
 import json
@@ -14,13 +18,13 @@
 
 pytestmark = pytest.mark.processes
 
-KEYS = ("--peer-key", "0123456789abcdef,fedcba9876543210")
-FAST = ("--probe-period-s", "0.1", "--probe-timeout-s", "0.1")
+PEER_KEY_OPTIONS = ("--peer-key", "0123456789abcdef,fedcba9876543210")
+FAST_PROBE_OPTIONS = ("--probe-period-s", "0.1", "--probe-timeout-s", "0.1")
 TARGETS = ("prenota-1", "prenota-2", "prenota-3")
 DOMAIN = "savona"
 
 
-def inventory(directory: pathlib.Path) -> pathlib.Path:
+def write_inventory(directory: pathlib.Path) -> pathlib.Path:
     file = directory / "inventory.json"
     targets = [
         {
@@ -40,7 +44,7 @@
     return file
 
 
-def states(fleet, target):
+def get_member_states(fleet, target):
     return fleet.status(target)["member_states"]
 
 
@@ -49,11 +53,17 @@
     with Fleet() as fleet:
         for target in TARGETS:
             fleet.start_backend(target, "--service-ms", "20")
-            fleet.start_node(target, "prenota", DOMAIN, *KEYS, *FAST)
-        fleet.apply("inventory", inventory(tmp_path))
+            fleet.start_node(
+                target,
+                "prenota",
+                DOMAIN,
+                *PEER_KEY_OPTIONS,
+                *FAST_PROBE_OPTIONS,
+            )
+        fleet.apply("inventory", write_inventory(tmp_path))
         for target in TARGETS:
             wait_until(
-                lambda t=target: states(fleet, t) == {"alive": 3},
+                lambda t=target: get_member_states(fleet, t) == {"alive": 3},
                 "members to find each other",
             )
             url = fleet.caller_url(target) + "/prenota/x"
@@ -66,17 +76,25 @@
     fleet.processes["node prenota-2"].end()
 
     wait_until(
-        lambda: states(fleet, "prenota-1") == {"alive": 2, "dead": 1},
-        "the death to be noticed",
+        lambda: (
+            get_member_states(fleet, "prenota-1") == {"alive": 2, "dead": 1}
+        ),
+        "the ended node to be known as dead",
     )
     seed = f"127.0.0.1:{fleet.ports['prenota-1'][2]}"
     fleet.start_node(
-        "prenota-2", "prenota", DOMAIN, *KEYS, *FAST, "--seeds", seed
+        "prenota-2",
+        "prenota",
+        DOMAIN,
+        *PEER_KEY_OPTIONS,
+        *FAST_PROBE_OPTIONS,
+        "--seeds",
+        seed,
     )
 
     for target in TARGETS:
         wait_until(
-            lambda t=target: states(fleet, t) == {"alive": 3},
+            lambda t=target: get_member_states(fleet, t) == {"alive": 3},
             "the restarted node to be known",
         )
 
@@ -85,13 +103,14 @@
     node = fleet.processes["node prenota-2"]
     node.send(signal.SIGSTOP)
     wait_until(
-        lambda: states(fleet, "prenota-1").get("alive") == 2, "suspicion"
+        lambda: get_member_states(fleet, "prenota-1").get("alive") == 2,
+        "suspicion",
     )
     node.send(signal.SIGCONT)
 
     for target in TARGETS:
         wait_until(
-            lambda t=target: states(fleet, t) == {"alive": 3},
+            lambda t=target: get_member_states(fleet, t) == {"alive": 3},
             "the paused node to be alive again",
         )
 
@@ -115,7 +134,7 @@
         futures = [pool.submit(book, entry) for entry in entries]
         wait_until(
             lambda: any(b.startswith(b"prenota-2") for b in bodies),
-            "work at the node that is to stop",
+            "requests at the node that will be stopped",
         )
         node = fleet.processes["node prenota-2"]
         node.send(signal.SIGTERM)
@@ -126,12 +145,14 @@
     assert code == 0
     assert failures == []
     wait_until(
-        lambda: states(fleet, "prenota-1") == {"alive": 2, "dead": 1},
-        "the node to be known as gone",
+        lambda: (
+            get_member_states(fleet, "prenota-1") == {"alive": 2, "dead": 1}
+        ),
+        "the stopped node to be known as dead",
     )
 
 
-def test_node_with_another_key_is_not_let_in(fleet, tmp_path):
+def test_node_with_another_key_is_refused(fleet, tmp_path):
     key_file = tmp_path / "key"
     key_file.write_text("another-key-of-32-characters-long")
     fleet.start_backend("prenota-4")
@@ -140,7 +161,7 @@
         "prenota",
         DOMAIN,
         *("--peer-key-file", str(key_file)),
-        *FAST,
+        *FAST_PROBE_OPTIONS,
     )
 
     refused = wait_until(
@@ -152,7 +173,7 @@
     )
 
     assert refused > 0
-    assert states(fleet, "prenota-1") == {"alive": 3}
+    assert get_member_states(fleet, "prenota-1") == {"alive": 3}
 
 
 @pytest.mark.parametrize("listen", ["0.0.0.0:0", "10.0.0.1:8081"])
--- a/tests/test_platform_processes.py
+++ b/tests/test_platform_processes.py
@@ -1,4 +1,9 @@
-"""Nodes as processes on stand-ins of the platform."""
+"""Nodes as processes on stand-ins of the platform.
+
+Guards against faults that only appear end to end: spoiled responses that reach
+a caller, unsafe requests that run twice, requests to draining servers, requests
+lost in a planned stop, and nodes that stop serving without the store.
+"""
 
 import asyncio
 import json
@@ -23,7 +28,7 @@
     Place("b-1", "127.0.9.13", "b", "library"),
 ]
 ROUTES = [route("library", "safe"), route("sessions", "unsafe")]
-WITHIN_S = 20.0
+WAIT_TIMEOUT_S = 20.0
 ROOT = pathlib.Path(__file__).parents[1]
 
 
@@ -34,14 +39,16 @@
         await running.start(7, spell_s=0.0)
         for path in ("/library/x", "/sessions/x"):
             for instance in running.instances.values():
-                await until(lambda i=instance, p=path: served(running, i, p))
+                await wait_for(
+                    lambda i=instance, p=path: is_served(running, i, p)
+                )
         for instance in running.instances.values():
-            await until(lambda i=instance: knows_all(i))
+            await wait_for(lambda i=instance: sees_all_alive(i))
         yield running
 
 
-async def knows_all(instance):
-    """Returns whether the node knows that every node takes work."""
+async def sees_all_alive(instance):
+    """Returns whether the node sees every node as alive."""
     url = f"http://{instance.metrics_address}/metrics"
     async with aiohttp.ClientSession() as session, session.get(url) as got:
         text = await got.text()
@@ -50,25 +57,27 @@
     return bool(counts) and float(counts[0].removeprefix(alive)) == len(PLACES)
 
 
-async def served(fleet, instance, path, method="GET"):
+async def is_served(fleet, instance, path, method="GET"):
     return (await fleet.ask(instance, path, method)).status == 200
 
 
-async def until(check):
-    async with asyncio.timeout(WITHIN_S):
+async def wait_for(check):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not await check():  # noqa: ASYNC110
             await asyncio.sleep(0.05)
 
 
-def runs(fleet, name):
+def count_runs(fleet, name):
     return sum(i.server.runs[name] for i in fleet.instances.values())
 
 
-def lines(instance):
+def log_lines(instance):
     return [json.loads(x) for x in instance.log_path.read_text().splitlines()]
 
 
-async def test_any_node_serves_any_service_and_tells_the_servers_word(fleet):
+async def test_any_node_serves_any_service_and_returns_the_servers_response(
+    fleet,
+):
     for instance in fleet.instances.values():
         for path in ("/library/1", "/sessions/1"):
             answer = await fleet.ask(instance, path, request_id="9c41")
@@ -79,7 +88,7 @@
             assert "Server-Load" not in answer.headers
 
 
-async def test_every_metric_is_told_and_documented(fleet):
+async def test_every_metric_is_exported_and_documented(fleet):
     instance = fleet.instances["a-1"]
     url = f"http://{instance.metrics_address}/metrics"
     async with aiohttp.ClientSession() as session, session.get(url) as got:
@@ -96,7 +105,7 @@
     assert 'service="library",outcome="Done",code="200"' in text
 
 
-async def test_what_no_route_takes_is_not_found(fleet):
+async def test_path_without_a_route_is_not_found(fleet):
     instance = fleet.instances["a-1"]
 
     assert (await fleet.ask(instance, "/nothing/x")).status == 404
@@ -107,19 +116,19 @@
 
     async def everywhere():
         for instance in fleet.instances.values():
-            if not await served(fleet, instance, "/new/x"):
+            if not await is_served(fleet, instance, "/new/x"):
                 return False
             if (await fleet.ask(instance, "/library/x")).status != 404:
                 return False
         return True
 
-    await until(everywhere)
+    await wait_for(everywhere)
 
 
 @pytest.mark.parametrize(
     "how", ["other", "unsigned", "encoded", "cut", "unframed-reset", "lost"]
 )
-async def test_a_spoiled_answer_is_never_told_and_an_unsafe_runs_once(
+async def test_spoiled_response_is_not_passed_on_and_unsafe_runs_once(
     fleet, how
 ):
     fleet.instances["a-2"].server.faults = ServerFaults(answer=how)
@@ -129,14 +138,14 @@
     )
 
     assert answer.status in (502, 504)
-    assert runs(fleet, "once") == 1
+    assert count_runs(fleet, "once") == 1
 
 
 async def test_an_idempotent_request_goes_on_to_another_server(fleet):
     fleet.instances["a-1"].server.faults = ServerFaults(answer="cut")
 
     for _ in range(6):
-        assert await served(fleet, fleet.instances["a-1"], "/library/x")
+        assert await is_served(fleet, fleet.instances["a-1"], "/library/x")
 
 
 async def test_a_draining_server_gets_nothing_new_also_after_a_restart(fleet):
@@ -144,7 +153,7 @@
     server = leaving.server
     server.draining = True
     async with aiohttp.ClientSession() as session:
-        await until(lambda: server.send_heartbeat(session))
+        await wait_for(lambda: server.send_heartbeat(session))
         before = server.runs.total()
         assert (await fleet.ask(leaving, "/sessions/x")).status == 503
         leaving.signal_node(signal.SIGKILL)
@@ -163,16 +172,16 @@
     first = instance.server
     first.draining = True
     async with aiohttp.ClientSession() as session:
-        await until(lambda: first.send_heartbeat(session))
+        await wait_for(lambda: first.send_heartbeat(session))
     assert (await fleet.ask(instance, "/sessions/x")).status == 503
 
     await instance.restart_server()
 
     assert instance.server.incarnation == first.incarnation
-    await until(lambda: served(fleet, instance, "/sessions/x"))
+    await wait_for(lambda: is_served(fleet, instance, "/sessions/x"))
 
 
-async def test_a_word_of_another_writer_changes_nothing(fleet):
+async def test_malformed_heartbeat_changes_nothing(fleet):
     instance = fleet.instances["a-2"]
     name = instance.server.incarnation
     url = f"http://{instance.control_address}/-/Instances.Heartbeat/{name}"
@@ -181,9 +190,9 @@
             async with session.post(url, data=body) as answer:
                 assert answer.status >= 400
 
-    assert await served(fleet, instance, "/sessions/x")
-    told = [x for x in lines(instance) if "left out" in x["text"]]
-    assert len(told) >= 1
+    assert await is_served(fleet, instance, "/sessions/x")
+    messages = [x for x in log_lines(instance) if "left out" in x["text"]]
+    assert len(messages) >= 1
 
 
 async def test_pipelined_reads_and_a_stop_leave_no_request_without_answer(
@@ -199,12 +208,12 @@
     for number in range(3):
         writer.write(head.format(HOST, number).encode())
 
-    async def begun():
-        return all(runs(fleet, f"p{i}") for i in range(3))
+    async def has_started():
+        return all(count_runs(fleet, f"p{i}") for i in range(3))
 
-    await until(begun)
+    await wait_for(has_started)
     stopped.signal_node(signal.SIGTERM)
-    async with asyncio.timeout(WITHIN_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         got = await reader.read()
 
     assert [got.count(b"done p%d" % i) for i in range(3)] == [1, 1, 1]
@@ -216,51 +225,53 @@
 
 async def test_a_planned_stop_finishes_what_runs(fleet):
     stopped, asker = fleet.instances["a-2"], fleet.instances["b-1"]
-    # Callers in no hurry, so that nobody refuses what a slow server runs.
+    # A loose latency objective, so that no node refuses requests to a slow
+    # server.
     patient = route("sessions", "unsafe", name="p", prefix="/patient/")
     fleet.configure([*ROUTES, {**patient, "aim-ms": 1500}])
-    await until(lambda: served(fleet, asker, "/patient/x"))
+    await wait_for(lambda: is_served(fleet, asker, "/patient/x"))
     stopped.server.faults = ServerFaults(slow=30.0)
     asked = asyncio.create_task(
         fleet.ask(asker, "/patient/x", request_id="last")
     )
 
-    async def begun():
+    async def has_started():
         return bool(stopped.server.runs["last"])
 
-    await until(begun)
+    await wait_for(has_started)
     stopped.signal_node(signal.SIGTERM)
 
     assert (await asked).status == 200
     assert await stopped.node_ended() == 0
-    assert lines(stopped)[-1]["text"] == "node: Stopped."
+    assert log_lines(stopped)[-1]["text"] == "node: Stopped."
 
 
-async def test_the_store_may_be_away_for_long(fleet):
+async def test_nodes_serve_during_a_long_store_outage(fleet):
     fleet.store.faults = StoreFaults(down="silent")
 
     for instance in fleet.instances.values():
-        assert await served(fleet, instance, "/library/x")
+        assert await is_served(fleet, instance, "/library/x")
     fleet.instances["b-1"].signal_node(signal.SIGKILL)
     await fleet.instances["b-1"].node_ended()
     await fleet.instances["b-1"].start_node()
 
-    # Peers are found by the store, so one that begins now waits for it.
+    # Peers are discovered through the store, so a node that starts now waits
+    # for it.
     for _ in range(5):
-        assert await served(fleet, fleet.instances["a-1"], "/library/x")
+        assert await is_served(fleet, fleet.instances["a-1"], "/library/x")
     fleet.store.faults = StoreFaults()
     await fleet.until_ready(fleet.instances["b-1"])
 
 
-async def test_a_watch_that_lost_its_history_reads_anew(fleet):
+async def test_watch_reads_again_after_compaction(fleet):
     fleet.store.compact_history()
     fleet.configure([route("library", "safe", name="n", prefix="/later/")])
 
     for instance in fleet.instances.values():
-        await until(lambda i=instance: served(fleet, i, "/later/x"))
+        await wait_for(lambda i=instance: is_served(fleet, i, "/later/x"))
 
 
-async def test_a_node_that_knows_no_routes_says_come_back(tmp_path):
+async def test_node_without_routes_answers_unavailable(tmp_path):
     async with Fleet(PLACES[:1], tmp_path) as fleet:
         instance = fleet.instances["a-1"]
         await instance.start_node()
@@ -268,7 +279,7 @@
         async def refused():
             return (await fleet.ask(instance, "/library/x")).status == 503
 
-        await until(refused)
+        await wait_for(refused)
 
 
 async def test_a_faulty_reload_keeps_the_old_settings(fleet):
@@ -277,9 +288,11 @@
     instance.settings_path.write_text(good.replace("app-addr", "app"))
     instance.signal_node(signal.SIGHUP)
 
-    async def told():
-        return any("old settings stay" in x["text"] for x in lines(instance))
+    async def is_logged():
+        return any(
+            "old settings stay" in x["text"] for x in log_lines(instance)
+        )
 
-    await until(told)
-    assert await served(fleet, instance, "/library/x")
+    await wait_for(is_logged)
+    assert await is_served(fleet, instance, "/library/x")
     instance.settings_path.write_text(good)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,8 @@
-"""A request that crashes servers, through processes."""
+"""A request that crashes servers, through real processes.
+
+Guards against retries that carry such a request to one server after another:
+after the second crash every node must refuse it, and only it.
+"""
 
 import json
 
@@ -46,11 +50,11 @@
     return fetch(fleet.caller_url(name) + path)
 
 
-def crashed(fleet):
+def find_crashed(fleet):
     return [n for n in NAMES if not fleet.processes[f"backend {n}"].running()]
 
 
-def code(fleet, name, path):
+def get_code(fleet, name, path):
     return get(fleet, name, path)[1].get("radishwind-code")
 
 
@@ -58,10 +62,10 @@
     poison = "/library/standin-crash"
 
     def refused(name):
-        for down in crashed(fleet):
+        for down in find_crashed(fleet):
             fleet.start_backend(down)
             crashes.append(down)
-        return code(fleet, name, poison) == "3007"
+        return get_code(fleet, name, poison) == "3007"
 
     crashes = []
     for name in NAMES:
--- a/tests/test_start_processes.py
+++ b/tests/test_start_processes.py
@@ -1,4 +1,8 @@
-"""A node that is told to stop while it starts ends as planned."""
+"""Signals during the start of a node.
+
+Guards against a SIGTERM that does not end in a planned stop, or a SIGHUP that
+ends the node, since it arrives while the program is still importing.
+"""
 
 import asyncio
 import os
@@ -14,8 +18,8 @@
 
 PLACES = [Place("a-1", "127.0.9.61", "a", "library")]
 
-#: Says when it is past the first statement of the program.
-SCRIPT = """
+#: Prints a line once the startup handlers are installed.
+PROGRAM = """
 from radishwind.sidecar.startup import install_startup_signal_handlers
 install_startup_signal_handlers()
 print("began", flush=True)
@@ -24,12 +28,12 @@
 """
 
 
-async def began():
-    """Returns a process that is past its first statement."""
+async def start_process():
+    """Starts a process and waits until it has installed its handlers."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-c",
-        SCRIPT,
+        PROGRAM,
         stdout=asyncio.subprocess.PIPE,
         env={**os.environ, "PYTHONPATH": os.pathsep.join(sys.path)},
     )
@@ -37,16 +41,16 @@
     return process
 
 
-async def test_a_stop_during_the_imports_is_a_planned_one():
-    process = await began()
+async def test_sigterm_during_the_imports_exits_with_success():
+    process = await start_process()
 
     process.send_signal(signal.SIGTERM)
 
     assert await process.wait() == 0
 
 
-async def test_a_reload_during_the_imports_ends_nothing():
-    process = await began()
+async def test_sighup_during_the_imports_is_ignored():
+    process = await start_process()
 
     process.send_signal(signal.SIGHUP)
     await asyncio.sleep(0)
@@ -55,7 +59,7 @@
     assert await process.wait() == 0
 
 
-async def test_a_stop_at_once_after_the_start_is_a_planned_one(tmp_path):
+async def test_sigterm_right_after_the_start_exits_with_success(tmp_path):
     async with Fleet(PLACES, tmp_path) as fleet:
         fleet.configure([])
         instance = fleet.instances["a-1"]
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,8 @@
-"""A request from end to end, through separate processes."""
+"""A request from caller to backend server, through separate processes.
+
+Guards against a request that is not forwarded to a node of its service, fields
+between nodes that reach the caller, and a stop that ends with an error.
+"""
 
 import pathlib
 import signal
@@ -43,7 +47,7 @@
     assert not [name for name in fields if name.startswith("radishwind-node")]
 
 
-def test_unknown_service_is_told_not_run(fleet):
+def test_unknown_service_is_reported_as_not_run(fleet):
     status, fields, _ = fetch(fleet.caller_url("prenota-1") + "/nobody")
 
     assert status == 404
