--- a/tests/test_peers_processes.py
+++ b/tests/test_peers_processes.py
@@ -1,4 +1,9 @@
-"""Nodes as processes that sign what they send to each other."""
+"""Nodes as processes that sign their messages to each other.
+
+Guards against forged requests and datagrams that take effect, a secret that
+leaks into logs or metrics, and nodes that stop serving without the store or
+while the secret is created or rotated.
+"""
 
 import asyncio
 import json
@@ -36,9 +41,9 @@
     route("sessions", "unsafe", name="p", prefix="/open/", public=True),
 ]
 ACCOUNTS = [{"name": "ward-7", "api-keys": ["k-7"]}]
-WITHIN_S = 20.0
+WAIT_TIMEOUT_S = 20.0
 
-_MEMBERS = "radishwind_members{"
+MEMBERS_METRIC = "radishwind_members{"
 
 
 @pytest.fixture
@@ -53,51 +58,53 @@
         await running.start(7, spell_s=0.0)
         for path in ("/library/x", "/sessions/x"):
             for instance in running.instances.values():
-                await until(lambda i=instance, p=path: served(running, i, p))
+                await wait_for(
+                    lambda i=instance, p=path: is_served(running, i, p)
+                )
         for instance in running.instances.values():
-            await until(lambda i=instance: requires(i))
+            await wait_for(lambda i=instance: requires_signatures(i))
         yield running
 
 
-async def served(fleet, instance, path, key="Token k-7"):
+async def is_served(fleet, instance, path, key="Token k-7"):
     answer = await fleet.ask(instance, path, headers={"Authorization": key})
     return answer.status == 200
 
 
-async def metrics(instance):
+async def fetch_metrics(instance):
     url = f"http://{instance.metrics_address}/metrics"
     async with aiohttp.ClientSession() as session, session.get(url) as got:
         return (await got.text()).splitlines()
 
 
-async def requires(instance):
+async def requires_signatures(instance):
     line = 'radishwind_peer_signatures{state="required"} 1'
-    return line in await metrics(instance)
+    return line in await fetch_metrics(instance)
 
 
-async def refused(instance):
-    """Returns how many messages the node refused."""
+async def count_refused(instance):
+    """Returns the number of messages that the node refused."""
     name = "radishwind_peer_messages_refused_total{"
-    lines = [x for x in await metrics(instance) if x.startswith(name)]
+    lines = [x for x in await fetch_metrics(instance) if x.startswith(name)]
     return sum(float(x.rpartition(" ")[2]) for x in lines)
 
 
-async def until(check):
-    async with asyncio.timeout(WITHIN_S):
+async def wait_for(check):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not await check():  # noqa: ASYNC110
             await asyncio.sleep(0.05)
 
 
-def runs(fleet):
+def count_runs(fleet):
     return sum(sum(i.server.runs.values()) for i in fleet.instances.values())
 
 
-async def test_one_secret_is_made_and_stays_in_the_store(fleet):
+async def test_secret_is_created_and_never_logged(fleet):
     record = json.loads(fleet.store.value(KEY))
 
     for instance in fleet.instances.values():
         assert record["secret"] not in instance.log_path.read_text()
-        assert record["secret"] not in "\n".join(await metrics(instance))
+        assert record["secret"] not in "\n".join(await fetch_metrics(instance))
 
 
 async def test_forged_forward_runs_nothing_and_is_counted(fleet):
@@ -110,7 +117,7 @@
         "Tenant": "ward-7",
         ATTEMPT_FIELD: msgspec.json.encode(info).decode(),
     }
-    before, ran = await refused(target), runs(fleet)
+    before, ran = await count_refused(target), count_runs(fleet)
 
     url = f"http://{target.peer_address}/sessions/x"
     async with (
@@ -119,87 +126,93 @@
     ):
         assert answer.status == 401
 
-    assert runs(fleet) == ran
-    assert await refused(target) == before + 1
+    assert count_runs(fleet) == ran
+    assert await count_refused(target) == before + 1
 
 
 async def test_forged_datagram_changes_nothing_and_is_counted(fleet):
     target = fleet.instances["a-1"]
     fact = MemberRecord("z-9", "library", "b", "127.0.9.99:1", 9)
     push = Envelope(0, False, Push("b-1", 0, (fact,)))
-    before = await refused(target)
+    before = await count_refused(target)
 
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as forger:
         data = bytes((Channel.GOSSIP,)) + encode_envelope(push)
         forger.sendto(data, tuple(target.peer_address))
 
         async def is_counted():
-            return await refused(target) == before + 1
+            return await count_refused(target) == before + 1
 
-        await until(is_counted)
+        await wait_for(is_counted)
 
-    # Whatever is believed of them: a node that is slow may be suspected.
-    told = [x for x in await metrics(target) if x.startswith(_MEMBERS)]
-    assert sum(float(line.rpartition(" ")[2]) for line in told) == 3
+    # In whatever states: a slow node may be suspected.
+    counts = [
+        x for x in await fetch_metrics(target) if x.startswith(MEMBERS_METRIC)
+    ]
+    assert sum(float(line.rpartition(" ")[2]) for line in counts) == 3
     assert "z-9" not in target.log_path.read_text()
 
 
-async def test_nodes_that_run_need_no_store(fleet):
+async def test_running_nodes_need_no_store(fleet):
     fleet.store.faults = StoreFaults(down="silent")
 
     for instance in fleet.instances.values():
         for path in ("/library/x", "/sessions/x"):
-            assert await served(fleet, instance, path)
+            assert await is_served(fleet, instance, path)
 
 
-async def test_node_that_began_without_the_store_serves_for_the_others(fleet):
+async def test_node_started_without_the_store_serves_its_peers(fleet):
     fleet.store.faults = StoreFaults(down="silent")
-    begins = fleet.instances["a-2"]
-    begins.signal_node(signal.SIGKILL)
-    await begins.node_ended()
-    await begins.start_node()
-
-    # It takes what the others sign, though it can't check that.
-    await until(lambda: served(fleet, fleet.instances["a-1"], "/sessions/x"))
-    await until(lambda: served(fleet, fleet.instances["b-1"], "/open/x", ""))
+    restarted = fleet.instances["a-2"]
+    restarted.signal_node(signal.SIGKILL)
+    await restarted.node_ended()
+    await restarted.start_node()
+
+    # It accepts the others' signed messages without verifying them.
+    await wait_for(
+        lambda: is_served(fleet, fleet.instances["a-1"], "/sessions/x")
+    )
+    await wait_for(
+        lambda: is_served(fleet, fleet.instances["b-1"], "/open/x", "")
+    )
 
     fleet.store.faults = StoreFaults()
-    await until(lambda: requires(begins))
-    await until(lambda: served(fleet, begins, "/library/x"))
+    await wait_for(lambda: requires_signatures(restarted))
+    await wait_for(lambda: is_served(fleet, restarted, "/library/x"))
 
 
-async def test_rotation_is_a_removed_record_and_a_start(fleet):
+async def test_secret_is_rotated_by_removing_it_and_restarting_a_node(fleet):
     before = fleet.store.value(KEY)
     fleet.store.remove(KEY)
-    begins = fleet.instances["b-1"]
-    begins.signal_node(signal.SIGTERM)
-    await begins.node_ended()
-    await begins.start_node()
+    restarted = fleet.instances["b-1"]
+    restarted.signal_node(signal.SIGTERM)
+    await restarted.node_ended()
+    await restarted.start_node()
 
-    async def is_made():
+    async def is_created():
         return fleet.store.value(KEY) not in (None, before)
 
-    await until(is_made)
+    await wait_for(is_created)
     for instance in fleet.instances.values():
         for path in ("/library/x", "/sessions/x"):
-            await until(lambda i=instance, p=path: served(fleet, i, p))
+            await wait_for(lambda i=instance, p=path: is_served(fleet, i, p))
 
 
-async def test_accounts_may_come_into_force_while_nodes_run(tmp_path):
+async def test_accounts_can_be_added_while_nodes_run(tmp_path):
     async with Fleet(PLACES, tmp_path) as running:
         running.configure(ROUTES)
         await running.start(7, spell_s=0.0)
         nodes = running.instances.values()
         for path in ("/library/x", "/sessions/x"):
             for i in nodes:
-                await until(lambda i=i, p=path: served(running, i, p, ""))
+                await wait_for(lambda i=i, p=path: is_served(running, i, p, ""))
         assert running.store.value(KEY) is None
 
         running.configure(ROUTES, tenants=ACCOUNTS)
 
         for path in ("/library/x", "/sessions/x"):
             for i in nodes:
-                await until(lambda i=i, p=path: served(running, i, p))
+                await wait_for(lambda i=i, p=path: is_served(running, i, p))
         for i in nodes:
-            await until(lambda i=i: requires(i))
-            assert await served(running, i, "/sessions/x")
+            await wait_for(lambda i=i: requires_signatures(i))
+            assert await is_served(running, i, "/sessions/x")
--- a/tests/test_recency_processes.py
+++ b/tests/test_recency_processes.py
@@ -1,4 +1,8 @@
-"""Nodes as processes take a key only while it is known to be in force."""
+"""Nodes accept an API key only with a recent proof that it is in force.
+
+Guards against revoked keys that are accepted while the store is unreachable,
+and against a node that refuses valid keys although its peers reach the store.
+"""
 
 import asyncio
 import json
@@ -24,8 +28,8 @@
     route("library", "safe"),
     route("library", "safe", name="open", prefix="/open/", public=True),
 ]
-BOUND_MS = 1500
-WITHIN_S = 20.0
+REVOKE_BOUND_MS = 1500
+WAIT_TIMEOUT_S = 20.0
 
 
 @pytest.fixture
@@ -38,12 +42,14 @@
     async with Fleet(PLACES, tmp_path) as running:
         for instance in running.instances.values():
             path = instance.settings_path
-            strict = f'"strict-revoke=true", "revoke-ms={BOUND_MS}", "grace-s'
+            strict = (
+                f'"strict-revoke=true", "revoke-ms={REVOKE_BOUND_MS}", "grace-s'
+            )
             path.write_text(path.read_text().replace('"grace-s', strict))
         configure(running, 2, ["one", "two"])
         await running.start(7, spell_s=0.0)
         for instance in running.instances.values():
-            await until(lambda i=instance: gets(i, 200, key="one"))
+            await wait_for(lambda i=instance: has_status(i, 200, key="one"))
         yield running
 
 
@@ -73,56 +79,56 @@
         return got.status, got.headers
 
 
-async def gets(instance, status, path="/library/x", key=""):
+async def has_status(instance, status, path="/library/x", key=""):
     return (await ask(instance, path, key))[0] == status
 
 
-async def until(check):
-    async with asyncio.timeout(WITHIN_S):
+async def wait_for(check):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not await check():  # noqa: ASYNC110
             await asyncio.sleep(0.05)
 
 
-def is_told(instance, words):
-    return words in instance.log_path.read_text()
+def is_logged(instance, text):
+    return text in instance.log_path.read_text()
 
 
-async def test_where_the_store_is_lost_keys_are_refused_and_no_more(fleet):
+async def test_store_loss_refuses_keyed_requests_only(fleet):
     fleet.store.faults = StoreFaults(down="reset")
 
     for instance in fleet.instances.values():
-        await until(lambda i=instance: gets(i, 503, key="one"))
+        await wait_for(lambda i=instance: has_status(i, 503, key="one"))
         status, headers = await ask(instance, key="one")
         assert status == 503
         assert headers["Radishwind-Code"] == "3017"
         assert float(headers["Retry-After"]) >= 0.1
-        assert await gets(instance, 200, "/open/x")
-        assert await gets(instance, 200, "/open/x", key="one")
-        assert await gets(instance, 401)
-        assert is_told(instance, "Out of proof")
+        assert await has_status(instance, 200, "/open/x")
+        assert await has_status(instance, 200, "/open/x", key="one")
+        assert await has_status(instance, 401)
+        assert is_logged(instance, "Out of proof")
     fleet.store.faults = StoreFaults()
     for instance in fleet.instances.values():
-        await until(lambda i=instance: gets(i, 200, key="one"))
+        await wait_for(lambda i=instance: has_status(i, 200, key="one"))
 
 
 @pytest.mark.parametrize("how", ["busy", "many", "reset", "silent"])
-async def test_a_node_that_the_store_turns_away_stays_in_service(fleet, how):
-    turned_away = fleet.instances["a-2"]
-    away = (turned_away.place.host,)
-    fleet.store.faults = StoreFaults(down=how, only=away)
-    # Several times as long as a proof counts.
-    for _ in range(3 * BOUND_MS // 100):
-        assert await gets(turned_away, 200, key="one")
+async def test_node_refused_by_the_store_stays_in_service(fleet, how):
+    refused = fleet.instances["a-2"]
+    hosts = (refused.place.host,)
+    fleet.store.faults = StoreFaults(down=how, only=hosts)
+    # Three times as long as a proof is valid.
+    for _ in range(3 * REVOKE_BOUND_MS // 100):
+        assert await has_status(refused, 200, key="one")
         await asyncio.sleep(0.1)
 
     configure(fleet, 4, ["two"])
 
-    await until(lambda: gets(turned_away, 401, key="one"))
-    assert await gets(turned_away, 200, key="two")
-    assert not is_told(turned_away, "Out of proof")
+    await wait_for(lambda: has_status(refused, 401, key="one"))
+    assert await has_status(refused, 200, key="two")
+    assert not is_logged(refused, "Out of proof")
 
 
-async def test_the_metrics_of_proof_are_told_and_documented(fleet):
+async def test_proof_metrics_are_exported(fleet):
     instance = fleet.instances["a-1"]
     url = f"http://{instance.metrics_address}/metrics"
     async with aiohttp.ClientSession() as session, session.get(url) as got:
